--- a/policy/choose.go
+++ b/policy/choose.go
@@ -2,87 +2,86 @@
 
 import "time"
 
-// Offer is what one endpoint would give a request.
+// Offer describes what one endpoint can provide for a request.
 type Offer struct {
 	Endpoint string
-	// GrantID is set once a slot was taken; it is unique at the owner.
+	// GrantID identifies the reserved slot, 0 before one is reserved. It is unique at the instance
+	// that owns the endpoint.
 	GrantID uint64
-	// CachedTokens of the prompt are believed to be cached there.
+	// CachedTokens is the estimated number of prompt tokens in the endpoint's cache.
 	CachedTokens int64
-	// Wait until the endpoint begins to work on the request.
+	// Wait is the expected time until the endpoint starts work on the request.
 	Wait time.Duration
-	// Incarnation of the endpoint that the offer is about.
+	// Incarnation is the endpoint's incarnation when the offer was made.
 	Incarnation uint64
-	// Alone says that nothing else runs beside the request.
+	// Alone is set if no other request runs on the endpoint at the same time.
 	Alone bool
-	// Long says that the prompt takes long to compute, and that the engine
-	// should put it behind others of its class.
+	// Long is set if the prompt takes long to prefill and the engine should queue it behind other
+	// requests of its class.
 	Long bool
-	// PrefillRate that was measured there, in tokens a second; 0 if unknown.
+	// PrefillRate is the endpoint's measured prefill rate in tokens per second, 0 if unknown.
 	PrefillRate float64
 }
 
-// Prices are what the choice weighs time against.
+// Prices are the parameters of the cost model that Choose uses.
 type Prices struct {
-	// PrefillTokensPerSecond of an endpoint whose offer names no rate.
+	// PrefillTokensPerSecond is the prefill rate assumed for endpoints whose offer has none.
 	PrefillTokensPerSecond float64
-	// Recompute multiplies the time of computing uncached tokens. Others wait
-	// behind that work and it evicts their blocks, so it costs the fleet more
-	// than it costs the request.
+	// Recompute multiplies the time to prefill uncached tokens. Recomputation delays other
+	// requests on the endpoint and evicts their cache blocks, so it costs the fleet more than the
+	// request itself.
 	Recompute float64
-	// ImportTokensPerSecond is how fast kept KV cache is imported, 0 where
-	// there is none; ImportFixed is the cost of an import of any size.
+	// ImportTokensPerSecond is the rate at which stored KV cache is imported, 0 if there is no
+	// store. ImportFixed is the fixed cost of each import.
 	ImportTokensPerSecond float64
 	ImportFixed           time.Duration
-	// Urgent says that the request may not wait.
+	// Urgent is set for requests that should not wait.
 	Urgent bool
 }
 
-// DefaultRecompute is the price of recomputation that the measurements in
-// docs/notes/placement.md back.
+// DefaultRecompute is the default for Prices.Recompute. docs/notes/placement.md has the
+// measurements behind it.
 const DefaultRecompute = 2
 
-// urgentShare is the part of the price of recomputation that an urgent request
-// pays. Its prompts are short and come often: a copy at each of its candidates
-// takes little of the caches and is found again, and then the request goes to
-// whichever has a slot free, instead of waiting at the one that has it cached
-// for the end of a long answer.
-const urgentShare = 0.25
+// urgentRecomputeFactor scales the recomputation cost for urgent requests. Their prompts are short and
+// frequent: a copy on each candidate takes little cache space and is reused. The request can then
+// go to any candidate with a free slot instead of waiting for a long response to finish on the one
+// that has the prompt cached.
+const urgentRecomputeFactor = 0.25
 
-// scarceWait is the wait at the least busy candidate that doubles the price of
-// recomputation. A tenth of a second is about what an endpoint is given ahead,
-// so that less is not yet a sign of saturation.
-const scarceWait = 100 * time.Millisecond
+// saturationWait is the wait at the least busy candidate at which the recomputation cost doubles. An
+// endpoint is given about a tenth of a second of work in advance, so a shorter wait is not yet a
+// sign of saturation.
+const saturationWait = 100 * time.Millisecond
 
-// Choice is what Choose decided.
+// Choice is the result of Choose.
 type Choice struct {
-	// Index of the offer, -1 where there was none.
+	// Index of the chosen offer, -1 if there were no offers.
 	Index int
-	// ImportTokens of kept KV cache to import before the send, 0 for none.
+	// ImportTokens is the number of tokens of stored KV cache to import before the request is
+	// sent, 0 for none.
 	ImportTokens int64
-	// Cost is the priced time until the first token.
+	// Cost is the weighted estimate of the time to the first token.
 	Cost time.Duration
 }
 
-// Choose picks among the offers of the first few candidates the one with the
-// least wait plus priced recomputation. keptTokens of the prompt can be
-// imported from the KV store.
+// Choose returns the offer with the lowest sum of wait and weighted recomputation time.
+// storedTokens is the number of prompt tokens that can be imported from the KV store.
 //
-// It is made for a hot prefix whose load exceeds one endpoint: each request
-// shifts exactly when waiting would cost more than computing the prefix again,
-// so that the prefix spreads over as many endpoints as it needs and shrinks
-// back, with no list of hot prefixes. Without it, callers of a hot prefix queue
-// behind each other while other endpoints idle. Equal costs keep the order of
-// the candidates, which all instances share.
-func Choose(promptTokens, keptTokens int64, offers []Offer, p Prices) Choice {
-	p = p.scarce(offers)
+// It handles a hot prefix whose load exceeds one endpoint: a request moves to another endpoint
+// exactly when waiting would cost more than recomputing the prefix. The prefix thus spreads over
+// as many endpoints as it needs and contracts again, without a list of hot prefixes. Otherwise
+// callers of a hot prefix would queue behind each other while other endpoints are idle. Ties go to
+// the earlier candidate; the order of candidates is the same on all instances.
+func Choose(promptTokens, storedTokens int64, offers []Offer, p Prices) Choice {
+	p = p.withScarcity(offers)
 	best := Choice{Index: -1}
 	for i, o := range offers {
 		at := p
 		if o.PrefillRate > 0 {
 			at.PrefillTokensPerSecond = o.PrefillRate
 		}
-		work, imported := at.prefill(promptTokens, keptTokens, o.CachedTokens)
+		work, imported := at.prefill(promptTokens, storedTokens, o.CachedTokens)
 		cost := o.Wait + work
 		if best.Index < 0 || cost < best.Cost {
 			best = Choice{Index: i, ImportTokens: imported, Cost: cost}
@@ -91,50 +90,50 @@
 	return best
 }
 
-// scarce sets the price of recomputation. It raises it while even the least busy candidate
-// is behind. While one of them idles, computing a prompt again costs nobody
-// else's time. In saturation it does: each shift then takes as much from the
-// pool's capacity as it computes, the waits grow, and more requests shift. That
-// showed as a hit rate that falls with the load; with the price it stays.
-func (p Prices) scarce(offers []Offer) Prices {
+// withScarcity returns p with the recomputation cost adjusted to the load. The cost rises with the
+// wait at the least busy candidate. While a candidate is idle, recomputing a prompt delays no
+// other request. Under saturation it does: each request that moves takes the recomputed work from
+// the pool's capacity, waits grow, and more requests move. Without the adjustment the hit rate
+// fell as load rose; with it the hit rate is stable.
+func (p Prices) withScarcity(offers []Offer) Prices {
 	if len(offers) == 0 {
 		return p
 	}
-	least := offers[0].Wait
+	minWait := offers[0].Wait
 	for _, o := range offers {
-		least = min(least, o.Wait)
+		minWait = min(minWait, o.Wait)
 	}
 	if p.Urgent {
-		p.Recompute *= urgentShare
+		p.Recompute *= urgentRecomputeFactor
 	}
-	p.Recompute *= 1 + least.Seconds()/scarceWait.Seconds()
+	p.Recompute *= 1 + minWait.Seconds()/saturationWait.Seconds()
 	return p
 }
 
-// prefill prices the computation of what is not cached, with an import of kept
-// KV cache where that is cheaper.
-func (p Prices) prefill(prompt, kept, cached int64) (time.Duration, int64) {
+// prefill returns the weighted cost of the uncached tokens and the number of tokens to import from
+// the KV store, which is above 0 only where importing is cheaper than computing.
+func (p Prices) prefill(prompt, stored, cached int64) (time.Duration, int64) {
 	missing := max(prompt-cached, 0)
 	compute := p.Compute(missing)
-	gain := min(kept, prompt) - cached
+	gain := min(stored, prompt) - cached
 	if p.ImportTokensPerSecond <= 0 || gain <= 0 {
 		return compute, 0
 	}
-	load := p.ImportFixed + seconds(float64(gain)/p.ImportTokensPerSecond) + p.Compute(missing-gain)
-	if load >= compute {
+	importCost := p.ImportFixed + seconds(float64(gain)/p.ImportTokensPerSecond) + p.Compute(missing-gain)
+	if importCost >= compute {
 		return compute, 0
 	}
-	return load, gain
+	return importCost, gain
 }
 
-// Import is how many tokens of kept KV cache are worth importing before a
-// prompt is sent to an endpoint that has cached tokens of it; 0 for none.
-func (p Prices) Import(prompt, kept, cached int64) int64 {
-	_, imported := p.prefill(prompt, kept, cached)
+// Import returns how many tokens of stored KV cache are worth importing before a prompt is sent to
+// an endpoint that has the given number of cached tokens, 0 for none.
+func (p Prices) Import(prompt, stored, cached int64) int64 {
+	_, imported := p.prefill(prompt, stored, cached)
 	return imported
 }
 
-// Compute prices the computation of tokens.
+// Compute returns the weighted cost of prefilling the given number of tokens.
 func (p Prices) Compute(tokens int64) time.Duration {
 	if p.PrefillTokensPerSecond <= 0 {
 		return 0
@@ -142,7 +141,7 @@
 	return seconds(float64(tokens) / p.PrefillTokensPerSecond * p.Recompute)
 }
 
-// seconds converts to a duration, cut to an hour so that no sum overflows.
+// seconds converts s to a duration, capped at an hour so that sums of durations cannot overflow.
 func seconds(s float64) time.Duration {
 	return time.Duration(min(s, 3600) * float64(time.Second))
 }
--- a/policy/crash.go
+++ b/policy/crash.go
@@ -8,67 +8,67 @@
 )
 
 const (
-	// maxFingerprints bounds what a guard holds: the requests in flight at some
-	// dozen crashes. The one that expires first goes first.
+	// maxFingerprints bounds the memory of a guard. It is enough for the requests in flight at
+	// some dozen crashes. The record that expires first is evicted first.
 	maxFingerprints = 4096
-	// refuseAfter is the number of crashes from which a request is refused.
+	// refuseAfter is the number of crashes after which a request is refused.
 	refuseAfter = 2
 )
 
-// CrashVerdict is how a request is treated for what it did before.
+// CrashVerdict is how to treat a request, given the crashes it was in flight at.
 type CrashVerdict int
 
 // The verdicts.
 const (
-	// CrashClean: it runs like any other.
+	// CrashClean requests are run normally.
 	CrashClean CrashVerdict = iota
-	// CrashSuspect: it was in flight at a crash and runs alone.
+	// CrashSuspect requests were in flight at one crash and run with no other request on the
+	// endpoint.
 	CrashSuspect
-	// CrashRefused: it was in flight at two crashes and is not run.
+	// CrashRefused requests were in flight at two crashes and are not run.
 	CrashRefused
 )
 
-// crashRecord holds the crashes at which a request was in flight; the value
-// says that the request was cleared of that crash.
+// crashRecord holds the crashes at which one request was in flight. The value in cleared is true
+// once the request is known not to have caused that crash.
 type crashRecord struct {
 	cleared map[string]bool
 	expires time.Time
 }
 
-// CrashState is what is known of a request, to be told to other instances.
+// CrashState is the state of one request as exchanged between instances.
 type CrashState struct {
-	// Endpoints are the incarnations that crashed with the request in flight.
+	// Endpoints are the incarnations that crashed while the request was in flight.
 	Endpoints []string
-	// Cleared are those of them that it was cleared of, by running to its end.
+	// Cleared are those of Endpoints whose crash the request did not cause, because it completed
+	// afterwards.
 	Cleared []string
 }
 
-// Crashes is how many crashes the request was not cleared of.
+// Crashes returns the number of crashes that the request may have caused.
 func (s *CrashState) Crashes() int { return len(s.Endpoints) - len(s.Cleared) }
 
-// CrashGuard remembers the fingerprints of requests that were in flight when an
-// endpoint crashed.
+// CrashGuard records the fingerprints of requests that were in flight when an endpoint crashed.
 //
-// It is made for a single request that crashes each endpoint that runs it and
-// whose caller sends it again: one by one it would take down the pool. After
-// the first crash all that were in flight run alone, so that the next crash
-// tells which it was and costs nobody else; after the second the request is
-// refused for a time. Those that complete are cleared. States of several
-// instances merge in any order, as often as one likes, to the same state:
-// crashes and clearings are only ever added, until the record expires.
+// It protects the pool from a single request that crashes every endpoint that runs it and whose
+// caller retries it, which would take down one endpoint after the other. After the first crash all
+// requests that were in flight run alone, so the next crash identifies the cause and affects no
+// other request. After the second crash the request is refused until its record expires. Requests
+// that complete are cleared. Merging the states of several instances is commutative and
+// idempotent: crashes and clearances are only added until the record expires.
 type CrashGuard struct {
 	ttl     time.Duration
 	records map[[16]byte]*crashRecord
 	changed map[[16]byte]bool
 }
 
-// NewCrashGuard returns a guard that forgets a request after the ttl.
+// NewCrashGuard returns a guard whose records expire ttl after the last crash.
 func NewCrashGuard(ttl time.Duration) *CrashGuard {
 	return &CrashGuard{ttl: ttl, records: map[[16]byte]*crashRecord{}, changed: map[[16]byte]bool{}}
 }
 
-// Crashed notes that a request was in flight when the incarnation of an
-// endpoint died. The same crash noted twice counts once.
+// Crashed records that a request was in flight when an incarnation of an endpoint crashed.
+// Repeated calls for the same crash count once.
 func (g *CrashGuard) Crashed(now time.Time, fingerprint [16]byte, endpoint string, incarnation uint64) {
 	r := g.record(now, fingerprint)
 	id := fmt.Sprintf("%s@%d", endpoint, incarnation)
@@ -80,7 +80,7 @@
 	g.changed[fingerprint] = true
 }
 
-// Completed clears a request that ran to its end of the crashes so far.
+// Completed clears a request that ran to completion of all crashes recorded so far.
 func (g *CrashGuard) Completed(now time.Time, fingerprint [16]byte) {
 	r, ok := g.records[fingerprint]
 	if !ok || now.After(r.expires) {
@@ -94,7 +94,7 @@
 	}
 }
 
-// Verdict tells how to treat a request, and for how long.
+// Verdict returns how to treat a request, and for how long that applies.
 func (g *CrashGuard) Verdict(now time.Time, fingerprint [16]byte) (CrashVerdict, time.Duration) {
 	r, ok := g.records[fingerprint]
 	if !ok || now.After(r.expires) {
@@ -116,8 +116,7 @@
 	}
 }
 
-// Merge takes in what another instance holds of a request, which it forgets
-// after ttl.
+// Merge adds the state that another instance holds for a request and that expires there after ttl.
 func (g *CrashGuard) Merge(now time.Time, fingerprint [16]byte, s *CrashState, ttl time.Duration) {
 	if ttl <= 0 {
 		return
@@ -140,8 +139,8 @@
 	}
 }
 
-// State is what to tell other instances of a request, and the time after which
-// they may forget it; nil where nothing is known.
+// State returns the state of a request to send to other instances and the time until it expires.
+// It returns nil if there is no record of the request.
 func (g *CrashGuard) State(now time.Time, fingerprint [16]byte) (*CrashState, time.Duration) {
 	r, ok := g.records[fingerprint]
 	if !ok || now.After(r.expires) {
@@ -157,8 +156,8 @@
 	return s, r.expires.Sub(now)
 }
 
-// Changed lists the requests of which something changed since the last call, in
-// order: what has to be told to other instances.
+// Changed returns the sorted fingerprints of the requests whose state changed since the last call.
+// Their state has to be sent to the other instances.
 func (g *CrashGuard) Changed() [][16]byte {
 	list := slices.Collect(maps.Keys(g.changed))
 	slices.SortFunc(list, func(a, b [16]byte) int { return slices.Compare(a[:], b[:]) })
@@ -166,7 +165,7 @@
 	return list
 }
 
-// Tick forgets what has expired.
+// Tick removes expired records.
 func (g *CrashGuard) Tick(now time.Time) {
 	for fingerprint, r := range g.records {
 		if now.After(r.expires) {
@@ -187,8 +186,7 @@
 	return r
 }
 
-// evict makes room: for what has expired, or else for the record that expires
-// first.
+// evict removes the expired records or, if there are none, the record that expires first.
 func (g *CrashGuard) evict(now time.Time) {
 	g.Tick(now)
 	if len(g.records) < maxFingerprints {
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -6,73 +6,73 @@
 	"time"
 )
 
-// Drain decides which requests an instance that was told to end still takes.
+// Drain decides which requests an instance still accepts while it shuts down.
 //
-// Load: an instance is stopped while callers go on sending over open connections and,
-// until the balancer has noticed, over new ones. Harm prevented: taken near the end, a
-// long answer is cut when the time to end is over. It has run by then, so its caller does
-// not learn what became of it and may not send it again. Refused at once, it has not run,
-// and another instance serves it some milliseconds later.
+// Callers keep sending over open connections and, until the load balancer has noticed the
+// shutdown, over new ones. A long response that is accepted near the end is aborted when the time
+// to drain is over. The request has run by then, so its caller does not know the outcome and may
+// not retry. If it is refused at once, it has not run, and another instance serves it some
+// milliseconds later.
 type Drain struct {
-	// CutAt is when answers that are still open are cut.
+	// AbortAt is when responses that are still open are aborted.
 	CutAt time.Time
 }
 
-// Takes reports whether a request that would be sent now is expected to end before the
-// cut. It ends by its deadline in any case; known says that usual, the time that answers
-// of its route take, is known. The deadline alone would turn away all requests whose
-// callers have more patience than the instance has time left, though nearly all of them
-// end long before.
-func (d Drain) Takes(now, deadline time.Time, usual time.Duration, known bool) bool {
+// Accepts reports whether a request that is sent now is expected to end before AbortAt. It ends by
+// its deadline in any case; expected is the usual response time of its route, if known is set. The
+// deadline alone would refuse all requests whose timeout is longer than the time left to drain,
+// although nearly all of them end long before it.
+func (d Drain) Takes(now, deadline time.Time, expected time.Duration, known bool) bool {
 	end := deadline
-	if expected := now.Add(usual); known && expected.Before(end) {
-		end = expected
+	if expectedEnd := now.Add(expected); known && expectedEnd.Before(end) {
+		end = expectedEnd
 	}
 	return !end.After(d.CutAt)
 }
 
 const (
-	// answersKept is how many of the last answers of a route tell what is usual.
-	answersKept = 64
-	// answersTail is one in how many answers may take longer than what is usual. Such an
-	// answer may be cut, and to refuse costs a caller no more than another connection.
-	answersTail = 20
-	// fewTimes is how many times the longest answer counts where fewer than answersTail
-	// are known: the next one may well be longer than all of them. An instance that has
-	// just started would else turn away all patient callers while it ends.
-	fewTimes = 2
+	// responseSamples is the number of recent responses of a route that the estimate is based on.
+	responseSamples = 64
+	// tailFraction is one in how many responses may take longer than the estimate. Such a response
+	// may be aborted, while a refusal costs the caller no more than another connection.
+	tailFraction = 20
+	// fewSamplesFactor multiplies the longest response time while there are fewer than
+	// tailFraction samples: the next response may well take longer than all of them. Without an
+	// estimate from few samples, an instance that has just started would refuse all callers with
+	// long timeouts while it drains.
+	fewSamplesFactor = 2
 )
 
-// AnswerTimes keeps how long the last answers of one route took from their send to their
-// end. Any goroutine may use it.
+// ResponseTimes holds the times that the last responses of one route took, from the send to the
+// end. It is safe for concurrent use.
 type AnswerTimes struct {
 	mu   sync.Mutex
-	last [answersKept]time.Duration
-	// count of all answers.
+	last [responseSamples]time.Duration
+	// count is the number of all responses recorded.
 	count int
 }
 
-// Took notes an answer.
+// Record adds the time of one response.
 func (a *AnswerTimes) Took(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.last[a.count%answersKept] = d
+	a.last[a.count%responseSamples] = d
 	a.count++
 }
 
-// Usual returns the time within which the next answer is expected to end, as all but one
-// in answersTail of the last ones did. known is false before the first one.
+// Estimate returns the time within which the next response is expected to end, which all but one
+// in tailFraction of the last responses did. known is false until a response was recorded.
 func (a *AnswerTimes) Usual() (d time.Duration, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := min(a.count, answersKept)
+	n := min(a.count, responseSamples)
 	if n == 0 {
 		return 0, false
 	}
 	times := a.last
 	slices.Sort(times[:n])
-	if n < answersTail {
-		return fewTimes * times[n-1], true
+	if n < tailFraction {
+		return fewSamplesFactor * times[n-1], true
 	}
-	return times[n-1-n/answersTail], true
+	return times[n-1-n/tailFraction], true
 }
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -7,43 +7,43 @@
 	"time"
 )
 
-// drainLoad is what callers send to an instance that ends.
+// drainLoad is the load on an instance that shuts down.
 type drainLoad struct {
-	grace, patience time.Duration
-	// took draws how long an answer takes.
-	took func(*rand.Rand) time.Duration
+	grace, timeout time.Duration
+	// responseTime draws how long a response takes.
+	responseTime func(*rand.Rand) time.Duration
 }
 
-// drainOutcome counts what became of the requests.
+// drainOutcome counts the outcomes of the requests.
 type drainOutcome struct {
-	sent, served, cut, refused int
-	// lastTaken is how long after the order to end the last request was taken.
-	lastTaken time.Duration
+	sent, served, aborted, refused int
+	// lastAccepted is the time of the last accepted request, from the start of the shutdown.
+	lastAccepted time.Duration
 }
 
-// play ends an instance and has requests come every few ms from the order to end until the
-// cut, as they do over connections that are kept open.
-func (l drainLoad) play(t *testing.T) (o drainOutcome) {
+// run shuts an instance down while requests arrive every few ms from the start of the shutdown
+// until responses are aborted, as they do over connections that are kept open.
+func (l drainLoad) run(t *testing.T) (o drainOutcome) {
 	const every = 5 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
 		var times AnswerTimes
-		for range answersKept {
-			times.Took(min(l.took(rng), l.patience))
+		for range responseSamples {
+			times.Took(min(l.responseTime(rng), l.timeout))
 		}
 		began := time.Now()
 		d := Drain{CutAt: began.Add(l.grace)}
 		for ; time.Now().Before(d.CutAt); time.Sleep(every) {
 			o.sent++
 			now := time.Now()
-			usual, known := times.Usual()
-			if !d.Takes(now, now.Add(l.patience), usual, known) {
+			expected, known := times.Usual()
+			if !d.Takes(now, now.Add(l.timeout), expected, known) {
 				o.refused++
 				continue
 			}
-			o.lastTaken = now.Sub(began)
-			if now.Add(min(l.took(rng), l.patience)).After(d.CutAt) {
-				o.cut++
+			o.lastAccepted = now.Sub(began)
+			if now.Add(min(l.responseTime(rng), l.timeout)).After(d.CutAt) {
+				o.aborted++
 			} else {
 				o.served++
 			}
@@ -52,17 +52,17 @@
 	return o
 }
 
-// between draws evenly.
+// between returns a function that draws uniformly from [least, most).
 func between(least, most time.Duration) func(*rand.Rand) time.Duration {
 	return func(rng *rand.Rand) time.Duration { return least + time.Duration(rng.Int64N(int64(most-least))) }
 }
 
-// An instance is told to end, and callers go on sending until its last moment. What is
-// cut there has run without an answer: a contractor doesn't know whether the order
-// stands. What is refused is served elsewhere at once. Whoever sends, long or short
-// answers, with little or much patience, hardly anybody may be cut, and an instance with
-// time left may not turn callers away.
-func TestEndingInstanceCutsHardlyAnything(t *testing.T) {
+// An instance shuts down while callers keep sending until the end. An aborted response has run, so
+// the caller does not know the outcome, such as whether an order was placed; a refused request is
+// served by another instance at once. With short or long responses and short or long time-outs,
+// almost no response may be aborted, and an instance with time left may not refuse requests.
+func TestDrainAbortsAlmostNoResponse(t *testing.T) {
+	// One in six prompts is long, and its response takes twice as long as the others.
 	// One in six prompts is long, and its answer takes twice as long as the others.
 	mixed := func(rng *rand.Rand) time.Duration {
 		if rng.IntN(6) == 0 {
@@ -72,85 +72,85 @@
 	}
 	loads := map[string]struct {
 		drainLoad
-		// takenUntil is the least time after the order to end until which requests are
-		// taken, mostCut the largest share in percent of those sent that may be cut.
-		takenUntil time.Duration
-		mostCut    int
+		// acceptedUntil is the least time after the start of the shutdown until which requests are
+		// accepted, maxAborted the largest share of the requests, in percent, that may be aborted.
+		acceptedUntil time.Duration
+		maxAborted    int
 	}{
-		"short answers, short grace":              {drainLoad{4 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 3800 * time.Millisecond, 0},
-		"short answers, long grace":               {drainLoad{8 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 7800 * time.Millisecond, 0},
-		"patient callers of long answers":         {drainLoad{8 * time.Second, 15 * time.Second, between(time.Second, 3*time.Second)}, 5 * time.Second, 1},
-		"answers as long as callers wait":         {drainLoad{4 * time.Second, 2 * time.Second, mixed}, 2 * time.Second, 0},
-		"answers longer than the instance's time": {drainLoad{4 * time.Second, 15 * time.Second, between(4*time.Second, 6*time.Second)}, 0, 0},
+		"short responses, short grace period":    {drainLoad{4 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 3800 * time.Millisecond, 0},
+		"short responses, long grace period":     {drainLoad{8 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 7800 * time.Millisecond, 0},
+		"long responses, longer time-outs":       {drainLoad{8 * time.Second, 15 * time.Second, between(time.Second, 3*time.Second)}, 5 * time.Second, 1},
+		"responses as long as the time-outs":     {drainLoad{4 * time.Second, 2 * time.Second, mixed}, 2 * time.Second, 0},
+		"responses longer than the grace period": {drainLoad{4 * time.Second, 15 * time.Second, between(4*time.Second, 6*time.Second)}, 0, 0},
 	}
 	for name, l := range loads {
 		t.Run(name, func(t *testing.T) {
-			o := l.play(t)
-			if o.cut*100 > l.mostCut*o.sent {
-				t.Errorf("%d of %d requests are cut", o.cut, o.sent)
+			o := l.run(t)
+			if o.aborted*100 > l.maxAborted*o.sent {
+				t.Errorf("%d of %d requests were aborted", o.aborted, o.sent)
 			}
-			if o.lastTaken < l.takenUntil-10*time.Millisecond {
-				t.Errorf("nothing is taken later than %v after the order to end, want %v", o.lastTaken, l.takenUntil)
+			if o.lastAccepted < l.acceptedUntil-10*time.Millisecond {
+				t.Errorf("last request accepted %v after the start of the shutdown, want %v at least", o.lastAccepted, l.acceptedUntil)
 			}
-			if o.served+o.refused+o.cut != o.sent {
-				t.Errorf("lost count: %+v", o)
+			if o.served+o.refused+o.aborted != o.sent {
+				t.Errorf("outcomes do not add up to the requests sent: %+v", o)
 			}
 		})
 	}
 }
 
-// An instance that has just started is told to end. It knows nothing of how long answers
-// take, so only what ends by its deadline before the cut is safe.
-func TestEndingInstanceThatKnowsNothingGoesByDeadlines(t *testing.T) {
+// An instance shuts down right after its start. It has no response times yet, so it may only
+// accept what ends by its deadline before responses are aborted.
+func TestDrainWithoutResponseTimesUsesDeadlines(t *testing.T) {
 	now := time.Unix(0, 0)
 	d := Drain{CutAt: now.Add(4 * time.Second)}
 	var times AnswerTimes
-	usual, known := times.Usual()
-	if !d.Takes(now, now.Add(4*time.Second), usual, known) {
-		t.Error("refused, though it ends in time")
+	expected, known := times.Usual()
+	if !d.Takes(now, now.Add(4*time.Second), expected, known) {
+		t.Error("a request that ends in time is refused")
 	}
-	if d.Takes(now, now.Add(4*time.Second+1), usual, known) {
-		t.Error("taken, though it may be cut")
+	if d.Takes(now, now.Add(4*time.Second+1), expected, known) {
+		t.Error("a request that may be aborted is accepted")
 	}
 }
 
-// Most answers are short and one in six is long. What an instance expects has to cover the
-// long ones, or it takes one that it can't end.
-func TestUsualAnswerTimeCoversLongOnes(t *testing.T) {
+// Most responses are short and one in six is long. The estimate has to cover the long ones, or the
+// instance accepts some that it has to abort.
+func TestEstimateCoversLongResponses(t *testing.T) {
 	const long = 2 * time.Second
 	var times AnswerTimes
-	for n := range 2 * answersKept {
+	for n := range 2 * responseSamples {
 		d := 100 * time.Millisecond
 		if n%6 == 0 {
 			d = long
 		}
 		times.Took(d)
-		if usual, known := times.Usual(); !known || usual < long {
-			t.Fatalf("usual %v, known %v after %d answers, want %v at least", usual, known, n+1, long)
+		if expected, known := times.Usual(); !known || expected < long {
+			t.Fatalf("estimate %v, known %v after %d responses, want %v at least", expected, known, n+1, long)
 		}
 	}
-	if usual, _ := times.Usual(); usual != long {
-		t.Errorf("usual %v, want the long ones' %v", usual, long)
+	if expected, _ := times.Usual(); expected != long {
+		t.Errorf("estimate %v, want the long responses' %v", expected, long)
 	}
 }
 
-// An instance was started a moment ago and is told to end again, as in a rollout of the
-// whole fleet that is repeated. It has given few answers, and the longest of them tells
-// little. Its callers are patient and their answers take some seconds: it still has time
-// for these, and may not turn away all of them.
-func TestInstanceThatHasJustStartedTakesWhatItCanEnd(t *testing.T) {
-	const grace, patience = 8 * time.Second, 15 * time.Second
+// An instance is shut down again shortly after its start, as in a repeated rollout of the whole
+// fleet. It has served few responses, so the longest of them is a poor estimate. Its callers have
+// long time-outs and their responses take a few seconds: the instance still has time for these and
+// may not refuse all of them.
+func TestDrainWithFewResponseTimesAcceptsRequests(t *testing.T) {
+	const grace, timeout = 8 * time.Second, 15 * time.Second
 	now := time.Unix(0, 0)
 	d := Drain{CutAt: now.Add(grace)}
 	var times AnswerTimes
 	for range 3 {
 		times.Took(2 * time.Second)
 	}
-	usual, known := times.Usual()
-	if at := now.Add(3 * time.Second); !d.Takes(at, at.Add(patience), usual, known) {
-		t.Errorf("an answer of about 2s is refused 5s before the end; usual is %v", usual)
+	expected, known := times.Usual()
+	if at := now.Add(3 * time.Second); !d.Takes(at, at.Add(timeout), expected, known) {
+		t.Errorf("a response of about 2s is refused 5s before the end; estimate %v", expected)
 	}
-	if at := now.Add(5 * time.Second); d.Takes(at, at.Add(patience), usual, known) {
-		t.Errorf("an answer of about 2s is taken 3s before the end after three answers; usual is %v", usual)
+	if at := now.Add(5 * time.Second); d.Takes(at, at.Add(timeout), expected, known) {
+		t.Errorf("a response of about 2s is accepted 3s before the end after three responses; estimate %v", expected)
 	}
 }
--- a/policy/fleetretry.go
+++ b/policy/fleetretry.go
@@ -7,27 +7,25 @@
 )
 
 const (
-	// useOfRatio and useOfSlack are the parts of what the fleet may send again
-	// that instances give out. The rest covers requests that are counted in
-	// another window than their retries, and shares that are out of date.
+	// useOfRatio and useOfSlack are the fractions of the fleet's retry ratio and slack that the
+	// instances hand out. The rest covers requests that are counted in another window than their
+	// retries, and shares that are out of date.
 	//
-	// Half of the ratio is given out twice: for the requests of the window that goes
-	// on, and saved up from those of the one before.
+	// Half of the ratio is handed out twice: for the requests of the current window, and saved up
+	// from those of the previous one.
 	useOfRatio = 0.5
 	useOfSlack = 0.7
-	// burstOfSlack is the part of an instance's slack that may be used at once;
-	// the rest comes back over the window.
+	// burstOfSlack is the fraction of an instance's slack that may be used at once. The rest is
+	// refilled over the window.
 	burstOfSlack = 0.7
 )
 
-// FleetRetries bounds the sends beyond the first of each request, by service,
-// such that all instances together stay below ratio times the requests plus the
-// slack in any window.
+// FleetRetries limits retries (sends after the first of each request) per service, so that all
+// instances together stay below ratio times the requests plus the slack in any window.
 //
-// It is made for the crash of several endpoints at the busiest time: each failed
-// or rejected send that goes to another endpoint adds load to those that are
-// left. Sends that an endpoint rejects count too, since it has to read them.
-// Any goroutine may use it.
+// It protects the remaining endpoints when several endpoints crash at peak load: each failed or
+// rejected send that is retried elsewhere adds load to them. Sends that an endpoint rejects count
+// too, since it has to read them. FleetRetries is safe for concurrent use.
 type FleetRetries struct {
 	mu        sync.Mutex
 	ratio     float64
@@ -37,44 +35,44 @@
 	services  map[string]*retryBucket
 }
 
-// retryBucket holds what one service has left.
+// retryBucket is the token bucket of one service.
 type retryBucket struct {
 	tokens float64
 	last   time.Time
-	// accepted is about how many requests came within the last window.
+	// accepted approximates the number of requests in the last window.
 	accepted float64
 }
 
-// NewFleetRetries returns full budgets. ratio, slack and window are those of the
-// whole fleet.
+// NewFleetRetries returns full budgets. ratio, slack and window apply to the whole fleet.
 func NewFleetRetries(ratio, slack float64, window time.Duration) *FleetRetries {
 	return &FleetRetries{ratio: ratio, slack: slack, window: window, instances: 1, services: map[string]*retryBucket{}}
 }
 
-// SetLimits replaces ratio, slack and window; what is left of the budgets stays.
+// SetLimits replaces ratio, slack and window and keeps the remaining budgets.
 func (f *FleetRetries) SetLimits(ratio, slack float64, window time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.ratio, f.slack, f.window = ratio, slack, window
 }
 
-// SetInstances tells how many instances share the budget.
+// SetInstances sets the number of instances that share the budget.
 func (f *FleetRetries) SetInstances(n int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.instances = max(n, 1)
 }
 
-// Accepted pays in for one request to the service.
+// Accepted adds the budget that one request to the service earns.
 func (f *FleetRetries) Accepted(now time.Time, service string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	b := f.bucket(now, service)
 	b.accepted++
-	b.tokens = min(b.tokens+f.ratio*useOfRatio, f.most(b))
+	b.tokens = min(b.tokens+f.ratio*useOfRatio, f.capacity(b))
 }
 
-// Retry takes one send out; false means that the request has to end.
+// Retry takes one retry from the service's budget and reports whether there was one left. If not,
+// the request has to fail.
 func (f *FleetRetries) Retry(now time.Time, service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,9 +88,9 @@
 
 func (f *FleetRetries) burst() float64 { return max(f.share()*burstOfSlack, 1) }
 
-// most is what may be saved up: a crash of several endpoints fails in one moment
-// what a window's requests pay for.
-func (f *FleetRetries) most(b *retryBucket) float64 {
+// capacity returns the size of the bucket. It includes the budget earned over a window: the crash
+// of several endpoints fails all of a window's requests at once.
+func (f *FleetRetries) capacity(b *retryBucket) float64 {
 	return f.burst() + f.ratio*useOfRatio*b.accepted
 }
 
@@ -104,7 +102,7 @@
 	}
 	windows := max(now.Sub(b.last).Seconds()/f.window.Seconds(), 0)
 	b.accepted *= math.Exp(-windows)
-	b.tokens = min(b.tokens+windows*f.share()*(1-burstOfSlack), f.most(b))
+	b.tokens = min(b.tokens+windows*f.share()*(1-burstOfSlack), f.capacity(b))
 	b.last = now
 	return b
 }
--- a/policy/fleetretry_test.go
+++ b/policy/fleetretry_test.go
@@ -7,11 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// A quarter of the endpoints crash in a burst, and every request that was sent
-// to them fails. Without a bound for the fleet, instances that each keep to a
-// bound of their own send so much again that the endpoints that are left drown;
-// callers see the whole service slow down after one fault.
-func TestFleetStaysBelowItsRetries(t *testing.T) {
+// A quarter of the endpoints crash in a burst, and every request sent to them fails. If each
+// instance only kept to a limit of its own, the retries of all instances together would overload
+// the remaining endpoints, and one fault would slow down the whole service.
+func TestFleetStaysBelowRetryLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const ratio, slack, window = 0.2, 56.0, 10 * time.Second
 		instances := rapid.IntRange(1, 12).Draw(t, "instances")
@@ -50,10 +49,10 @@
 	})
 }
 
-// Three of nine endpoints crash in one moment at a busy time, and forty streams that
-// may be resumed break at one instance. With a budget that cannot save up, nearly all
-// of them fail although the fleet may send far more again.
-func TestCrashIsPaidForByTheWindowBefore(t *testing.T) {
+// Three of nine endpoints crash at once at peak load, and forty resumable streams break at one
+// instance. With a budget that does not accumulate, nearly all of them would fail although the
+// fleet may send far more retries.
+func TestRetriesAccumulateOverWindow(t *testing.T) {
 	f := NewFleetRetries(0.2, 56, 10*time.Second)
 	f.SetInstances(8)
 	now := time.Unix(1000, 0)
@@ -67,8 +66,9 @@
 			resumed++
 		}
 	}
+	// The 200 requests of the last window earn 20 retries, and the slack 3.
 	// 200 requests of the last window pay for 20, and the slack for 3.
 	if resumed < 20 {
-		t.Errorf("%d of 40 broken streams may be resumed", resumed)
+		t.Errorf("%d of 40 broken streams may be resumed, want 20 at least", resumed)
 	}
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -2,61 +2,59 @@
 
 import "time"
 
-// EndpointStatus is how an endpoint is to be treated.
+// EndpointStatus is the health status of an endpoint.
 type EndpointStatus int
 
 // The statuses.
 const (
 	// EndpointLive endpoints get new work.
 	EndpointLive EndpointStatus = iota
-	// EndpointSuspect endpoints are silent and get no new work for now.
+	// EndpointSuspect endpoints are unresponsive and get no new work for now.
 	EndpointSuspect
-	// EndpointLeaving endpoints get no new work and finish what they have.
+	// EndpointLeaving endpoints get no new work and finish the requests they have.
 	EndpointLeaving
-	// EndpointExpelled endpoints are silent for long; their cache counts as lost.
+	// EndpointExpelled endpoints have been unresponsive for long; their cache is assumed lost.
 	EndpointExpelled
 )
 
-// HealthBounds come from the pool's record, so that all instances use the same:
-// with different ones the instance with the shortest would decide for all.
+// HealthBounds are the time-outs of the failure detector. They come from the pool's record, so
+// that all instances use the same: otherwise the instance with the shortest time-outs would decide
+// for all.
 type HealthBounds struct {
 	SuspectAfter time.Duration
 	ExpelAfter   time.Duration
 }
 
-// EndpointHealth is what is held of one endpoint's life: live, suspect after a
-// short silence, expelled after a long one, leaving when it or the operator
-// says so.
+// EndpointHealth tracks the status of one endpoint: live, suspect after a short time without
+// messages, expelled after a long one, leaving when the endpoint or the operator requests it.
 //
-// Suspicion is apart from expulsion since most silences are pauses: a suspect
-// gets no new work and keeps its place and what is known of its cache, so that
-// a pause costs no recomputation. Expulsion, or another incarnation, means that
-// the cache is gone.
+// Suspicion is separate from expulsion because most gaps are pauses. A suspect endpoint gets no
+// new work but keeps its place and its cache records, so that a pause causes no recomputation.
+// Expulsion, or another incarnation, means that the cache is lost.
 type EndpointHealth struct {
 	bounds      HealthBounds
 	status      EndpointStatus
 	incarnation uint64
-	heard       time.Time
+	lastSeen    time.Time
 	leaving     bool
 	crashed     bool
 }
 
-// NewEndpointHealth returns the health of an endpoint that is taken for live
-// until it has been silent: a starting instance has to serve before it has
-// heard of any endpoint.
+// NewEndpointHealth returns the health of an endpoint that is assumed live until SuspectAfter has
+// passed without a message: a starting instance has to serve before it has received a message from
+// any endpoint.
 func NewEndpointHealth(now time.Time, bounds HealthBounds) *EndpointHealth {
-	return &EndpointHealth{bounds: bounds, status: EndpointLive, heard: now}
+	return &EndpointHealth{bounds: bounds, status: EndpointLive, lastSeen: now}
 }
 
-// SetBounds puts other bounds in force.
+// SetBounds replaces the time-outs.
 func (h *EndpointHealth) SetBounds(b HealthBounds) { h.bounds = b }
 
-// Status returns the state and the incarnation that it is about.
+// Status returns the endpoint's status and the incarnation it applies to.
 func (h *EndpointHealth) Status() (EndpointStatus, uint64) { return h.status, h.incarnation }
 
-// Heard takes a sign of life. Signs of an older incarnation, which come from a
-// delayed connection, are passed over. It reports whether status or incarnation
-// changed.
+// Seen records a message from the endpoint. Messages of an older incarnation, which come from a
+// delayed connection, are ignored. It reports whether the status or the incarnation changed.
 func (h *EndpointHealth) Heard(now time.Time, incarnation uint64, leaving bool) bool {
 	if incarnation < h.incarnation {
 		return false
@@ -66,17 +64,17 @@
 		h.crashed = false
 	}
 	h.incarnation = incarnation
-	if now.After(h.heard) {
-		h.heard = now
+	if now.After(h.lastSeen) {
+		h.lastSeen = now
 	}
 	h.leaving = leaving
 	h.status = h.decide(now)
 	return h.status != was || h.incarnation != before
 }
 
-// Crashed takes the word that an incarnation is dead, such as a refused
-// connection after open answers broke: it is suspect at once, until it is heard
-// with another incarnation or has been silent for the bound of expulsion.
+// Crashed records evidence that an incarnation has crashed, such as a refused connection after
+// open responses broke off. The endpoint is suspect at once, until a message with another
+// incarnation arrives or ExpelAfter has passed. It reports whether the status changed.
 func (h *EndpointHealth) Crashed(now time.Time, incarnation uint64) bool {
 	if incarnation != h.incarnation {
 		return false
@@ -87,7 +85,7 @@
 	return h.status != was
 }
 
-// Tick reports whether the silence changed the status.
+// Tick updates the status for the time since the last message and reports whether it changed.
 func (h *EndpointHealth) Tick(now time.Time) bool {
 	was := h.status
 	h.status = h.decide(now)
@@ -95,13 +93,13 @@
 }
 
 func (h *EndpointHealth) decide(now time.Time) EndpointStatus {
-	silence := now.Sub(h.heard)
+	elapsed := now.Sub(h.lastSeen)
 	switch {
-	case silence >= h.bounds.ExpelAfter:
+	case elapsed >= h.bounds.ExpelAfter:
 		return EndpointExpelled
 	case h.leaving:
 		return EndpointLeaving
-	case h.crashed, silence >= h.bounds.SuspectAfter:
+	case h.crashed, elapsed >= h.bounds.SuspectAfter:
 		return EndpointSuspect
 	default:
 		return EndpointLive
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -8,8 +8,8 @@
 
 var start = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// fleet runs one organisation's limit on several instances that hear of each
-// other's usage half a second late.
+// fleet applies one organisation's limit on several instances that receive each other's usage half
+// a second late.
 type fleet struct {
 	limits   []*OrganisationLimit
 	reported [][]Usage
@@ -25,7 +25,7 @@
 	return f
 }
 
-// exchange reports the usage of now and delivers what was reported last.
+// exchange reports the current usage and delivers the previous reports.
 func (f *fleet) exchange() {
 	usage := make([]Usage, len(f.limits))
 	for i, l := range f.limits {
@@ -44,8 +44,8 @@
 	}
 }
 
-// run lets demand requests a second arrive for a time, spread over instances by
-// pick, and returns how many were admitted.
+// run sends demand requests per second for the duration d, spread over the instances by pick. It
+// calls admitted for each admitted request and returns their number.
 func (f *fleet) run(d time.Duration, demand float64, pick func() int, admitted func(*OrganisationLimit)) int {
 	const step = 5 * time.Millisecond
 	count, due := 0, 0.0
@@ -64,11 +64,10 @@
 	return count
 }
 
-// An organisation's limit holds for the whole fleet although no instance counts
-// for all: at once the callers of one branch reach other instances than before,
-// and others would be starved if the limit were then admitted twice, or never
-// reached.
-func TestFleetHoldsAnOrganisationsRate(t *testing.T) {
+// The rate limit holds for the whole fleet although no instance counts all requests. When the
+// callers of one branch move to other instances, the limit must not be admitted twice, which would
+// starve other organisations, nor become unreachable.
+func TestFleetEnforcesOrganisationRate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	f := newFleet(8, 100, 0)
 	end := func(l *OrganisationLimit) { l.Done() }
@@ -90,10 +89,9 @@
 	}
 }
 
-// An organisation's long answers pile up at all instances. Together they may
-// have one open request too many for each instance, besides what starts while
-// reports are on their way.
-func TestFleetHoldsAnOrganisationsOpenRequests(t *testing.T) {
+// An organisation's long responses accumulate at all instances. Together the instances may exceed
+// the limit by one open request each, besides those that start while reports are on their way.
+func TestFleetEnforcesOrganisationOpenRequests(t *testing.T) {
 	rng := rand.New(rand.NewPCG(2, 2))
 	f := newFleet(8, 0, 40)
 	f.run(10*time.Second, 20, func() int { return rng.IntN(8) }, func(*OrganisationLimit) {})
@@ -102,13 +100,13 @@
 		open += l.open
 	}
 	if open < 40 || open > 48+20 {
-		t.Fatalf("%d requests open, limit 40, 8 instances, at most 20 admitted in a lag", open)
+		t.Fatalf("%d requests open, limit 40, 8 instances, at most 20 admitted before reports arrive", open)
 	}
 }
 
-// Every endpoint fails for a minute. Retries must not become the larger part of
-// the load, and must be possible again afterwards.
-func TestRetriesAreAShareOfTheLoad(t *testing.T) {
+// Every endpoint fails for a minute. Retries must remain a small fraction of the load, and must be
+// possible again afterwards.
+func TestRetryBudgetLimitsRetries(t *testing.T) {
 	b := NewRetryBudget(start)
 	retries := 0
 	for i := range 6000 {
@@ -121,6 +119,6 @@
 		t.Fatalf("%d retries of 6000 requests in a minute", retries)
 	}
 	if !b.Retry(start.Add(2 * time.Minute)) {
-		t.Fatal("no retry after a quiet minute")
+		t.Fatal("no retry after a minute without load")
 	}
 }
--- a/policy/policybench/engine.go
+++ b/policy/policybench/engine.go
@@ -9,11 +9,12 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// chunk is how many tokens an engine computes before it looks again for more
-// urgent work, as engines with chunked prefill do.
+// chunk is the number of tokens an engine computes before it checks for more urgent work, as
+// engines with chunked prefill do.
 const chunk = 512
 
-// event runs at its time; events of one time run in the order they were made.
+// event is a function to run at a point in virtual time. Events with the same time run in the
+// order they were created.
 type event struct {
 	at  time.Duration
 	seq int
@@ -34,7 +35,7 @@
 	return last
 }
 
-// timeline is virtual time.
+// timeline is a discrete-event scheduler with virtual time.
 type timeline struct {
 	now    time.Duration
 	seq    int
@@ -54,7 +55,7 @@
 	}
 }
 
-// lru is an engine's cache.
+// lru models an engine's block cache.
 type lru struct {
 	size  int
 	index map[prefix.Hash]*list.Element
@@ -87,8 +88,8 @@
 	}
 }
 
-// engine has slots, one prefill at a time, the urgent first, and decodes all
-// its requests at one rate.
+// engine models an endpoint. It has a number of slots, computes one prefill at a time, the most
+// urgent first, and decodes all its requests at the same rate.
 type engine struct {
 	s       *scenario
 	t       *timeline
@@ -108,7 +109,7 @@
 	left int64
 }
 
-// insert keeps a queue in the order of priority, then of arrival.
+// insert inserts x into q, which is ordered by priority and then by arrival.
 func insert[T any](q []T, x T, priority func(T) int) []T {
 	i := len(q)
 	for i > 0 && priority(x) < priority(q[i-1]) {
--- a/policy/policybench/figures.go
+++ b/policy/policybench/figures.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// columns of the table. Times are in seconds from arrival to first token.
+// columns are the column headings of the table. Times are in seconds from arrival to first token.
 var columns = []string{"hit rate", "of bound", "computed / bound", "p50", "p95", "p99", "urgent p99", "in time", "goodput", "refused", "late refusal ms", "asks"}
 
-// worse says for each column whether more is worse.
+// worse has 1 for each column where a higher value is worse, -1 where a lower one is.
 var worse = []int{-1, -1, 1, 1, 1, 1, 1, -1, -1, 1, 1, 1}
 
 type figures []float64
 
-// figures sums up the requests that arrived after the warm-up. Who still waited
-// at the end of the run, half a minute and more after the last arrival, counts
-// with that wait.
+// figures returns the results for the requests that arrived after the warm-up. A request that
+// still waits at the end of the run, half a minute or more after the last arrival, counts with
+// that wait.
 func (m *sim) figures() figures {
 	var all, urgent []float64
 	var prompt, cached, inTime, refused, offered int64
@@ -56,21 +56,21 @@
 		float64(lateRefusal.Milliseconds()), float64(m.asks) / float64(len(m.requests))}
 }
 
-// capacity is the rate of requests that no placement can exceed: the endpoints'
-// prefill at the least computation, or their slots.
+// capacity returns the rate of requests that no placement can exceed. It is limited by the
+// endpoints' prefill rate at the minimum amount of computation, or by their slots.
 func (s scenario) capacity() float64 {
 	const trial = 100
 	list := s.arrivals(1, trial)
 	b := computeBound(list, s.endpoints*s.cacheBlocks, s.warm)
-	var hold, count float64
+	var decode, count float64
 	for _, r := range list {
 		if r.at >= s.warm {
-			hold += float64(r.output) * s.tokenTime.Seconds()
+			decode += float64(r.output) * s.tokenTime.Seconds()
 			count++
 		}
 	}
 	prefill := float64(b.computed) / count / s.prefillRate
-	slots := (hold/count + prefill) / float64(s.slots)
+	slots := (decode/count + prefill) / float64(s.slots)
 	return float64(s.endpoints) / max(prefill, slots)
 }
 
@@ -103,8 +103,8 @@
 	return list[int(q*float64(len(list)-1)+0.5)]
 }
 
-// spreadOf gives the median and the worst of one column over the seeds.
-func spreadOf(rows []figures, column, worse int) string {
+// medianAndWorst formats the median and the worst value of one column over the seeds.
+func medianAndWorst(rows []figures, column, worse int) string {
 	var list []float64
 	for _, row := range rows {
 		list = append(list, row[column])
@@ -120,7 +120,7 @@
 func summary(list []figures) string {
 	cells := make([]string, len(columns))
 	for c := range columns {
-		cells[c] = spreadOf(list, c, worse[c])
+		cells[c] = medianAndWorst(list, c, worse[c])
 	}
 	return strings.Join(cells, "\t")
 }
--- a/policy/policybench/main.go
+++ b/policy/policybench/main.go
@@ -1,7 +1,7 @@
-// Command policybench drives the decisions under load in virtual time against
-// a small fake of an endpoint and prints, side by side, what callers get under
-// each way of placing. Instances are copies of the decision state; there is no
-// network, and asks take no time.
+// Command policybench runs the policy package's decisions in virtual time against a simple model
+// of an endpoint and prints the results that callers get with each placement policy side by side.
+// Instances are copies of the decision state; there is no network, and requests between instances
+// take no time.
 package main
 
 import (
@@ -19,17 +19,17 @@
 
 var (
 	seeds    = kingpin.Flag("seeds", "Number of seeds.").Default("20").Int()
-	loads    = kingpin.Flag("load", "Loads as parts of capacity.").Default("0.5", "0.8", "1.0", "1.3").Float64List()
+	loads    = kingpin.Flag("load", "Loads as fractions of capacity.").Default("0.5", "0.8", "1.0", "1.3").Float64List()
 	chosen   = kingpin.Flag("scenario", "Scenarios: kwabena, khangai, target.").Default("kwabena", "khangai").Strings()
 	policies = kingpin.Flag("policy", "Policies to compare.").Default(roundRobin, leastLoaded, rendezvous, ownView, owners).Strings()
 	herd     = kingpin.Flag("herd", "Restart all instances in the burst.").Bool()
-	deferral = kingpin.Flag("deferral", "Measure deferral of expulsion.").Bool()
+	deferral = kingpin.Flag("deferral", "Measure the effect of deferring expulsion.").Bool()
 )
 
 func init() {
-	kingpin.Flag("candidates", "Endpoints that are weighed.").IntVar(&tuned.candidates)
-	kingpin.Flag("patience", "Wait up to which the first candidate is taken without asking the others.").DurationVar(&tuned.patience)
-	kingpin.Flag("recompute", "Price of recomputation.").Float64Var(&tuned.recompute)
+	kingpin.Flag("candidates", "Number of candidate endpoints.").IntVar(&params.candidates)
+	kingpin.Flag("patience", "Longest wait at the first candidate for which the others are not asked.").DurationVar(&params.patience)
+	kingpin.Flag("recompute", "Weight of the recomputation time.").Float64Var(&params.recompute)
 }
 
 func main() {
@@ -51,16 +51,16 @@
 	}
 }
 
-// perSeed runs one function for each seed, on all processors.
+// perSeed calls run for each seed, using all processors.
 func perSeed(run func(seed uint64) figures) []figures {
 	list := make([]figures, *seeds)
-	gate := make(chan struct{}, runtime.NumCPU())
+	sem := make(chan struct{}, runtime.NumCPU())
 	var wg sync.WaitGroup
 	for i := range list {
 		wg.Go(func() {
-			gate <- struct{}{}
+			sem <- struct{}{}
 			list[i] = run(uint64(i + 1))
-			<-gate
+			<-sem
 		})
 	}
 	wg.Wait()
@@ -85,18 +85,18 @@
 			list := perSeed(func(seed uint64) figures { return simulate(s, p, load, seed, nil) })
 			fmt.Fprintf(w, "%.1f\t%s\t%s\t\n", load, p, summary(list))
 		}
-		calm := perSeed(func(seed uint64) figures {
+		baseline := perSeed(func(seed uint64) figures {
 			urgentOnly := s
 			urgentOnly.urgentOnly = true
 			return simulate(urgentOnly, owners, load, seed, nil)
 		})
-		fmt.Fprintf(w, "%.1f\t%s\t%s\t\n", load, "owners, urgent alone", summary(calm))
+		fmt.Fprintf(w, "%.1f\t%s\t%s\t\n", load, "owners, urgent alone", summary(baseline))
 	}
 	_ = w.Flush()
 }
 
-// printHerd restarts all instances two seconds into the burst and compares the
-// two seconds before, after, and the two after those.
+// printHerd restarts all instances two seconds into the burst and compares the hit rates of the
+// two seconds before the restart, the two seconds after it, and the two after those.
 func printHerd(w *tabwriter.Writer, s scenario) {
 	fmt.Fprintf(w, "\n%s, all instances restarted in the burst: hit rate and refusals by 2 s\n", s.name)
 	fmt.Fprintln(w, "load\t2 s before\tfirst 2 s\tnext 2 s\trefused in 10 s\tthe same without restart\t")
@@ -114,15 +114,15 @@
 					m.hitsIn(at+2*time.Second, at+4*time.Second), m.refusedIn(at, at+10*time.Second)}
 			})
 		}
-		calm, restarted := rows[0], rows[1]
-		fmt.Fprintf(w, "%.1f\t%s\t%s\t%s\t%s\t%s\t\n", load, spreadOf(restarted, 0, -1), spreadOf(restarted, 1, -1),
-			spreadOf(restarted, 2, -1), spreadOf(restarted, 3, 1), spreadOf(calm, 3, 1))
+		baseline, restarted := rows[0], rows[1]
+		fmt.Fprintf(w, "%.1f\t%s\t%s\t%s\t%s\t%s\t\n", load, medianAndWorst(restarted, 0, -1), medianAndWorst(restarted, 1, -1),
+			medianAndWorst(restarted, 2, -1), medianAndWorst(restarted, 3, 1), medianAndWorst(baseline, 3, 1))
 	}
 	_ = w.Flush()
 }
 
-// printDeferral pauses one endpoint after the other and tells what each
-// deferral of expulsion costs.
+// printDeferral pauses one endpoint after the other and prints the results for each time by which
+// expulsion is deferred after suspicion.
 func printDeferral(w *tabwriter.Writer, s scenario) {
 	fmt.Fprintf(w, "\n%s at load 0.8, an endpoint pauses every 8 s: deferral of expulsion after suspicion\n", s.name)
 	fmt.Fprintln(w, "pause\tdeferral\t"+strings.Join(columns, "\t")+"\t")
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -12,36 +12,37 @@
 )
 
 const (
+	// Names of the placement policies. With ownView each instance decides from its own records;
+	// with owners it asks the instance that owns the endpoint.
 	roundRobin  = "round robin"
 	leastLoaded = "least loaded"
 	rendezvous  = "rendezvous"
 	ownView     = "own view"
 	owners      = "owners"
 
-	// reportLag is how old a load report is, and how often one comes.
+	// reportLag is the age of load reports on delivery and the interval between them.
 	reportLag = 500 * time.Millisecond
 )
 
-// tuning is what the measurements vary.
-type tuning struct {
-	// candidates is how many endpoints are weighed.
+// parameters has the parameters that can be varied by flags.
+type parameters struct {
+	// candidates is the number of endpoints considered.
 	candidates int
-	// patience is the wait up to which the first of them is taken without
-	// asking the others.
+	// patience is the longest wait at the first candidate for which the others are not asked.
 	patience time.Duration
-	// recompute is the price of recomputation.
+	// recompute is the weight of the recomputation time.
 	recompute float64
 }
 
-var tuned = tuning{candidates: 4, patience: 50 * time.Millisecond, recompute: policy.DefaultRecompute}
+var params = parameters{candidates: 4, patience: 50 * time.Millisecond, recompute: policy.DefaultRecompute}
 
-// caller stands for all instances in asks; requests are told apart by their
-// ids.
+// caller is the caller name in all requests to owners. It stands for all instances; requests are
+// distinguished by their ids.
 const caller = "i"
 
 var epoch = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-// sim is one run of one policy.
+// sim is the simulation of one policy.
 type sim struct {
 	timeline
 	s       scenario
@@ -50,7 +51,7 @@
 	engines []*engine
 	books   []*owner.Book
 	ownerOf []int
-	// secondOwner lets every other instance take the next one for the owner.
+	// secondOwner makes every other instance treat the next instance as the owner of an endpoint.
 	secondOwner bool
 	levels      []*prefix.Levels
 	requests    []*request
@@ -63,7 +64,7 @@
 
 func newSim(s scenario, policyName string, requests []*request) *sim {
 	m := &sim{s: s, policy: policyName, requests: requests, next: make([]int, s.instances)}
-	m.prices = policy.Prices{PrefillTokensPerSecond: s.prefillRate, Recompute: tuned.recompute}
+	m.prices = policy.Prices{PrefillTokensPerSecond: s.prefillRate, Recompute: params.recompute}
 	var names, members []string
 	for i := range s.instances {
 		members = append(members, fmt.Sprintf("instance-%d", i))
@@ -102,7 +103,7 @@
 		CacheBlocks: int64(m.s.cacheBlocks), PrefillTokensPerSecond: m.s.prefillRate, FirstGrantID: uint64(m.now)}
 }
 
-// play runs all arrivals and what they leave, for as long as all could take.
+// play runs all arrivals and the events that follow, for the longest time that requests may take.
 func (m *sim) play() {
 	for _, r := range m.requests {
 		m.after(r.at, func() { m.arrive(r) })
@@ -111,7 +112,7 @@
 	m.every(owner.TickInterval, func() {
 		for _, b := range m.books {
 			b.Seen(m.time(), caller)
-			m.take(b.Tick(m.time()))
+			m.apply(b.Tick(m.time()))
 		}
 	})
 	m.every(reportLag, m.report)
@@ -125,14 +126,14 @@
 	})
 }
 
-// report brings all books the load of all endpoints as it was a while ago.
+// report delivers the current load of all endpoints to all books after reportLag.
 func (m *sim) report() {
 	for i, e := range m.engines {
 		r := owner.LoadReport{MeasuredAt: m.time(), Running: e.used, Waiting: len(e.queue)}
 		m.after(reportLag, func() {
 			for _, b := range m.books {
 				if o := b.Endpoint(endpointName(i)); o != nil {
-					m.take(o.LoadReport(m.time(), r))
+					m.apply(o.LoadReport(m.time(), r))
 				}
 			}
 		})
@@ -176,18 +177,18 @@
 	return m.books[m.ownerOf[endpoint]]
 }
 
-// place asks the first candidate and, when that is busy, chooses among all.
+// place asks the first candidate and, if that is busy, chooses among all.
 func (m *sim) place(r *request) {
-	list := m.candidates(r, tuned.candidates)
+	list := m.candidates(r, params.candidates)
 	if len(list) == 0 {
 		m.after(reportLag, func() { m.place(r) })
 		return
 	}
 	a := m.ask(r)
-	a.Patience = tuned.patience
+	a.Patience = params.patience
 	d := m.askOne(r, a, list[0])
 	if d.Kind != owner.Offered {
-		m.take([]owner.Decision{d})
+		m.apply([]owner.Decision{d})
 		return
 	}
 	offers := d.Offers
@@ -201,7 +202,7 @@
 	prices.Urgent = r.urgent
 	choice := policy.Choose(r.tokens, 0, offers, prices)
 	a.Candidate = choice.Index
-	m.take([]owner.Decision{m.askOne(r, a, m.index(offers[choice.Index].Endpoint))})
+	m.apply([]owner.Decision{m.askOne(r, a, m.index(offers[choice.Index].Endpoint))})
 }
 
 func (m *sim) askOne(r *request, a owner.Ask, endpoint int) owner.Decision {
@@ -223,7 +224,7 @@
 	}
 }
 
-func (m *sim) take(decisions []owner.Decision) {
+func (m *sim) apply(decisions []owner.Decision) {
 	for _, d := range decisions {
 		id, attempt := 0, 0
 		_, _ = fmt.Sscanf(d.RequestID, "%d/%d", &id, &attempt)
@@ -250,7 +251,7 @@
 	m.engines[endpoint].send(r)
 }
 
-func (m *sim) held(r *request) *owner.Endpoint {
+func (m *sim) grantingEndpoint(r *request) *owner.Endpoint {
 	if r.grant == 0 {
 		return nil
 	}
@@ -258,19 +259,19 @@
 }
 
 func (m *sim) first(r *request) {
-	if e := m.held(r); e != nil {
-		m.take(e.FirstToken(m.time(), r.grant, int64(r.cached), m.now-r.sent))
+	if e := m.grantingEndpoint(r); e != nil {
+		m.apply(e.FirstToken(m.time(), r.grant, int64(r.cached), m.now-r.sent))
 	}
 }
 
 func (m *sim) done(r *request) {
-	if e := m.held(r); e != nil {
-		m.take(e.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Done, CachedTokens: int64(r.cached)}))
+	if e := m.grantingEndpoint(r); e != nil {
+		m.apply(e.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Done, CachedTokens: int64(r.cached)}))
 	}
 }
 
-// herdRestart takes all instances' state away. Who had nothing sent yet asks
-// the new instances at once.
+// herdRestart replaces the state of all instances. Requests that have not been sent are placed
+// again by the new instances at once.
 func (m *sim) herdRestart() {
 	m.restart()
 	for _, r := range m.requests {
@@ -281,24 +282,24 @@
 	}
 }
 
-// pause stops an endpoint for a time. Its silence is noticed after a second,
-// and it is expelled after the deferral. Entries send what has no first token
-// after three seconds of silence elsewhere, expelled or not.
+// pause stops an endpoint for a time. The endpoint is suspected after a second and expelled after
+// the deferral. After three seconds without messages, whether it is expelled or not, entry
+// instances resend the requests that have no first token.
 func (m *sim) pause(endpoint int, length, deferral time.Duration) {
-	const suspectAfter, entrySilence = time.Second, 3 * time.Second
+	const suspectAfter, entryTimeout = time.Second, 3 * time.Second
 	e, name := m.engines[endpoint], endpointName(endpoint)
 	o := m.books[m.ownerOf[endpoint]].Endpoint(name)
 	e.paused = true
 	status := func(s fleetpb.EndpointStatus) func() {
 		return func() {
 			if e.paused || s == fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
-				m.take(o.Status(m.time(), s, 1).Decisions)
+				m.apply(o.Status(m.time(), s, 1).Decisions)
 			}
 		}
 	}
 	m.after(suspectAfter, status(fleetpb.EndpointStatus_ENDPOINT_STATUS_SUSPECT))
 	m.after(suspectAfter+deferral, status(fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED))
-	m.after(entrySilence, func() {
+	m.after(entryTimeout, func() {
 		if e.paused {
 			m.resend(e)
 		}
@@ -310,7 +311,7 @@
 	})
 }
 
-// resend takes from a paused engine what has no first token and places it anew.
+// resend removes the requests without a first token from a paused engine and places them again.
 func (m *sim) resend(e *engine) {
 	var list []*request
 	for _, j := range e.prefill {
@@ -320,8 +321,8 @@
 	list = append(list, e.queue...)
 	e.prefill, e.queue = nil, nil
 	for _, r := range list {
-		if o := m.held(r); o != nil {
-			m.take(o.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Failed}))
+		if o := m.grantingEndpoint(r); o != nil {
+			m.apply(o.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Failed}))
 		}
 		r.attempts++
 		r.endpoint, r.grant = -1, 0
--- a/policy/policybench/sim_test.go
+++ b/policy/policybench/sim_test.go
@@ -8,7 +8,7 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// small is a pool that a test can run in part of a second.
+// small returns a pool that a test can simulate in a fraction of a second.
 func small() scenario {
 	s := scenarios[0]
 	s.endpoints, s.instances, s.families, s.cacheBlocks, s.slots = 6, 4, 8, 4096, 16
@@ -25,9 +25,9 @@
 	return m
 }
 
-// outcome is what the callers of a group of requests got.
+// outcome counts the results of a group of requests.
 type outcome struct {
-	asked, inTime, refused, unanswered int
+	total, inTime, refused, unanswered int
 	waits                              []float64
 }
 
@@ -37,7 +37,7 @@
 		if r.at < m.s.warm || !of(r) {
 			continue
 		}
-		o.asked++
+		o.total++
 		switch {
 		case r.refused > 0:
 			o.refused++
@@ -53,18 +53,18 @@
 	return o
 }
 
-func (o outcome) inTimeShare() float64 { return float64(o.inTime) / float64(max(o.asked, 1)) }
+func (o outcome) inTimeShare() float64 { return float64(o.inTime) / float64(max(o.total, 1)) }
 
-func anyone(*request) bool     { return true }
+func all(*request) bool        { return true }
 func isUrgent(r *request) bool { return r.urgent }
 
-// check fails where a request of the group got no answer or too few were in
-// time.
+// check fails if a request of the group got neither a response nor a refusal, or if the share that
+// started in time is below inTime.
 func check(t *testing.T, m *sim, what string, of func(*request) bool, inTime float64) outcome {
 	t.Helper()
 	o := m.outcome(of)
 	if o.unanswered > 0 {
-		t.Errorf("%s: %d of %d got neither an answer nor a refusal", what, o.unanswered, o.asked)
+		t.Errorf("%s: %d of %d got neither a response nor a refusal", what, o.unanswered, o.total)
 	}
 	if o.inTimeShare() < inTime {
 		t.Errorf("%s: %.3f in time, want %.3f", what, o.inTimeShare(), inTime)
@@ -72,22 +72,23 @@
 	return o
 }
 
-// All branches open on the hour and ask half as much again as on average. Their
-// staff would see quotations come late and line items not sorted.
+// All branches open on the hour and send half as much load again as on average. Requests must
+// still start in time, and urgent ones well before they would without owners; otherwise the
+// branches' staff get their responses late.
 func TestHourlyBurst(t *testing.T) {
 	t.Parallel()
 	m := run(small(), owners, 0.8, nil)
-	check(t, m, "everyone", anyone, 0.99)
+	check(t, m, "all requests", all, 0.99)
 	urgent := check(t, m, "urgent", isUrgent, 0.999)
 	alone := run(small(), rendezvous, 0.8, nil).outcome(isUrgent)
 	if got, other := quantile(urgent.waits, 0.99), quantile(alone.waits, 0.99); got > other/2 {
-		t.Errorf("p99 of urgent first tokens %.3f s, without owners %.3f s", got, other)
+		t.Errorf("p99 of time to first token of urgent requests %.3f s, without owners %.3f s", got, other)
 	}
 }
 
-// One organisation asks for far more than its share, for minutes. The others'
-// requests must start as if it were not there.
-func TestOneOrganisationFloods(t *testing.T) {
+// One organisation sends far more than its share for minutes. The requests of the others must
+// start as if it were not there.
+func TestOneOrganisationOverloadsPool(t *testing.T) {
 	t.Parallel()
 	s := small()
 	m := newSim(s, owners, s.arrivals(1, 1.6*s.capacity()))
@@ -99,59 +100,57 @@
 	}
 	m.play()
 	check(t, m, "small organisations", func(r *request) bool { return r.organisation > 2 }, 0.97)
-	if flood := m.outcome(func(r *request) bool { return r.organisation == 0 }); flood.refused == 0 {
-		t.Error("nothing was refused, so this was no flood")
+	if overload := m.outcome(func(r *request) bool { return r.organisation == 0 }); overload.refused == 0 {
+		t.Error("nothing was refused, so the pool was not overloaded")
 	}
 }
 
-// The catalogue that everybody reads changes without notice in the middle of
-// the run. The new one is computed once or a few times, then found again.
-func TestHotCatalogueMoves(t *testing.T) {
+// The most requested catalogue changes without notice in the middle of the run. The new one must
+// be computed only once or a few times and then be found in the caches.
+func TestHotPrefixChanges(t *testing.T) {
 	t.Parallel()
 	s := small()
 	m := run(s, owners, 0.7, nil)
-	check(t, m, "everyone", anyone, 0.99)
-	move := s.warm + s.measured/2
-	before, after := m.hitsIn(move-5*time.Second, move), m.hitsIn(move+3*time.Second, move+8*time.Second)
+	check(t, m, "all requests", all, 0.99)
+	change := s.warm + s.measured/2
+	before, after := m.hitsIn(change-5*time.Second, change), m.hitsIn(change+3*time.Second, change+8*time.Second)
 	if after < 0.95*before {
-		t.Errorf("hit rate %.3f before the move and %.3f three seconds after", before, after)
+		t.Errorf("hit rate %.3f before the change and %.3f three seconds after", before, after)
 	}
 }
 
-// An endpoint computes at a quarter of its rate, as with a failing accelerator
-// that still answers. Callers whose catalogue lives there must not be its
-// victims.
+// An endpoint computes at a quarter of its rate, as with a failing accelerator that still
+// responds. Callers whose prompts are cached there must not be slowed down with it.
 func TestOneSlowEndpoint(t *testing.T) {
 	t.Parallel()
 	slow := func(m *sim) { m.engines[2].slow = 4 }
 	m := run(small(), owners, 0.6, slow)
-	check(t, m, "everyone", anyone, 0.99)
+	check(t, m, "all requests", all, 0.99)
 	there := m.outcome(func(r *request) bool { return r.endpoint == 2 })
-	if share := float64(there.asked) / float64(m.outcome(anyone).asked); share > 1.0/6 {
-		t.Errorf("the slow endpoint got %.2f of all requests, a sixth would be its even share", share)
+	if share := float64(there.total) / float64(m.outcome(all).total); share > 1.0/6 {
+		t.Errorf("the slow endpoint got %.2f of all requests, more than its even share of a sixth", share)
 	}
-	without := run(small(), rendezvous, 0.6, slow).outcome(anyone)
-	if got, other := quantile(m.outcome(anyone).waits, 0.95), quantile(without.waits, 0.95); got > other/2 {
-		t.Errorf("p95 of first tokens %.2f s, without owners %.2f s", got, other)
+	without := run(small(), rendezvous, 0.6, slow).outcome(all)
+	if got, other := quantile(m.outcome(all).waits, 0.95), quantile(without.waits, 0.95); got > other/2 {
+		t.Errorf("p95 of time to first token %.2f s, without owners %.2f s", got, other)
 	}
 }
 
-// Long readings of catalogues fill the pool beyond its capacity while engineers
-// at their desks need short answers.
-func TestUrgentBesideTooMuchLongWork(t *testing.T) {
+// Long catalogue prompts exceed the pool's capacity while other callers need short, urgent
+// responses. Urgent requests must still start in time.
+func TestUrgentRequestsDuringOverload(t *testing.T) {
 	t.Parallel()
 	m := run(small(), owners, 1.3, nil)
 	check(t, m, "urgent", isUrgent, 0.999)
 }
 
-// Twice what the pool can do is asked for a while. What it does must stay at
-// its capacity, and who is refused must hear it when it is known, not after
-// the deadline.
-func TestTwiceTheCapacity(t *testing.T) {
+// The load is twice the pool's capacity. Goodput must stay at the capacity, and requests must be
+// refused as soon as it is known that they cannot start in time, not after their deadline.
+func TestOverloadAtTwiceCapacity(t *testing.T) {
 	t.Parallel()
 	s := small()
 	m := run(s, owners, 2, nil)
-	o := check(t, m, "everyone", anyone, 0)
+	o := check(t, m, "all requests", all, 0)
 	if goodput := float64(o.inTime) / s.measured.Seconds(); goodput < 0.95*s.capacity() {
 		t.Errorf("%.1f requests a second in time, of a capacity of %.1f", goodput, s.capacity())
 	}
@@ -162,8 +161,8 @@
 	}
 }
 
-// crash takes an endpoint down; it comes back at once, empty, as another
-// incarnation. Its requests break and are sent again.
+// crash stops an endpoint. It restarts at once with an empty cache as another incarnation. Its
+// requests fail and are placed again.
 func (m *sim) crash(i int, incarnation uint64) {
 	old := m.engines[i]
 	broken := map[*request]bool{}
@@ -176,7 +175,7 @@
 	e := &engine{s: old.s, t: old.t, cache: newLRU(m.s.cacheBlocks), slow: 1, onFirst: m.first, onDone: m.done}
 	m.engines[i] = e
 	o := m.books[m.ownerOf[i]].Endpoint(endpointName(i))
-	m.take(o.Status(m.time(), fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, incarnation).Decisions)
+	m.apply(o.Status(m.time(), fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, incarnation).Decisions)
 	for _, r := range m.requests {
 		if broken[r] {
 			again := *r
@@ -189,9 +188,9 @@
 	}
 }
 
-// Engines crash in the busiest time and come back empty, two of them shortly
-// after each other. Every caller still gets an answer or a refusal, and only
-// the lost catalogues are computed again.
+// Engines crash at peak load and restart with empty caches, two of them shortly after each other.
+// Every caller must still get a response or a refusal, and only the lost catalogues are computed
+// again.
 func TestEndpointsCrash(t *testing.T) {
 	t.Parallel()
 	s := small()
@@ -203,18 +202,18 @@
 		m.after(s.warm+3*time.Second, func() { m.crash(3, 2) })
 		m.after(s.warm+9*time.Second, func() { m.crash(0, 3) })
 	})
-	check(t, m, "everyone", anyone, 0.97)
+	check(t, m, "all requests", all, 0.97)
 }
 
-// All instances are replaced two seconds into the burst and know nothing. What
-// the engines have cached must be found again by the order of the endpoints
-// alone, and nobody is refused for it.
+// All instances are replaced two seconds into the burst and start without state. The prompts that
+// the engines have cached must be found again through the order of the endpoints alone, and no
+// request may be refused because of the restart.
 func TestHerdRestartInTheBurst(t *testing.T) {
 	t.Parallel()
 	s := small()
 	at := s.warm + 2*time.Second
 	m := run(s, owners, 0.7, func(m *sim) { m.after(at, m.herdRestart) })
-	check(t, m, "everyone", anyone, 0.99)
+	check(t, m, "all requests", all, 0.99)
 	before, after := m.hitsIn(at-2*time.Second, at), m.hitsIn(at+2*time.Second, at+4*time.Second)
 	if after < 0.9*before {
 		t.Errorf("hit rate %.3f before the restart, %.3f two seconds after", before, after)
@@ -224,8 +223,8 @@
 	}
 }
 
-// The owner of several endpoints dies without a word; another instance takes
-// them over and knows nothing of what runs or waits there.
+// The owner of several endpoints crashes without notice. Another instance takes them over with no
+// record of the requests that run or wait there.
 func TestOwnerLost(t *testing.T) {
 	t.Parallel()
 	s := small()
@@ -246,11 +245,11 @@
 			}
 		})
 	})
-	check(t, m, "everyone", anyone, 0.99)
+	check(t, m, "all requests", all, 0.99)
 }
 
-// Half of the instances take another instance for the owner of each endpoint.
-// Each owner sees half of the work and learns of the rest by load reports.
+// Half of the instances treat another instance as the owner of each endpoint. Each owner grants
+// half of the work and learns of the rest through load reports.
 func TestTwoOwnersOfEachEndpoint(t *testing.T) {
 	t.Parallel()
 	s := small()
@@ -260,12 +259,11 @@
 			m.books[(m.ownerOf[i]+1)%s.instances].Add(m.config(i))
 		}
 	})
-	check(t, m, "everyone", anyone, 0.98)
+	check(t, m, "all requests", all, 0.98)
 }
 
-// A report of an answer that was granted before a restart must not end a grant
-// of the new owner.
-func TestReportToANewOwnerEndsNothing(t *testing.T) {
+// A completion report for a grant made before a restart must not end a grant of the new owner.
+func TestReportOnOldGrantDoesNotEndNewGrant(t *testing.T) {
 	t.Parallel()
 	m := newSim(small(), owners, nil)
 	e := owner.New(m.config(0))
--- a/policy/policybench/workload.go
+++ b/policy/policybench/workload.go
@@ -11,7 +11,7 @@
 
 const blockTokens = 64
 
-// scenario describes a pool and those who call it. Lengths are in blocks.
+// scenario describes a pool and its load. Lengths are in blocks.
 type scenario struct {
 	name                        string
 	endpoints, instances        int
@@ -27,15 +27,14 @@
 	output, urgentOutput        int
 	maxWait, urgentWait         time.Duration
 	warm, measured              time.Duration
-	// urgentOnly leaves out the requests that may wait.
+	// urgentOnly omits the requests that are not urgent.
 	urgentOnly bool
-	// fullRate is the capacity, worked out once.
+	// fullRate is the result of capacity, computed once.
 	fullRate float64
 }
 
-// Figures of the letters where they give any; the rest is chosen so that the
-// shared prompts about fill all caches together and both prefill and slots can
-// become short.
+// scenarios use the users' figures where they gave any. The rest is set so that the shared prompts
+// about fill all caches together, and both prefill and slots can become the bottleneck.
 var scenarios = []scenario{
 	{name: "kwabena", endpoints: 9, instances: 8, slots: 32, urgentSlots: 4, cacheBlocks: 4096, prefillRate: 20000,
 		tokenTime: 20 * time.Millisecond, organisations: 8, families: 16, customers: 20, sheets: 8,
@@ -51,7 +50,7 @@
 		maxWait: 20 * time.Second, urgentWait: time.Second, warm: 30 * time.Second, measured: 20 * time.Second},
 }
 
-// part is a run of blocks that always come together.
+// part is a run of blocks that always appear together.
 type part struct{ id, blocks int }
 
 type request struct {
@@ -60,7 +59,7 @@
 	instance     int
 	organisation int
 	urgent       bool
-	// priority at the engine: 0 urgent, 1 others, 2 long prefills.
+	// priority at the engine: 0 for urgent requests, 1 for others, 2 for long prefills.
 	priority int
 	parts    []part
 	salt     prefix.Hash
@@ -76,7 +75,8 @@
 	sent                       time.Duration
 }
 
-// chainOf names the blocks; by the seed, so that each run places anew.
+// chainOf sets the block hashes. They depend on the seed, so that each run places prompts
+// differently.
 func (r *request) chainOf(seed uint64) {
 	for _, p := range r.parts {
 		for i := range p.blocks {
@@ -117,9 +117,9 @@
 	return len(z) - 1
 }
 
-// arrivals draws one run's requests at the mean rate a second. The burst on the
-// hour comes at the end of the warm-up: half as much again, falling off over
-// ten seconds. Half way through the rest the hot catalogues move.
+// arrivals draws the requests of one run at the given mean rate per second. The hourly burst comes
+// at the end of the warm-up: half as much again, decaying over ten seconds. Half way through the
+// rest, the popular catalogues change.
 func (s scenario) arrivals(seed uint64, rate float64) []*request {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	organisations, families, customers := newZipf(s.organisations, 1), newZipf(s.families, 1), newZipf(s.customers, 0.8)
@@ -161,7 +161,7 @@
 	if since < 0 {
 		return 0.4
 	}
-	const extra, fall = 0.5, 10.0
-	mean := 1 + extra*fall/s.measured.Seconds()*(1-math.Exp(-s.measured.Seconds()/fall))
-	return (1 + extra*math.Exp(-since/fall)) / mean
+	const extra, decay = 0.5, 10.0
+	mean := 1 + extra*decay/s.measured.Seconds()*(1-math.Exp(-s.measured.Seconds()/decay))
+	return (1 + extra*math.Exp(-since/decay)) / mean
 }
--- a/policy/ranking.go
+++ b/policy/ranking.go
@@ -1,7 +1,7 @@
-// Package policy holds the decisions under load that need nothing but their
-// arguments: which endpoints a prompt may go to, which of them it takes, who
-// is refused and for how long. Nothing here does I/O, starts a goroutine,
-// reads a clock or draws a random number; time is an argument.
+// Package policy implements the decisions under load that depend only on their arguments: which
+// endpoints are candidates for a prompt, which of them is chosen, and which requests are refused
+// and for how long. It does no I/O, starts no goroutines, reads no clock and uses no random
+// numbers; the time is an argument.
 package policy
 
 import (
@@ -12,23 +12,23 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// MaxCandidates bounds how many endpoints one decision weighs. Four get most
-// of what the whole pool would give; the rest is room for exclusions.
+// MaxCandidates limits how many endpoints one decision considers. Four give most of the benefit of
+// considering the whole pool; the rest leaves room for excluded endpoints.
 const MaxCandidates = 16
 
-// Ranking is a list of endpoints prepared for rendezvous hashing: every
-// instance finds the same order for a key from the list alone, and a change of
-// the list moves only the keys of the endpoints concerned.
+// Ranking is a list of endpoints prepared for rendezvous hashing: every instance computes the same
+// order for a key from the list alone, and a change of the list moves only the keys of the
+// endpoints concerned.
 //
-// It is made for 2,400 endpoints and thousands of decisions a second, so names
-// are hashed once when the list changes and a decision keeps only the best few
-// instead of sorting all. It is immutable; any goroutine may use it.
+// It is designed for 2,400 endpoints and thousands of decisions a second. Names are therefore
+// hashed once when the list changes, and a decision tracks only the best few instead of sorting
+// all. A Ranking is immutable and safe for concurrent use.
 type Ranking struct {
 	names []string
 	seeds []uint64
 }
 
-// NewRanking prepares the list. Indexes returned by Top refer to it.
+// NewRanking returns a Ranking of the names. The indexes that Top returns refer to names.
 func NewRanking(names []string) *Ranking {
 	r := &Ranking{names: append([]string(nil), names...), seeds: make([]uint64, len(names))}
 	for i, name := range names {
@@ -37,15 +37,15 @@
 	return r
 }
 
-// Len is the number of endpoints.
+// Len returns the number of endpoints.
 func (r *Ranking) Len() int { return len(r.names) }
 
-// Name returns the endpoint of an index.
+// Name returns the name of the endpoint with index i.
 func (r *Ranking) Name(i int) string { return r.names[i] }
 
-// Top appends to dst the indexes of the k first endpoints for the key, best
-// first, of those that usable accepts; nil accepts all. k is cut to
-// MaxCandidates. With a dst of enough capacity nothing is allocated.
+// Top appends to dst the indexes of the first k endpoints for the key for which usable returns
+// true, best first. A nil usable accepts all. k is limited to MaxCandidates. Top does not allocate
+// if dst has enough capacity.
 func (r *Ranking) Top(dst []int, key prefix.Hash, k int, usable func(i int) bool) []int {
 	k = min(k, MaxCandidates, len(r.seeds))
 	if k <= 0 {
@@ -78,7 +78,7 @@
 	index int
 }
 
-// insert puts s in its place and drops what was last.
+// insert inserts s into best, which is sorted by descending score, and drops the last element.
 func insert(best []scored, s scored) {
 	i := len(best) - 1
 	for i > 0 && best[i-1].score < s.score {
@@ -88,8 +88,8 @@
 	best[i] = s
 }
 
-// mix is the finalizer of splitmix64: each bit of x reaches every bit of the
-// result, so that the order of one key says nothing of another's.
+// mix is the finalizer of splitmix64. Each bit of x affects every bit of the result, so that the
+// orders of different keys are independent.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -20,34 +20,34 @@
 
 func keyOfByte(b byte) prefix.Hash { return prefix.Salt(string(b), "m", "1") }
 
-// An endpoint that goes must move only what it held: if others' order changed
-// too, every change of the list would cost the whole pool's caches.
-func TestRemovedEndpointMovesNothingElse(t *testing.T) {
+// Removing an endpoint must move only its own keys. If the order of the others changed too, every
+// change of the list would invalidate the whole pool's caches.
+func TestRemovedEndpointMovesOnlyItsOwnKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := names(rapid.IntRange(2, 40).Draw(t, "endpoints"))
 		key := keyOfByte(rapid.Byte().Draw(t, "key"))
-		gone := rapid.IntRange(0, len(list)-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, len(list)-1).Draw(t, "removed")
 		all := NewRanking(list)
-		rest := NewRanking(slices.Delete(slices.Clone(list), gone, gone+1))
+		rest := NewRanking(slices.Delete(slices.Clone(list), removed, removed+1))
 		var want, got []string
-		for _, i := range all.Top(nil, key, 5, func(i int) bool { return i != gone }) {
+		for _, i := range all.Top(nil, key, 5, func(i int) bool { return i != removed }) {
 			want = append(want, all.Name(i))
 		}
 		for _, i := range rest.Top(nil, key, 5, nil) {
 			got = append(got, rest.Name(i))
 		}
 		if !slices.Equal(got, want) {
-			t.Fatalf("without %s: %v, want %v", list[gone], got, want)
+			t.Fatalf("without %s: %v, want %v", list[removed], got, want)
 		}
 	})
 }
 
-func TestTopIsTheHeadOfTheWholeOrder(t *testing.T) {
+func TestTopIsPrefixOfFullOrder(t *testing.T) {
 	r := NewRanking(names(MaxCandidates))
 	for b := range byte(100) {
 		whole := r.Top(nil, keyOfByte(b), MaxCandidates, nil)
 		if sorted := slices.Sorted(slices.Values(whole)); len(slices.Compact(sorted)) != MaxCandidates {
-			t.Fatalf("key %d: %v is no order of all endpoints", b, whole)
+			t.Fatalf("key %d: %v is not a permutation of all endpoints", b, whole)
 		}
 		if top := r.Top(nil, keyOfByte(b), 4, nil); !slices.Equal(top, whole[:4]) {
 			t.Fatalf("key %d: first four %v of %v", b, top, whole)
@@ -79,8 +79,8 @@
 	}
 }
 
-// BenchmarkDecisionOf2400 is what an instance does for one request: key, four
-// candidates, and the choice among their offers.
+// BenchmarkDecisionOf2400 measures what an instance does for one request: compute the key, find
+// four candidates, and choose among their offers.
 func BenchmarkDecisionOf2400(b *testing.B) {
 	r := NewRanking(names(2400))
 	levels := prefix.NewLevels(prefix.DefaultLevelSets)
--- a/policy/retry.go
+++ b/policy/retry.go
@@ -3,22 +3,20 @@
 import "time"
 
 const (
-	// retryShare is how many retries each accepted request pays for.
-	retryShare = 0.1
-	// retryReserve is what may be retried at once, also with little load: one
-	// endpoint's requests when it crashes.
+	// retryRatio is the number of retries that each accepted request adds to the budget.
+	retryRatio = 0.1
+	// retryReserve is the number of retries available at once, also under little load: the
+	// requests of one endpoint when it crashes.
 	retryReserve = 32
-	// retryRefill fills the reserve again over this time without any load.
+	// retryRefill is the time in which an empty reserve refills without any load.
 	retryRefill = 30 * time.Second
 )
 
-// RetryBudget bounds the retries of one instance by a share of the requests it
-// accepts.
+// RetryBudget limits the retries of one instance to a fraction of the requests it accepts.
 //
-// It is made for the crash or slowing of many endpoints at the busiest time:
-// each failed request that is sent again adds load to those that are left, and
-// without a bound the retries of a bad minute outweigh its requests and keep
-// the fleet down after the cause has gone.
+// It protects the remaining endpoints when many endpoints crash or slow down at peak load: each
+// retry adds load to them. Without a limit the retries outnumber the requests and keep the fleet
+// overloaded after the cause has been removed.
 type RetryBudget struct {
 	tokens float64
 	last   time.Time
@@ -29,12 +27,13 @@
 	return &RetryBudget{tokens: retryReserve, last: now}
 }
 
-// Accepted pays in for one accepted request.
+// Accepted adds the budget that one accepted request earns.
 func (b *RetryBudget) Accepted() {
-	b.tokens = min(b.tokens+retryShare, retryReserve)
+	b.tokens = min(b.tokens+retryRatio, retryReserve)
 }
 
-// Retry takes one retry out; false means that the request has to fail.
+// Retry takes one retry from the budget and reports whether there was one left. If not, the
+// request has to fail.
 func (b *RetryBudget) Retry(now time.Time) bool {
 	refill := now.Sub(b.last).Seconds() / retryRefill.Seconds() * retryReserve
 	b.tokens = min(b.tokens+max(refill, 0), retryReserve)
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A long prompt is interrupted by short ones and an engine slows down. The rate
-// has to follow what the engine does, not what the interruptions suggest.
-func TestWindowFollowsTheServiceRate(t *testing.T) {
+// A long prompt is interrupted by short ones, and an engine slows down. The measured rate has to
+// match the engine's, regardless of the interruptions.
+func TestWindowFollowsServiceRate(t *testing.T) {
 	w := NewWindow(20000)
 	now := start
 	serve := func(rate float64, rounds int) {
@@ -35,78 +35,78 @@
 		t.Errorf("rate %.0f after the engine slowed down to 4000", r)
 	}
 	if !w.Admits(0) || w.Admits(4000) {
-		t.Error("a second of work is outstanding and more is admitted, or an idle engine gets nothing")
+		t.Error("more is admitted while a second of work is outstanding, or an idle engine gets nothing")
 	}
 }
 
-// One family of prompts is asked for more than its endpoint can serve. Requests
-// shift when waiting costs more than computing the prompt again, and not before.
+// A prompt prefix gets more requests than the endpoint that has it cached can serve. Requests move
+// to another endpoint when waiting costs more than recomputing the prompt, and not before.
 func TestChoiceWeighsWaitAgainstRecomputation(t *testing.T) {
 	p := Prices{PrefillTokensPerSecond: 10000, Recompute: 2}
 	offers := func(wait time.Duration) []Offer {
-		return []Offer{{Endpoint: "home", CachedTokens: 9000, Wait: wait}, {Endpoint: "cold"}}
+		return []Offer{{Endpoint: "cached", CachedTokens: 9000, Wait: wait}, {Endpoint: "uncached"}}
 	}
 	tests := []struct {
-		name string
-		wait time.Duration
-		kept int64
-		want Choice
+		name   string
+		wait   time.Duration
+		stored int64
+		want   Choice
 	}{
-		{"home is idle", 0, 0, Choice{Index: 0, Cost: 200 * time.Millisecond}},
-		{"home is busy for less than the recomputation", 1700 * time.Millisecond, 0, Choice{Index: 0, Cost: 1900 * time.Millisecond}},
-		{"home is busy for longer", 1900 * time.Millisecond, 0, Choice{Index: 1, Cost: 2 * time.Second}},
-		{"kept work is imported at the cold one", 700 * time.Millisecond, 8000, Choice{Index: 1, ImportTokens: 8000, Cost: 500 * time.Millisecond}},
+		{"cached endpoint is idle", 0, 0, Choice{Index: 0, Cost: 200 * time.Millisecond}},
+		{"cached endpoint is busy for less than the recomputation", 1700 * time.Millisecond, 0, Choice{Index: 0, Cost: 1900 * time.Millisecond}},
+		{"cached endpoint is busy for longer", 1900 * time.Millisecond, 0, Choice{Index: 1, Cost: 2 * time.Second}},
+		{"stored KV cache is imported at the uncached endpoint", 700 * time.Millisecond, 8000, Choice{Index: 1, ImportTokens: 8000, Cost: 500 * time.Millisecond}},
 	}
 	for _, tt := range tests {
 		at := p
-		if tt.kept > 0 {
+		if tt.stored > 0 {
 			at.ImportTokensPerSecond, at.ImportFixed = 100000, 20*time.Millisecond
 		}
-		if got := Choose(10000, tt.kept, offers(tt.wait), at); got != tt.want {
+		if got := Choose(10000, tt.stored, offers(tt.wait), at); got != tt.want {
 			t.Errorf("%s: %+v, want %+v", tt.name, got, tt.want)
 		}
 	}
 	saturated := offers(3 * time.Second)
 	saturated[1].Wait = 200 * time.Millisecond
 	if got := Choose(10000, 0, saturated, p); got.Index != 0 {
-		t.Errorf("all are behind and the prompt is computed once more: %+v", got)
+		t.Errorf("all endpoints are busy and the prompt is recomputed: %+v", got)
 	}
-	hurried := p
-	hurried.Urgent = true
-	if got := Choose(10000, 0, offers(700*time.Millisecond), hurried); got.Index != 1 {
-		t.Errorf("an urgent request waits where computing is quicker: %+v", got)
+	urgent := p
+	urgent.Urgent = true
+	if got := Choose(10000, 0, offers(700*time.Millisecond), urgent); got.Index != 1 {
+		t.Errorf("an urgent request waits although recomputing is faster: %+v", got)
 	}
 	if got := Choose(1, 0, nil, p); got.Index != -1 {
 		t.Errorf("no offers: %+v", got)
 	}
 }
 
-// A pause shorter than the bound of expulsion must not cost the endpoint its
-// place; a delayed sign of life of a dead incarnation must not bring it back.
+// A pause shorter than ExpelAfter must not cost the endpoint its place, and a delayed message of a
+// dead incarnation must not make it live again.
 func TestEndpointHealth(t *testing.T) {
 	const live, suspect = EndpointLive, EndpointSuspect
 	const leaving, expelled = EndpointLeaving, EndpointExpelled
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	h := NewEndpointHealth(start, HealthBounds{SuspectAfter: time.Second, ExpelAfter: 5 * time.Second})
 	steps := []struct {
-		what string
-		do   func() bool
-		want EndpointStatus
+		what  string
+		event func() bool
+		want  EndpointStatus
 	}{
-		{"first sign", func() bool { return h.Heard(at(0), 7, false) }, live},
-		{"just before the bound", func() bool { return !h.Tick(at(999)) }, live},
-		{"silent for a second", func() bool { return h.Tick(at(1000)) }, suspect},
+		{"first message", func() bool { return h.Heard(at(0), 7, false) }, live},
+		{"just before the time-out", func() bool { return !h.Tick(at(999)) }, live},
+		{"no message for a second", func() bool { return h.Tick(at(1000)) }, suspect},
 		{"back", func() bool { return h.Heard(at(1500), 7, false) }, live},
 		{"refused connections", func() bool { return h.Crashed(at(1600), 7) }, suspect},
-		{"word of the dead incarnation", func() bool { return !h.Heard(at(1700), 6, false) }, suspect},
+		{"message of the dead incarnation", func() bool { return !h.Heard(at(1700), 6, false) }, suspect},
 		{"restarted", func() bool { return h.Heard(at(1800), 8, false) }, live},
-		{"word of an older crash", func() bool { return !h.Crashed(at(1900), 7) }, live},
+		{"report of an older crash", func() bool { return !h.Crashed(at(1900), 7) }, live},
 		{"leaving", func() bool { return h.Heard(at(2000), 8, true) }, leaving},
-		{"gone", func() bool { return h.Tick(at(7000)) }, expelled},
+		{"no message for 5 s", func() bool { return h.Tick(at(7000)) }, expelled},
 	}
 	for _, s := range steps {
-		if ok := s.do(); !ok {
-			t.Errorf("%s: change reported wrongly", s.what)
+		if ok := s.event(); !ok {
+			t.Errorf("%s: wrong return value for a status change", s.what)
 		}
 		if got, _ := h.Status(); got != s.want {
 			t.Fatalf("%s: %v, want %v", s.what, got, s.want)
@@ -114,13 +114,13 @@
 	}
 }
 
-// One request crashes each endpoint that runs it, and its caller sends it again
-// and again to other instances. The first crash takes innocent requests along;
-// these are cleared by running alone. After the second endpoint it is refused.
+// One request crashes each endpoint that runs it, and its caller keeps retrying it on other
+// instances. Other requests in flight at the first crash are cleared by completing alone. After
+// the second crash the request is refused.
 func TestRequestThatCrashesEndpoints(t *testing.T) {
-	poison, innocent := [16]byte{1}, [16]byte{2}
+	culprit, innocent := [16]byte{1}, [16]byte{2}
 	here, there := NewCrashGuard(time.Minute), NewCrashGuard(time.Minute)
-	tell := func(from, to *CrashGuard, now time.Time) {
+	sendState := func(from, to *CrashGuard, now time.Time) {
 		for _, fp := range from.Changed() {
 			s, ttl := from.State(now, fp)
 			to.Merge(now, fp, s, ttl)
@@ -132,25 +132,25 @@
 			t.Fatalf("verdict %v on %v, want %v", got, fp[0], want)
 		}
 	}
-	for _, fp := range [][16]byte{poison, innocent} {
+	for _, fp := range [][16]byte{culprit, innocent} {
 		here.Crashed(start, fp, "engine-1", 4)
 		here.Crashed(start, fp, "engine-1", 4)
 		expect(here, start, fp, CrashSuspect)
 	}
-	tell(here, there, start)
+	sendState(here, there, start)
 	there.Completed(start.Add(time.Second), innocent)
-	there.Crashed(start.Add(time.Second), poison, "engine-2", 1)
-	tell(there, here, start.Add(time.Second))
+	there.Crashed(start.Add(time.Second), culprit, "engine-2", 1)
+	sendState(there, here, start.Add(time.Second))
 	for _, g := range []*CrashGuard{here, there} {
 		expect(g, start.Add(2*time.Second), innocent, CrashClean)
-		expect(g, start.Add(2*time.Second), poison, CrashRefused)
-		expect(g, start.Add(2*time.Minute), poison, CrashClean)
+		expect(g, start.Add(2*time.Second), culprit, CrashRefused)
+		expect(g, start.Add(2*time.Minute), culprit, CrashClean)
 	}
 }
 
-// States travel between instances in any order and more than once; all have to
-// come to the same verdicts.
-func TestCrashStatesMergeToTheSame(t *testing.T) {
+// States are delivered between instances in any order and more than once. All instances have to
+// reach the same verdicts.
+func TestCrashStateMergeIsOrderIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		fp := [16]byte{1}
 		var states []*CrashState
--- a/prefix/levels_test.go
+++ b/prefix/levels_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// prompt joins levels of the given texts, each filled up to a number of blocks
-// of two tokens.
+// prompt concatenates texts, each padded to a number of blocks of two tokens. parts alternates
+// between text and number of blocks.
 func prompt(parts ...string) []byte {
 	var b []byte
 	for i := 0; i < len(parts); i += 2 {
@@ -22,7 +22,7 @@
 
 var (
 	testSalt = Salt("accra", "m", "1")
-	// calls counts tails, so that no two prompts end alike.
+	// calls counts the calls of catalogue, so that each prompt has a different end.
 	calls int
 )
 
@@ -31,10 +31,10 @@
 	return Blocks(nil, testSalt, prompt("company", "8", family, "60", customer, "10", fmt.Sprint("t", calls), "3"), 2)
 }
 
-// Callers of one catalogue go to one endpoint whoever their customer is, and
-// two catalogues of one organisation are not tied to the same endpoint. A key
-// that changed while the levels become known would compute a catalogue twice.
-func TestKeyFollowsTheCatalogue(t *testing.T) {
+// Prompts with the same catalogue are placed on one endpoint whoever the customer is, and two
+// catalogues of one organisation are not tied to the same endpoint. If the key changed once the
+// levels are known, a catalogue would be computed twice.
+func TestKeyIsInCatalogue(t *testing.T) {
 	l := NewLevels(1 << 10)
 	l.Observe(testSalt, catalogue("nuts", "anna"))
 	l.Observe(testSalt, catalogue("bolt", "anna"))
@@ -44,7 +44,7 @@
 		for _, family := range []string{"nuts", "bolt", "rods"} {
 			chain := catalogue(family, customer)
 			if got := l.Key(testSalt, chain, 0); got != chain[32] {
-				t.Fatalf("round %d: %s of %s is not placed by a block of the catalogue", i, family, customer)
+				t.Fatalf("round %d: key for %s of %s is not a block of the catalogue", i, family, customer)
 			}
 			l.Observe(testSalt, chain)
 		}
@@ -54,54 +54,54 @@
 	}
 }
 
-// A long text of the caller's own after a short shared sheet would draw each
-// request to another endpoint if length alone decided. Where a sheet ends is
-// known once two prompts with it went on differently.
-func TestUnsharedTextDoesNotDecide(t *testing.T) {
+// A long text that is unique to the request follows a short shared sheet. If the length alone
+// decided, each request would go to another endpoint. The end of a sheet is known once two prompts
+// with it continued differently.
+func TestKeyIgnoresUnsharedText(t *testing.T) {
 	l := NewLevels(1 << 10)
 	for i := range 20 {
 		chain := Blocks(nil, testSalt, prompt("company", "4", fmt.Sprint("s", i%2), "6", fmt.Sprint("o", i), "90"), 2)
 		if got := l.Key(testSalt, chain, 0); i > 3 && got != chain[4] && got != chain[8] {
-			t.Fatalf("prompt %d is not placed by its sheet", i)
+			t.Fatalf("prompt %d: key is not a block of its sheet", i)
 		}
 		l.Observe(testSalt, chain)
 	}
 }
 
-// The text of a whole company is longer than the fixed place. All its prompts
-// would go to one endpoint if that was not found out.
-func TestLongCompanyTextDoesNotDecide(t *testing.T) {
+// The text that all prompts of a company share is longer than the default position. Unless this is
+// detected, all its prompts would go to one endpoint.
+func TestKeyIgnoresLongCompanyText(t *testing.T) {
 	l := NewLevels(1 << 10)
 	for i := range 20 {
 		family := fmt.Sprint("f", i%4)
 		chain := Blocks(nil, testSalt, prompt("company", "70", family, "30", fmt.Sprint("c", i), "5"), 2)
 		if got := l.Key(testSalt, chain, 0); i > 1 && got != chain[70] {
-			t.Fatalf("prompt %d is not placed by its catalogue", i)
+			t.Fatalf("prompt %d: key is not a block of its catalogue", i)
 		}
 		l.Observe(testSalt, chain)
 	}
 }
 
-// An instance that has just started has to place a prompt as the others do.
-func TestNewInstancePlacesLikeAnOldOne(t *testing.T) {
+// An instance that has just started has to place a prompt as the other instances do.
+func TestNewInstanceComputesSameKey(t *testing.T) {
 	old, fresh := NewLevels(1<<10), NewLevels(1<<10)
 	for i := range 30 {
 		old.Observe(testSalt, catalogue([]string{"nuts", "bolt", "rods"}[i%3], fmt.Sprint("c", i%7)))
 	}
 	chain := catalogue("bolt", "esi")
 	if old.Key(testSalt, chain, 0) != fresh.Key(testSalt, chain, 0) {
-		t.Fatal("the new instance has another key")
+		t.Fatal("the new instance computes another key")
 	}
 }
 
-func TestHintNamesTheSharedBlocks(t *testing.T) {
+func TestHintSetsKey(t *testing.T) {
 	l := NewLevels(1 << 4)
 	chain := catalogue("nuts", "anna")
 	if got := l.Key(testSalt, chain, 8); got != chain[8] {
-		t.Fatal("the hint was not followed")
+		t.Fatal("the key is not the block at the hint")
 	}
 	if got := l.Key(testSalt, chain, 10000); got != chain[len(chain)-1] {
-		t.Fatal("a hint beyond the prompt has to end at its last block")
+		t.Fatal("with a hint beyond the prompt, the key is not its last block")
 	}
 }
 
--- a/prefix/part.go
+++ b/prefix/part.go
@@ -2,15 +2,15 @@
 
 import "github.com/zeebo/xxh3"
 
-// Part is one named part of a prompt, as callers describe prompts whose text
-// the router does not see. Parts stand in order; an endpoint that has cached a
-// part uses it only if it has cached all parts before it as well.
+// Part is one identified part of a prompt, for callers that describe prompts whose text the router
+// does not receive. Parts are ordered: an endpoint can use a cached part only if it has all
+// earlier parts cached as well.
 type Part struct {
 	ID     string
 	Tokens int64
 }
 
-// PartTokens returns the tokens of all parts.
+// PartTokens returns the number of tokens of all parts.
 func PartTokens(parts []Part) int64 {
 	var sum int64
 	for _, p := range parts {
@@ -19,11 +19,11 @@
 	return sum
 }
 
-// PartKey names a cached part within the scope that it may be used in.
+// PartKey identifies a cached part within the scope in which it may be shared.
 type PartKey uint64
 
-// KeyOf returns the key of one part. The scope separates what must not be shared:
-// organisations behind a wall, and versions of the weights.
+// KeyOf returns the key of one part. The scope separates parts that must not be shared: those of
+// isolated organisations, and those of different versions of the weights.
 func KeyOf(scope, model, id string) PartKey {
 	var h xxh3.Hasher
 	_, _ = h.WriteString(scope)
@@ -36,7 +36,7 @@
 
 var separator = []byte{0}
 
-// PartKeys appends the key of each part.
+// PartKeys appends the key of each part to dst.
 func PartKeys(dst []PartKey, scope, model string, parts []Part) []PartKey {
 	for _, p := range parts {
 		dst = append(dst, KeyOf(scope, model, p.ID))
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,6 +1,6 @@
-// Package prefix cuts prompts into blocks and names each block by a hash that
-// chains from a salt, so that equal names mean equal prompts from the start,
-// of one organisation, under one version of one model's weights.
+// Package prefix splits prompts into blocks and identifies each block by a hash chained from a
+// salt. Equal hashes mean that the prompts are equal from the start to that block, and have the
+// same organisation, model and version of the weights.
 package prefix
 
 import (
@@ -10,17 +10,17 @@
 	"github.com/zeebo/xxh3"
 )
 
-// BytesPerToken is the estimate by which prompts are measured before an
-// engine's tokenizer has seen them.
+// BytesPerToken is the ratio used to estimate the length of prompts that no tokenizer has
+// processed yet.
 const BytesPerToken = 4
 
-// Hash names a block and everything before it.
+// Hash identifies a block and everything before it.
 type Hash [16]byte
 
 // String returns the hash in hexadecimal.
 func (h Hash) String() string { return hex.EncodeToString(h[:]) }
 
-// ParseHash reads what String wrote.
+// ParseHash parses the result of Hash.String and reports whether s is valid.
 func ParseHash(s string) (Hash, bool) {
 	var h Hash
 	if len(s) != 2*len(h) {
@@ -30,9 +30,9 @@
 	return h, err == nil
 }
 
-// Salt is the start of every chain. It joins organisation, model and version
-// with their lengths, so that no two triples give the same bytes: cached work
-// of another organisation or of older weights cannot be matched.
+// Salt returns the start of a hash chain. It encodes organisation, model and version with their
+// lengths, so that different triples never encode to the same bytes: otherwise cached blocks of
+// another organisation or of older weights could match.
 func Salt(organisation, model, version string) Hash {
 	buf := make([]byte, 0, 96)
 	for _, part := range [...]string{organisation, model, version} {
@@ -42,8 +42,7 @@
 	return Hash(xxh3.Hash128(buf).Bytes())
 }
 
-// Blocks appends the hashes of all full blocks of the prompt to dst. A block
-// holds blockTokens tokens.
+// Blocks appends to dst the hashes of all full blocks of the prompt, each of blockTokens tokens.
 func Blocks(dst []Hash, salt Hash, prompt []byte, blockTokens int) []Hash {
 	size := blockTokens * BytesPerToken
 	var h xxh3.Hasher
@@ -59,7 +58,7 @@
 	return dst
 }
 
-// Tokens estimates the length of a prompt.
+// Tokens estimates the number of tokens of a prompt.
 func Tokens(prompt []byte) int64 {
 	return int64((len(prompt) + BytesPerToken - 1) / BytesPerToken)
 }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -6,8 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// Two organisations whose names run into their models' names must not share a
-// chain: one would be answered from the other's cached prompt.
+// Organisation and model names that are equal when concatenated must not share a hash chain: one
+// organisation would be served from the other's cached prompt.
 func TestSaltSeparatesOrganisationsModelsAndVersions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		word := rapid.StringMatching(`[ab]{0,3}`)
@@ -20,7 +20,7 @@
 	})
 }
 
-func TestBlocksAgreeExactlyAsFarAsPromptsDo(t *testing.T) {
+func TestBlocksAreEqualUpToFirstDifference(t *testing.T) {
 	const blockTokens = 2
 	rapid.Check(t, func(t *rapid.T) {
 		shared := rapid.SliceOfN(rapid.Byte(), 0, 64).Draw(t, "shared")
--- a/route/route.go
+++ b/route/route.go
@@ -1,7 +1,6 @@
-// Package route holds the records that say what happens to a request by its
-// host and path: which service it goes to, how long it may take, how often it
-// may be sent, and whose key it carries. A Table is one version of all of them
-// and never changes once it is built, so that requests read it without locks.
+// Package route holds the records that determine by host and path how a request is handled: its
+// service, its time-out, how often it may be sent, and which organisation its key belongs to. A
+// Table is one version of all records and is immutable, so that requests read it without locks.
 package route
 
 import (
@@ -10,21 +9,21 @@
 	"github.com/sardinedock/sardinedock/quota"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind determines whether a route's requests may be repeated.
 type Kind int
 
 // The kinds of route.
 const (
-	// NonIdempotent requests run at most once for each attempt of a caller.
+	// NonIdempotent requests run at most once per attempt of a caller.
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Stream requests are answered by a series of events. They run at most
-	// once, unless the route is resumable.
+	// Stream requests are answered with a stream of events. They run at most once, unless the
+	// route is resumable.
 	Stream
 )
 
-// String returns the kind's name in logs.
+// String returns the kind's name for logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -35,49 +34,49 @@
 	return "non-idempotent"
 }
 
-// Route is one record of the table.
+// Route is the record of one route.
 type Route struct {
 	Name string
-	// Host and PathPrefix select the route; the longest prefix of a host wins.
+	// Host and PathPrefix select the route. If several routes of a host match, the longest prefix
+	// wins.
 	Host, PathPrefix string
 	Kind             Kind
-	// Resumable streams may go on at another endpoint after an event.
+	// Resumable streams may be continued on another endpoint after an event.
 	Resumable bool
-	// Timeout is the longest time that a caller is kept waiting.
+	// Timeout is the longest time until the caller gets a response.
 	Timeout time.Duration
-	// TargetLatency is the time to a whole answer, or to a stream's first event,
-	// that callers are content with; TargetGap the same between two events.
+	// TargetLatency is the intended time to a complete response or to a stream's first event.
+	// TargetGap is the intended time between two events.
 	TargetLatency, TargetGap time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
-	// Targets are the services that share the route's requests by weight.
+	// Targets are the services among which the route's requests are split by weight.
 	Targets []Target
-	// MaxAttempts bounds the endpoints that may run one attempt of a caller.
+	// MaxAttempts limits the number of endpoints that may run one attempt of a caller.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes require no key.
 	Public bool
 }
 
-// Repeatable reports whether a request may run again after it has run, or may
-// have run, without a resumption.
+// Repeatable reports whether a request that has run, or may have run, may run again without a
+// resumption.
 func (r *Route) Repeatable() bool { return r.Kind == Idempotent }
 
-// silenceLeast, silenceTargets and silenceGaps make up how long callers of a stream
-// wait without an event, as the users state it: the longest of two seconds, four
-// times the target latency and eight times the target gap.
+// Callers of a stream wait without an event for the maximum of minStreamIdle, idleTargets times the
+// target latency and idleGaps times the target gap. The users stated these values.
 const (
-	silenceLeast   = 2 * time.Second
-	silenceTargets = 4
-	silenceGaps    = 8
+	minStreamIdle = 2 * time.Second
+	idleTargets   = 4
+	idleGaps      = 8
 )
 
-// SilenceBound is how long callers of a stream wait for its first or next event
-// before they give up.
+// StreamIdleTimeout returns how long callers of a stream wait for its first or next event before
+// they cancel the request.
 func (r *Route) SilenceBound() time.Duration {
-	return max(silenceLeast, silenceTargets*r.TargetLatency, silenceGaps*r.TargetGap)
+	return max(minStreamIdle, idleTargets*r.TargetLatency, idleGaps*r.TargetGap)
 }
 
-// Target is a service and its share of a route's requests.
+// Target is a service and the weight with which it gets a route's requests.
 type Target struct {
 	Service string
 	Weight  int
@@ -86,56 +85,56 @@
 // Service is a group of endpoints that do the same work.
 type Service struct {
 	Name string
-	// HealthPath answers 200 while an endpoint takes work.
+	// HealthPath returns status 200 while an endpoint accepts work.
 	HealthPath string
-	// MaxConnections bounds the connections of all callers to one endpoint.
+	// MaxConnections limits the connections of all callers to one endpoint.
 	MaxConnections int
 	// Engine is set for pools of language-model endpoints.
 	Engine *Engine
-	// Kept is set for stores of KV cache, which no route leads to.
+	// Kept is set for KV cache stores. Routes do not target them.
 	Kept *KeptStore
 }
 
-// Engine describes the endpoints of a model pool.
+// Engine describes the endpoints of a language-model pool.
 type Engine struct {
-	// Slots is how many requests one endpoint runs at a time.
+	// Slots is the number of requests that one endpoint runs at a time.
 	Slots int
-	// CacheTokens is the memory for running requests and cached parts.
+	// CacheTokens is the KV cache memory for running requests and cached parts, in tokens.
 	CacheTokens int64
-	// TokenBytes is the size of the KV cache of one token.
+	// TokenBytes is the size of the KV cache of one token in bytes.
 	TokenBytes int64
-	// LinkMbps is the speed of the link for KV cache, in Mbit/s.
+	// LinkMbps is the bandwidth of the link for KV cache in Mbit/s.
 	LinkMbps float64
-	// Models that the pool serves.
+	// Models are the models that the pool serves.
 	Models []string
 }
 
-// KeptStore is a store of KV cache.
+// KeptStore describes a KV cache store.
 type KeptStore struct {
 	Address    string
 	DataCentre string
-	// CacheTokens is how much it holds.
+	// CacheTokens is the store's capacity in tokens.
 	CacheTokens int64
 }
 
-// Organisation is a customer whose callers carry one of its keys.
+// Organisation is a customer whose callers authenticate with one of its keys.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Priority goes before that of the route where it is set.
+	// Priority overrides the route's priority if it is set.
 	Priority *int
-	// Isolated organisations share no cached prompt parts with others.
+	// Isolated organisations share no cached prompt parts with other organisations.
 	Isolated bool
-	// Quota limits what its callers may send; the zero value is no limit. Where
-	// QuotaError is set the record's quota can't be read, and the one in force stays.
+	// Quota limits the requests of the organisation's callers; the zero value means no limit. If
+	// QuotaError is set, the record's quota could not be read, and the one in force stays.
 	Quota      quota.Limit
 	QuotaError error
 }
 
-// Limits bound what one caller may send, and how slowly.
+// Limits restrict the size of requests and the time that a caller may take to send them.
 type Limits struct {
 	HeaderBytes, BodyBytes int
-	// HeaderTimeout bounds the reading of a request's head, IdleTimeout the
-	// time between two requests of a connection.
+	// HeaderTimeout limits the time to read a request's header, IdleTimeout the time between two
+	// requests on a connection.
 	HeaderTimeout, IdleTimeout time.Duration
 }
--- a/route/table.go
+++ b/route/table.go
@@ -7,9 +7,9 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// Records are the parts of a table as operators wrote them.
+// Records are the records of a table as operators wrote them.
 type Records struct {
-	// Version rises with every change.
+	// Version increases with every change.
 	Version       int64
 	Routes        []Route
 	Services      []Service
@@ -17,8 +17,7 @@
 	Limits        Limits
 }
 
-// Table is one version of the records. It is read-only and safe for use by any
-// goroutine.
+// Table is one version of the records. It is immutable and safe for concurrent use.
 type Table struct {
 	version       int64
 	limits        Limits
@@ -30,8 +29,8 @@
 	routes        int
 }
 
-// NewTable checks the records and indexes them. The error is of kind
-// fault.Invalid; the table in force then stays.
+// NewTable validates and indexes the records. Errors are of kind fault.Invalid; on an error the
+// caller keeps the table in force.
 func NewTable(r Records) (*Table, error) {
 	t := &Table{
 		version:       r.Version,
@@ -90,40 +89,40 @@
 // Version returns the version of the records.
 func (t *Table) Version() int64 { return t.version }
 
-// Limits returns the bounds on callers.
+// Limits returns the limits on callers.
 func (t *Table) Limits() Limits { return t.limits }
 
 // Routes returns the number of routes.
 func (t *Table) Routes() int { return t.routes }
 
-// Keyed reports whether callers of routes that are not public need a key.
+// RequiresKeys reports whether callers of routes that are not public need a key.
 func (t *Table) Keyed() bool { return len(t.organisations) > 0 }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// Services calls fn for each service, in no order.
+// Services calls fn for each service in unspecified order.
 func (t *Table) Services(fn func(*Service)) {
 	for _, s := range t.services {
 		fn(s)
 	}
 }
 
-// KeptStores returns the services that keep KV cache.
+// KeptStores returns the services that are KV cache stores.
 func (t *Table) KeptStores() []*Service { return t.kept }
 
-// Organisation returns who holds a key, or nil.
+// Organisation returns the organisation that the key belongs to, or nil.
 func (t *Table) Organisation(key string) *Organisation { return t.byKey[key] }
 
-// Organisations calls fn for each organisation, in no order.
+// Organisations calls fn for each organisation in unspecified order.
 func (t *Table) Organisations(fn func(*Organisation)) {
 	for _, o := range t.organisations {
 		fn(o)
 	}
 }
 
-// Match returns the route of a host with the longest prefix of path, or nil.
-// A port in the host is left out.
+// Match returns the route with the longest matching path prefix among the routes of the host, or
+// nil. A port in host is ignored.
 func (t *Table) Match(host, path string) *Route {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -136,8 +135,8 @@
 	return nil
 }
 
-// Pick returns the service that a request of the route goes to. The same draw
-// gives the same service, so that all attempts of one request stay together.
+// Pick returns the service for a request of the route. It depends only on draw, so that all
+// attempts of one request go to the same service.
 func (r *Route) Pick(draw uint64) string {
 	total := 0
 	for _, t := range r.Targets {
--- a/route/table_test.go
+++ b/route/table_test.go
@@ -17,9 +17,8 @@
 	return r
 }
 
-// An operator splits a route by adding one with a longer prefix. Requests below
-// the longer prefix would go on to the old service if the order of the records
-// decided.
+// An operator splits a route by adding one with a longer prefix. If the order of the records
+// decided, requests below the longer prefix would still go to the old service.
 func TestLongestPrefixWins(t *testing.T) {
 	table, err := NewTable(records("/a/", "/a/b/", "/a/b/c/"))
 	if err != nil {
@@ -37,18 +36,17 @@
 	}
 }
 
-// A record that names a service which nobody has declared would send requests
-// nowhere. The whole version is refused, and the one in force stays.
-func TestRouteToNowhereIsRefused(t *testing.T) {
+// A route that names an undeclared service could not be served. The whole version is rejected, and
+// the one in force stays.
+func TestRouteToUnknownServiceIsRejected(t *testing.T) {
 	r := records("/a/")
-	r.Routes[0].Targets[0].Service = "lost"
+	r.Routes[0].Targets[0].Service = "unknown"
 	if _, err := NewTable(r); !fault.Is(err, fault.Invalid) {
 		t.Fatalf("error %v, want one of kind invalid", err)
 	}
 }
 
-// Weights of a split are honoured whatever their sum, and one request always
-// goes to the same service.
+// Weights are honoured whatever their sum, and one request always goes to the same service.
 func TestPickFollowsWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := rapid.IntRange(0, 50).Draw(t, "a"), rapid.IntRange(1, 50).Draw(t, "b")
