--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -59,11 +59,10 @@
 
 // An instance shuts down while callers keep sending until the end. An aborted response has run, so
 // the caller does not know the outcome, such as whether an order was placed; a refused request is
-// served by another instance at once. With short or long responses and short or long time-outs,
+// served by another instance at once. With short or long responses and short or long timeouts,
 // almost no response may be aborted, and an instance with time left may not refuse requests.
 func TestDrainAbortsAlmostNoResponse(t *testing.T) {
 	// One in six prompts is long, and its response takes twice as long as the others.
-	// One in six prompts is long, and its answer takes twice as long as the others.
 	mixed := func(rng *rand.Rand) time.Duration {
 		if rng.IntN(6) == 0 {
 			return 2400 * time.Millisecond
@@ -79,8 +78,8 @@
 	}{
 		"short responses, short grace period":    {drainLoad{4 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 3800 * time.Millisecond, 0},
 		"short responses, long grace period":     {drainLoad{8 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 7800 * time.Millisecond, 0},
-		"long responses, longer time-outs":       {drainLoad{8 * time.Second, 15 * time.Second, between(time.Second, 3*time.Second)}, 5 * time.Second, 1},
-		"responses as long as the time-outs":     {drainLoad{4 * time.Second, 2 * time.Second, mixed}, 2 * time.Second, 0},
+		"long responses, longer timeouts":       {drainLoad{8 * time.Second, 15 * time.Second, between(time.Second, 3*time.Second)}, 5 * time.Second, 1},
+		"responses as long as the timeouts":     {drainLoad{4 * time.Second, 2 * time.Second, mixed}, 2 * time.Second, 0},
 		"responses longer than the grace period": {drainLoad{4 * time.Second, 15 * time.Second, between(4*time.Second, 6*time.Second)}, 0, 0},
 	}
 	for name, l := range loads {
@@ -136,7 +135,7 @@
 
 // An instance is shut down again shortly after its start, as in a repeated rollout of the whole
 // fleet. It has served few responses, so the longest of them is a poor estimate. Its callers have
-// long time-outs and their responses take a few seconds: the instance still has time for these and
+// long timeouts and their responses take a few seconds: the instance still has time for these and
 // may not refuse all of them.
 func TestDrainWithFewResponseTimesAcceptsRequests(t *testing.T) {
 	const grace, timeout = 8 * time.Second, 15 * time.Second
--- a/policy/fleetretry.go
+++ b/policy/fleetretry.go
@@ -7,14 +7,14 @@
 )
 
 const (
-	// useOfRatio and useOfSlack are the fractions of the fleet's retry ratio and slack that the
+	// usableRatio and usableSlack are the fractions of the fleet's retry ratio and slack that the
 	// instances hand out. The rest covers requests that are counted in another window than their
 	// retries, and shares that are out of date.
 	//
 	// Half of the ratio is handed out twice: for the requests of the current window, and saved up
 	// from those of the previous one.
-	useOfRatio = 0.5
-	useOfSlack = 0.7
+	usableRatio = 0.5
+	usableSlack = 0.7
 	// burstOfSlack is the fraction of an instance's slack that may be used at once. The rest is
 	// refilled over the window.
 	burstOfSlack = 0.7
@@ -68,7 +68,7 @@
 	defer f.mu.Unlock()
 	b := f.bucket(now, service)
 	b.accepted++
-	b.tokens = min(b.tokens+f.ratio*useOfRatio, f.capacity(b))
+	b.tokens = min(b.tokens+f.ratio*usableRatio, f.capacity(b))
 }
 
 // Retry takes one retry from the service's budget and reports whether there was one left. If not,
@@ -84,14 +84,14 @@
 	return true
 }
 
-func (f *FleetRetries) share() float64 { return f.slack * useOfSlack / float64(f.instances) }
+func (f *FleetRetries) share() float64 { return f.slack * usableSlack / float64(f.instances) }
 
 func (f *FleetRetries) burst() float64 { return max(f.share()*burstOfSlack, 1) }
 
 // capacity returns the size of the bucket. It includes the budget earned over a window: the crash
 // of several endpoints fails all of a window's requests at once.
 func (f *FleetRetries) capacity(b *retryBucket) float64 {
-	return f.burst() + f.ratio*useOfRatio*b.accepted
+	return f.burst() + f.ratio*usableRatio*b.accepted
 }
 
 func (f *FleetRetries) bucket(now time.Time, service string) *retryBucket {
--- a/policy/fleetretry_test.go
+++ b/policy/fleetretry_test.go
@@ -67,7 +67,6 @@
 		}
 	}
 	// The 200 requests of the last window earn 20 retries, and the slack 3.
-	// 200 requests of the last window pay for 20, and the slack for 3.
 	if resumed < 20 {
 		t.Errorf("%d of 40 broken streams may be resumed, want 20 at least", resumed)
 	}
--- a/policy/health.go
+++ b/policy/health.go
@@ -17,8 +17,8 @@
 	EndpointExpelled
 )
 
-// HealthBounds are the time-outs of the failure detector. They come from the pool's record, so
-// that all instances use the same: otherwise the instance with the shortest time-outs would decide
+// HealthBounds are the timeouts of the failure detector. They come from the pool's record, so
+// that all instances use the same: otherwise the instance with the shortest timeouts would decide
 // for all.
 type HealthBounds struct {
 	SuspectAfter time.Duration
@@ -47,7 +47,7 @@
 	return &EndpointHealth{bounds: bounds, status: EndpointLive, lastSeen: now}
 }
 
-// SetBounds replaces the time-outs.
+// SetBounds replaces the timeouts.
 func (h *EndpointHealth) SetBounds(b HealthBounds) { h.bounds = b }
 
 // Status returns the endpoint's status and the incarnation it applies to.
--- a/policy/limit_test.go
+++ b/policy/limit_test.go
@@ -65,7 +65,7 @@
 }
 
 // The rate limit holds for the whole fleet although no instance counts all requests. When the
-// callers of one branch move to other instances, the limit must not be admitted twice, which would
+// callers of one branch move to other instances, the limit must not be granted twice, which would
 // starve other organisations, nor become unreachable.
 func TestFleetEnforcesOrganisationRate(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -94,7 +94,7 @@
 		want  EndpointStatus
 	}{
 		{"first message", func() bool { return h.Heard(at(0), 7, false) }, live},
-		{"just before the time-out", func() bool { return !h.Tick(at(999)) }, live},
+		{"just before the timeout", func() bool { return !h.Tick(at(999)) }, live},
 		{"no message for a second", func() bool { return h.Tick(at(1000)) }, suspect},
 		{"back", func() bool { return h.Heard(at(1500), 7, false) }, live},
 		{"refused connections", func() bool { return h.Crashed(at(1600), 7) }, suspect},
--- a/route/route.go
+++ b/route/route.go
@@ -1,5 +1,5 @@
 // Package route holds the records that determine by host and path how a request is handled: its
-// service, its time-out, how often it may be sent, and which organisation its key belongs to. A
+// service, its timeout, how often it may be sent, and which organisation its key belongs to. A
 // Table is one version of all records and is immutable, so that requests read it without locks.
 package route
 
@@ -43,10 +43,10 @@
 	Kind             Kind
 	// Resumable streams may be continued on another endpoint after an event.
 	Resumable bool
-	// Timeout is the longest time until the caller gets a response.
+	// Timeout limits how long a caller waits.
 	Timeout time.Duration
-	// TargetLatency is the intended time to a complete response or to a stream's first event.
-	// TargetGap is the intended time between two events.
+	// TargetLatency is the time to a complete response, or to a stream's first event, that callers
+	// find satisfactory. TargetGap is the same for the time between two events.
 	TargetLatency, TargetGap time.Duration
 	// Priority ranks routes; 0 is the most urgent.
 	Priority int
