--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -57,7 +57,7 @@
 		return nil
 	}
 	usual, known := r.srv.times.of(r.route.Name).Usual()
-	if d.Takes(now, r.deadline, usual, known) {
+	if d.Accepts(now, r.deadline, usual, known) {
 		return nil
 	}
 	return errEnding
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -22,7 +22,7 @@
 // its deadline in any case; expected is the usual response time of its route, if known is set. The
 // deadline alone would refuse all requests whose timeout is longer than the time left to drain,
 // although nearly all of them end long before it.
-func (d Drain) Takes(now, deadline time.Time, expected time.Duration, known bool) bool {
+func (d Drain) Accepts(now, deadline time.Time, expected time.Duration, known bool) bool {
 	end := deadline
 	if expectedEnd := now.Add(expected); known && expectedEnd.Before(end) {
 		end = expectedEnd
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -37,7 +37,7 @@
 			o.sent++
 			now := time.Now()
 			expected, known := times.Usual()
-			if !d.Takes(now, now.Add(l.timeout), expected, known) {
+			if !d.Accepts(now, now.Add(l.timeout), expected, known) {
 				o.refused++
 				continue
 			}
@@ -105,10 +105,10 @@
 	d := Drain{CutAt: now.Add(4 * time.Second)}
 	var times AnswerTimes
 	expected, known := times.Usual()
-	if !d.Takes(now, now.Add(4*time.Second), expected, known) {
+	if !d.Accepts(now, now.Add(4*time.Second), expected, known) {
 		t.Error("a request that ends in time is refused")
 	}
-	if d.Takes(now, now.Add(4*time.Second+1), expected, known) {
+	if d.Accepts(now, now.Add(4*time.Second+1), expected, known) {
 		t.Error("a request that may be aborted is accepted")
 	}
 }
@@ -146,10 +146,10 @@
 		times.Took(2 * time.Second)
 	}
 	expected, known := times.Usual()
-	if at := now.Add(3 * time.Second); !d.Takes(at, at.Add(timeout), expected, known) {
+	if at := now.Add(3 * time.Second); !d.Accepts(at, at.Add(timeout), expected, known) {
 		t.Errorf("a response of about 2s is refused 5s before the end; estimate %v", expected)
 	}
-	if at := now.Add(5 * time.Second); d.Takes(at, at.Add(timeout), expected, known) {
+	if at := now.Add(5 * time.Second); d.Accepts(at, at.Add(timeout), expected, known) {
 		t.Errorf("a response of about 2s is accepted 3s before the end after three responses; estimate %v", expected)
 	}
 }
