--- a/gateway/server.go
+++ b/gateway/server.go
@@ -165,7 +165,7 @@
 
 // Drain closes connections after their answers, and has only requests taken that are
 // expected to end before cutAt.
-func (s *Server) Drain(cutAt time.Time) { s.drain.Store(&policy.Drain{CutAt: cutAt}) }
+func (s *Server) Drain(cutAt time.Time) { s.drain.Store(&policy.Drain{AbortAt: cutAt}) }
 
 // Ending reports whether Shutdown has begun.
 func (s *Server) Ending() bool { return s.ending.Load() }
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -15,7 +15,7 @@
 // milliseconds later.
 type Drain struct {
 	// AbortAt is when responses that are still open are aborted.
-	CutAt time.Time
+	AbortAt time.Time
 }
 
 // Accepts reports whether a request that is sent now is expected to end before AbortAt. It ends by
@@ -27,7 +27,7 @@
 	if expectedEnd := now.Add(expected); known && expectedEnd.Before(end) {
 		end = expectedEnd
 	}
-	return !end.After(d.CutAt)
+	return !end.After(d.AbortAt)
 }
 
 const (
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -32,8 +32,8 @@
 			times.Took(min(l.responseTime(rng), l.timeout))
 		}
 		began := time.Now()
-		d := Drain{CutAt: began.Add(l.grace)}
-		for ; time.Now().Before(d.CutAt); time.Sleep(every) {
+		d := Drain{AbortAt: began.Add(l.grace)}
+		for ; time.Now().Before(d.AbortAt); time.Sleep(every) {
 			o.sent++
 			now := time.Now()
 			expected, known := times.Usual()
@@ -42,7 +42,7 @@
 				continue
 			}
 			o.lastAccepted = now.Sub(began)
-			if now.Add(min(l.responseTime(rng), l.timeout)).After(d.CutAt) {
+			if now.Add(min(l.responseTime(rng), l.timeout)).After(d.AbortAt) {
 				o.aborted++
 			} else {
 				o.served++
@@ -102,7 +102,7 @@
 // accept what ends by its deadline before responses are aborted.
 func TestDrainWithoutResponseTimesUsesDeadlines(t *testing.T) {
 	now := time.Unix(0, 0)
-	d := Drain{CutAt: now.Add(4 * time.Second)}
+	d := Drain{AbortAt: now.Add(4 * time.Second)}
 	var times AnswerTimes
 	expected, known := times.Usual()
 	if !d.Accepts(now, now.Add(4*time.Second), expected, known) {
@@ -140,7 +140,7 @@
 func TestDrainWithFewResponseTimesAcceptsRequests(t *testing.T) {
 	const grace, timeout = 8 * time.Second, 15 * time.Second
 	now := time.Unix(0, 0)
-	d := Drain{CutAt: now.Add(grace)}
+	d := Drain{AbortAt: now.Add(grace)}
 	var times AnswerTimes
 	for range 3 {
 		times.Took(2 * time.Second)
