--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -19,18 +19,18 @@
 // answerTimes keeps how long answers take, by the name of their route.
 type answerTimes struct {
 	mu     sync.Mutex
-	routes map[string]*policy.AnswerTimes
+	routes map[string]*policy.ResponseTimes
 }
 
-func (t *answerTimes) of(route string) *policy.AnswerTimes {
+func (t *answerTimes) of(route string) *policy.ResponseTimes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	times := t.routes[route]
 	if times == nil {
 		if len(t.routes) >= maxRoutesTimed || t.routes == nil {
-			t.routes = map[string]*policy.AnswerTimes{}
+			t.routes = map[string]*policy.ResponseTimes{}
 		}
-		times = &policy.AnswerTimes{}
+		times = &policy.ResponseTimes{}
 		t.routes[route] = times
 	}
 	return times
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -45,7 +45,7 @@
 
 // ResponseTimes holds the times that the last responses of one route took, from the send to the
 // end. It is safe for concurrent use.
-type AnswerTimes struct {
+type ResponseTimes struct {
 	mu   sync.Mutex
 	last [responseSamples]time.Duration
 	// count is the number of all responses recorded.
@@ -53,7 +53,7 @@
 }
 
 // Record adds the time of one response.
-func (a *AnswerTimes) Took(d time.Duration) {
+func (a *ResponseTimes) Took(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.last[a.count%responseSamples] = d
@@ -62,7 +62,7 @@
 
 // Estimate returns the time within which the next response is expected to end, which all but one
 // in tailFraction of the last responses did. known is false until a response was recorded.
-func (a *AnswerTimes) Usual() (d time.Duration, known bool) {
+func (a *ResponseTimes) Usual() (d time.Duration, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := min(a.count, responseSamples)
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -27,7 +27,7 @@
 	const every = 5 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(1, 2))
-		var times AnswerTimes
+		var times ResponseTimes
 		for range responseSamples {
 			times.Took(min(l.responseTime(rng), l.timeout))
 		}
@@ -103,7 +103,7 @@
 func TestDrainWithoutResponseTimesUsesDeadlines(t *testing.T) {
 	now := time.Unix(0, 0)
 	d := Drain{AbortAt: now.Add(4 * time.Second)}
-	var times AnswerTimes
+	var times ResponseTimes
 	expected, known := times.Usual()
 	if !d.Accepts(now, now.Add(4*time.Second), expected, known) {
 		t.Error("a request that ends in time is refused")
@@ -117,7 +117,7 @@
 // instance accepts some that it has to abort.
 func TestEstimateCoversLongResponses(t *testing.T) {
 	const long = 2 * time.Second
-	var times AnswerTimes
+	var times ResponseTimes
 	for n := range 2 * responseSamples {
 		d := 100 * time.Millisecond
 		if n%6 == 0 {
@@ -141,7 +141,7 @@
 	const grace, timeout = 8 * time.Second, 15 * time.Second
 	now := time.Unix(0, 0)
 	d := Drain{AbortAt: now.Add(grace)}
-	var times AnswerTimes
+	var times ResponseTimes
 	for range 3 {
 		times.Took(2 * time.Second)
 	}
