--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -45,7 +45,7 @@
 	status := r.ctx.Response.StatusCode()
 	whole := status < fasthttp.StatusInternalServerError && status != statusCallerGone
 	if whole || errors.Is(context.Cause(r.life), errTimeout) {
-		r.srv.times.of(r.route.Name).Took(time.Since(r.sentAt))
+		r.srv.times.of(r.route.Name).Record(time.Since(r.sentAt))
 	}
 }
 
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -53,7 +53,7 @@
 }
 
 // Record adds the time of one response.
-func (a *ResponseTimes) Took(d time.Duration) {
+func (a *ResponseTimes) Record(d time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.last[a.count%responseSamples] = d
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -29,7 +29,7 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		var times ResponseTimes
 		for range responseSamples {
-			times.Took(min(l.responseTime(rng), l.timeout))
+			times.Record(min(l.responseTime(rng), l.timeout))
 		}
 		began := time.Now()
 		d := Drain{AbortAt: began.Add(l.grace)}
@@ -123,7 +123,7 @@
 		if n%6 == 0 {
 			d = long
 		}
-		times.Took(d)
+		times.Record(d)
 		if expected, known := times.Usual(); !known || expected < long {
 			t.Fatalf("estimate %v, known %v after %d responses, want %v at least", expected, known, n+1, long)
 		}
@@ -143,7 +143,7 @@
 	d := Drain{AbortAt: now.Add(grace)}
 	var times ResponseTimes
 	for range 3 {
-		times.Took(2 * time.Second)
+		times.Record(2 * time.Second)
 	}
 	expected, known := times.Usual()
 	if at := now.Add(3 * time.Second); !d.Accepts(at, at.Add(timeout), expected, known) {
