--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -56,7 +56,7 @@
 	if d == nil || r.ran > 0 {
 		return nil
 	}
-	usual, known := r.srv.times.of(r.route.Name).Usual()
+	usual, known := r.srv.times.of(r.route.Name).Estimate()
 	if d.Accepts(now, r.deadline, usual, known) {
 		return nil
 	}
--- a/policy/drain.go
+++ b/policy/drain.go
@@ -62,7 +62,7 @@
 
 // Estimate returns the time within which the next response is expected to end, which all but one
 // in tailFraction of the last responses did. known is false until a response was recorded.
-func (a *ResponseTimes) Usual() (d time.Duration, known bool) {
+func (a *ResponseTimes) Estimate() (d time.Duration, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := min(a.count, responseSamples)
--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -36,7 +36,7 @@
 		for ; time.Now().Before(d.AbortAt); time.Sleep(every) {
 			o.sent++
 			now := time.Now()
-			expected, known := times.Usual()
+			expected, known := times.Estimate()
 			if !d.Accepts(now, now.Add(l.timeout), expected, known) {
 				o.refused++
 				continue
@@ -104,7 +104,7 @@
 	now := time.Unix(0, 0)
 	d := Drain{AbortAt: now.Add(4 * time.Second)}
 	var times ResponseTimes
-	expected, known := times.Usual()
+	expected, known := times.Estimate()
 	if !d.Accepts(now, now.Add(4*time.Second), expected, known) {
 		t.Error("a request that ends in time is refused")
 	}
@@ -124,11 +124,11 @@
 			d = long
 		}
 		times.Record(d)
-		if expected, known := times.Usual(); !known || expected < long {
+		if expected, known := times.Estimate(); !known || expected < long {
 			t.Fatalf("estimate %v, known %v after %d responses, want %v at least", expected, known, n+1, long)
 		}
 	}
-	if expected, _ := times.Usual(); expected != long {
+	if expected, _ := times.Estimate(); expected != long {
 		t.Errorf("estimate %v, want the long responses' %v", expected, long)
 	}
 }
@@ -145,7 +145,7 @@
 	for range 3 {
 		times.Record(2 * time.Second)
 	}
-	expected, known := times.Usual()
+	expected, known := times.Estimate()
 	if at := now.Add(3 * time.Second); !d.Accepts(at, at.Add(timeout), expected, known) {
 		t.Errorf("a response of about 2s is refused 5s before the end; estimate %v", expected)
 	}
