--- a/monitor/watcher.go
+++ b/monitor/watcher.go
@@ -180,7 +180,7 @@
 	w.mu.Lock()
 	w.dump.Failure, w.dump.HeardAt = "", b.at
 	w.mu.Unlock()
-	changed := w.health.Heard(b.at, b.incarnation, t.Leaving || w.leaving)
+	changed := w.health.Seen(b.at, b.incarnation, t.Leaving || w.leaving)
 	now := time.Now()
 	changed = w.health.Tick(now) || changed
 	if changed || now.Sub(w.told) >= repeatEvery {
@@ -236,7 +236,7 @@
 	w.dump.Failure, w.dump.HeardAt = "", now
 	w.mu.Unlock()
 	w.leaving = s.Leaving
-	changed := w.health.Heard(now, s.Incarnation, t.Leaving || s.Leaving)
+	changed := w.health.Seen(now, s.Incarnation, t.Leaving || s.Leaving)
 	models := modelVersions(s)
 	if !slices.Equal(models, w.models) {
 		w.models = models
--- a/policy/health.go
+++ b/policy/health.go
@@ -55,7 +55,7 @@
 
 // Seen records a message from the endpoint. Messages of an older incarnation, which come from a
 // delayed connection, are ignored. It reports whether the status or the incarnation changed.
-func (h *EndpointHealth) Heard(now time.Time, incarnation uint64, leaving bool) bool {
+func (h *EndpointHealth) Seen(now time.Time, incarnation uint64, leaving bool) bool {
 	if incarnation < h.incarnation {
 		return false
 	}
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -93,15 +93,15 @@
 		event func() bool
 		want  EndpointStatus
 	}{
-		{"first message", func() bool { return h.Heard(at(0), 7, false) }, live},
+		{"first message", func() bool { return h.Seen(at(0), 7, false) }, live},
 		{"just before the timeout", func() bool { return !h.Tick(at(999)) }, live},
 		{"no message for a second", func() bool { return h.Tick(at(1000)) }, suspect},
-		{"back", func() bool { return h.Heard(at(1500), 7, false) }, live},
+		{"back", func() bool { return h.Seen(at(1500), 7, false) }, live},
 		{"refused connections", func() bool { return h.Crashed(at(1600), 7) }, suspect},
-		{"message of the dead incarnation", func() bool { return !h.Heard(at(1700), 6, false) }, suspect},
-		{"restarted", func() bool { return h.Heard(at(1800), 8, false) }, live},
+		{"message of the dead incarnation", func() bool { return !h.Seen(at(1700), 6, false) }, suspect},
+		{"restarted", func() bool { return h.Seen(at(1800), 8, false) }, live},
 		{"report of an older crash", func() bool { return !h.Crashed(at(1900), 7) }, live},
-		{"leaving", func() bool { return h.Heard(at(2000), 8, true) }, leaving},
+		{"leaving", func() bool { return h.Seen(at(2000), 8, true) }, leaving},
 		{"no message for 5 s", func() bool { return h.Tick(at(7000)) }, expelled},
 	}
 	for _, s := range steps {
