--- a/gateway/place.go
+++ b/gateway/place.go
@@ -168,7 +168,7 @@
 	q.Model, q.Wall, q.Parts, q.PromptTokens = r.call.Model, r.wall(), r.call.Parts, r.call.PromptTokens
 	if r.route.TargetLatency > 0 {
 		q.Target = r.route.TargetLatency
-		q.Patience = min(r.deadline.Sub(r.began), r.route.SilenceBound())
+		q.Patience = min(r.deadline.Sub(r.began), r.route.StreamIdleTimeout())
 	}
 	return q
 }
--- a/route/route.go
+++ b/route/route.go
@@ -72,7 +72,7 @@
 
 // StreamIdleTimeout returns how long callers of a stream wait for its first or next event before
 // they cancel the request.
-func (r *Route) SilenceBound() time.Duration {
+func (r *Route) StreamIdleTimeout() time.Duration {
 	return max(minStreamIdle, idleTargets*r.TargetLatency, idleGaps*r.TargetGap)
 }
 
