--- a/gateway/request.go
+++ b/gateway/request.go
@@ -113,7 +113,7 @@
 	if r.route == nil {
 		return errNoRoute
 	}
-	if r.table.Keyed() && !r.route.Public {
+	if r.table.RequiresKeys() && !r.route.Public {
 		if r.organisation = r.table.Organisation(call.Key); r.organisation == nil {
 			return errNoKey
 		}
--- a/route/table.go
+++ b/route/table.go
@@ -96,7 +96,7 @@
 func (t *Table) Routes() int { return t.routes }
 
 // RequiresKeys reports whether callers of routes that are not public need a key.
-func (t *Table) Keyed() bool { return len(t.organisations) > 0 }
+func (t *Table) RequiresKeys() bool { return len(t.organisations) > 0 }
 
 // Service returns a service by name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
