--- a/policy/drain_test.go
+++ b/policy/drain_test.go
@@ -78,8 +78,8 @@
 	}{
 		"short responses, short grace period":    {drainLoad{4 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 3800 * time.Millisecond, 0},
 		"short responses, long grace period":     {drainLoad{8 * time.Second, 1500 * time.Millisecond, between(20*time.Millisecond, 80*time.Millisecond)}, 7800 * time.Millisecond, 0},
-		"long responses, longer timeouts":       {drainLoad{8 * time.Second, 15 * time.Second, between(time.Second, 3*time.Second)}, 5 * time.Second, 1},
-		"responses as long as the timeouts":     {drainLoad{4 * time.Second, 2 * time.Second, mixed}, 2 * time.Second, 0},
+		"long responses, longer timeouts":        {drainLoad{8 * time.Second, 15 * time.Second, between(time.Second, 3*time.Second)}, 5 * time.Second, 1},
+		"responses as long as the timeouts":      {drainLoad{4 * time.Second, 2 * time.Second, mixed}, 2 * time.Second, 0},
 		"responses longer than the grace period": {drainLoad{4 * time.Second, 15 * time.Second, between(4*time.Second, 6*time.Second)}, 0, 0},
 	}
 	for name, l := range loads {
