--- a/owner/endpoint.go
+++ b/owner/endpoint.go
@@ -189,7 +189,7 @@
 // a round trip of a millisecond or two; a catalogue computed twice costs a
 // quarter of a second here and evicts another one.
 func (e *Endpoint) costly(a Ask, offer policy.Offer, p appraisal) bool {
-	return offer.Wait+e.window.Time(p.missing) > a.Patience
+	return offer.Wait+e.window.PrefillTime(p.missing) > a.Patience
 }
 
 // repeated answers an ask that is known already.
@@ -254,7 +254,7 @@
 	if e.pending[rankLong] == 0 {
 		return false
 	}
-	return now.Sub(e.longSince) > longPatience+longFactor*e.window.Time(e.pending[rankLong])
+	return now.Sub(e.longSince) > longPatience+longFactor*e.window.PrefillTime(e.pending[rankLong])
 }
 
 func (e *Endpoint) grant(now time.Time, a Ask, p appraisal) Decision {
--- a/owner/estimate.go
+++ b/owner/estimate.go
@@ -103,7 +103,7 @@
 		queued += e.queue[urgent].work.upTo(rankUrgent)
 		count += e.queue[urgent].length
 	}
-	prefill := e.window.Time(queued+e.before(now, r)) - e.progress(now)
+	prefill := e.window.PrefillTime(queued+e.before(now, r)) - e.progress(now)
 	return max(prefill, e.slotWait(l, count), 0)
 }
 
@@ -161,7 +161,7 @@
 // cost is the endpoint's time that a request is charged for: its prefill, which
 // nobody else can use, and its part of the slots.
 func (e *Endpoint) cost(l lane, tokens int64) float64 {
-	return e.window.Time(tokens).Seconds() + e.hold[l].Seconds()/float64(max(e.cfg.Slots, 1))
+	return e.window.PrefillTime(tokens).Seconds() + e.hold[l].Seconds()/float64(max(e.cfg.Slots, 1))
 }
 
 // retryAfter tells a refused caller when to come back. Callers that were
--- a/policy/window.go
+++ b/policy/window.go
@@ -68,15 +68,15 @@
 // Rate returns the measured prefill rate in tokens per second.
 func (w *Window) Rate() float64 { return w.tokens / w.busy }
 
-// Time returns how long the endpoint takes to prefill the given number of tokens.
-func (w *Window) Time(tokens int64) time.Duration {
+// PrefillTime returns how long the endpoint takes to prefill the given number of tokens.
+func (w *Window) PrefillTime(tokens int64) time.Duration {
 	return seconds(float64(tokens) / w.Rate())
 }
 
 // Admits reports whether another request may be sent while the given number of tokens is
 // outstanding. An idle endpoint always gets one request.
 func (w *Window) Admits(outstanding int64) bool {
-	return outstanding <= 0 || w.Time(outstanding) < windowTime
+	return outstanding <= 0 || w.PrefillTime(outstanding) < windowTime
 }
 
 // Since returns how long the endpoint has been computing since its last first token, at most the
@@ -85,5 +85,5 @@
 	if outstanding <= 0 || w.last.IsZero() {
 		return 0
 	}
-	return min(max(now.Sub(w.last), 0), w.Time(outstanding))
+	return min(max(now.Sub(w.last), 0), w.PrefillTime(outstanding))
 }
