--- a/owner/estimate.go
+++ b/owner/estimate.go
@@ -125,7 +125,7 @@
 
 // progress is how long the endpoint has been computing on what is pending.
 func (e *Endpoint) progress(now time.Time) time.Duration {
-	return e.window.Since(now, e.pending[rankUrgent]+e.pending[rankShort]+e.pending[rankLong])
+	return e.window.BusyTime(now, e.pending[rankUrgent]+e.pending[rankShort]+e.pending[rankLong])
 }
 
 // slotWait is the time until a slot is free behind count others: as many
--- a/policy/window.go
+++ b/policy/window.go
@@ -79,9 +79,9 @@
 	return outstanding <= 0 || w.PrefillTime(outstanding) < windowTime
 }
 
-// Since returns how long the endpoint has been computing since its last first token, at most the
+// BusyTime returns how long the endpoint has been computing since its last first token, at most the
 // time that the outstanding tokens take.
-func (w *Window) Since(now time.Time, outstanding int64) time.Duration {
+func (w *Window) BusyTime(now time.Time, outstanding int64) time.Duration {
 	if outstanding <= 0 || w.last.IsZero() {
 		return 0
 	}
