--- a/directory/change.go
+++ b/directory/change.go
@@ -2,19 +2,19 @@
 
 import "github.com/sardinedock/sardinedock/objectapi"
 
-// Source is how a change has come to this instance.
+// Source is the way by which a change reached this instance.
 type Source string
 
 const (
-	// FromWatch is a change that this instance's own watch has brought.
+	// FromWatch is a change delivered by this instance's own watch.
 	FromWatch Source = "watch"
-	// FromPeer is one that another instance has sent.
+	// FromPeer is a change sent by another instance.
 	FromPeer Source = "peer"
-	// FromRead is one that this instance has found by listing the kind.
+	// FromRead is a change found by this instance when it listed the kind.
 	FromRead Source = "read"
 )
 
-// Change is an object that has changed, and how the change has come.
+// Change is a changed object and the source of the change.
 type Change struct {
 	objectapi.Object
 	Source Source
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -1,6 +1,6 @@
-// Package directory follows kinds of objects in the platform's store: records,
-// endpoints, weights, instances. What it has seen is never taken back by an
-// older read.
+// Package directory follows kinds of objects in the platform's store (records, endpoints,
+// weights, instances) by watches and reads, and shares the changes with the other
+// instances. A stale read never reverts a newer change that was already applied.
 package directory
 
 import (
@@ -19,127 +19,128 @@
 )
 
 const (
-	// firstRetry and lastRetry bound the pauses between calls of a store that
-	// does not answer: long enough to keep a fleet of hundreds below its rates,
-	// short enough to be in step again within a fraction of the bounds on
-	// changes once it is back.
-	firstRetry = 50 * time.Millisecond
-	lastRetry  = 600 * time.Millisecond
-	// shortWatch is a watch that ended at once, such as one that the store
-	// refuses while it answers reads; the next one then waits for a pause.
-	shortWatch = 200 * time.Millisecond
-	// hintPause is the least time from the word of a newer revision to a read for
-	// it, and as much again is drawn. Changes reach all within some ms, and the
-	// tightest bound on them is seconds.
-	hintPause = 100 * time.Millisecond
-	// checkLook is how often it is looked whether the kind has to be read: who is
-	// there, and so whose turn it is, changes meanwhile.
-	checkLook = 100 * time.Millisecond
-	// maxFound bounds the changes found by one read that are sent to the others whole. Where
-	// there are more, such as after a long outage, reading them costs the others less.
-	maxFound = 50
-	// maxRemoved bounds what is remembered of removed objects.
-	maxRemoved = 4096
-	// sweepEvery is how often lapsed entries are looked at.
-	sweepEvery = 100 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the backoff between calls to a store that does not
+	// answer: long enough to keep a fleet of hundreds below the store's rate limits, short
+	// enough to catch up within a fraction of the propagation bounds once the store is
+	// back.
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = 600 * time.Millisecond
+	// minWatchDuration is the duration below which a watch counts as failed, for example because
+	// the store refuses watches while it answers reads; the next watch is then opened after
+	// a backoff.
+	minWatchDuration = 200 * time.Millisecond
+	// hintDelay is the least delay between a hint of a newer revision and the read for it;
+	// a random delay of up to the same length is added. Changes normally reach all
+	// instances within milliseconds, and the tightest propagation bound is seconds.
+	hintDelay = 100 * time.Millisecond
+	// checkInterval is how often the follower checks whether the kind is due to be read. The
+	// membership, and with it the order in which instances read, may change meanwhile.
+	checkInterval = 100 * time.Millisecond
+	// maxForwarded bounds the changes found by one read that are sent to peers as whole
+	// objects. For more, for example after a long outage, a read by each peer costs less.
+	maxForwarded = 50
+	// maxTombstones bounds the tombstones of removed objects.
+	maxTombstones = 4096
+	// sweepInterval is the interval between checks for lapsed entries that can be dropped.
+	sweepInterval = 100 * time.Millisecond
 )
 
-// Config is what a Follower needs.
+// Config configures a Follower.
 type Config struct {
 	Store objectapi.Store
-	// Kind of the objects.
+	// Kind is the kind of objects to follow.
 	Kind string
-	// Every is the time between two reads of the kind by the whole fleet, besides the
-	// watches, which may be deaf without breaking.
+	// Every is the interval between reads of the kind by the fleet as a whole. Reads
+	// complement the watches because a watch may stop delivering events without an error.
 	Every time.Duration
-	// Place is this instance's place among those that read the kind in turn; nil means the
-	// first. The next one reads only where those before it fail to.
+	// Place returns this instance's position, from 0, in the order in which instances read
+	// the kind; nil means 0. An instance reads only if those before it fail to.
 	Place func() int
-	// Read is told of each read, so that others need not read too; nil tells nobody.
+	// Read, if not nil, is called after each successful read so that peers can skip theirs.
 	Read func(kind string)
-	// LapseAfter is the shortest outage of the store in which entries can lapse
-	// though their owners live; those that disappear around one are kept until they
-	// can have been renewed. 0 means that entries do not lapse.
+	// LapseAfter is the shortest store outage in which entries can expire although their
+	// owners are alive. Entries that disappear around such an outage are kept until their
+	// owners have had time to renew them. 0 means that entries do not expire.
 	LapseAfter time.Duration
-	// Changed is told of the objects that have changed, in order, by one goroutine at
-	// a time; the first call comes with the first list, also if that is empty. It must
-	// not block.
+	// Changed is called with the changed objects, in order and never concurrently. The
+	// first call follows the first list, even if that is empty. It must not block.
 	Changed func(changes []Change)
-	// Seen is told of each newer revision that this instance's own reads and watch
-	// bring, but for those that Heard is told of; nil tells nobody.
+	// Seen, if not nil, is called with each newer revision that this instance's own reads
+	// and watch bring, except for changes passed to Heard.
 	//
-	// What a peer has sent is not sent on: each instance would send each change to all
-	// others.
+	// Changes received from a peer are not forwarded, because then each instance would send
+	// each change to all others.
 	Seen func(kind string, revision uint64)
-	// Watches tells whether this instance watches the kind itself; nil means
-	// yes. Where it does not, it lives by what Take is given and by its reads.
+	// Watches reports whether this instance watches the kind itself; nil means that it
+	// does. An instance that does not watch relies on Take and its own reads.
 	Watches func() bool
-	// Heard is told of each change that the watch brings or a read in turn finds, and of
-	// the revision of the one before; steady says that no outage here makes a removal
-	// doubtful. Nil tells nobody.
+	// Heard, if not nil, is called with each change that the watch delivers or a scheduled
+	// read finds, and with the revision of the change before it. steady reports that this
+	// instance saw no outage that would make a removal ambiguous.
 	Heard func(obj objectapi.Object, before uint64, steady bool)
-	// Reached is told when the store is lost or answers again; nil tells nobody.
+	// Reached, if not nil, is called with false when the store becomes unreachable and with
+	// true when it answers again.
 	Reached func(bool)
 }
 
-// Follower is the duty that follows one kind. Hint may be called by any
-// goroutine.
+// Follower follows one kind of objects. Hint may be called from any goroutine.
 type Follower struct {
 	cfg  Config
 	hint chan struct{}
 
 	mu sync.Mutex
-	// hinted is the newest revision that anybody has told of.
-	hinted objectapi.Version
-	// missed says that a change was told of whose predecessor is not known here.
+	// newestHint is the newest revision that a peer has reported.
+	newestHint objectapi.Version
+	// missed reports that a change arrived whose predecessor is not known here.
 	missed bool
-	// revision up to which all changes are known, and lastChange the newest of
-	// the kind that was seen.
+	// revision is the one up to which all changes are known; lastChange is the newest
+	// change of the kind that was seen.
 	revision   objectapi.Version
 	lastChange objectapi.Version
 	listed     bool
-	// readAt is when any instance has read the kind last, as far as known here.
+	// readAt is the time of the last read of the kind by any instance, as far as known
+	// here.
 	readAt  time.Time
 	objects map[string]objectapi.Object
-	// changes have not been handed on yet.
+	// changes have not been passed to Config.Changed yet.
 	changes []Change
-	// removed remembers at which revision an object went, so that an older read
-	// does not bring it back.
-	removed map[string]objectapi.Version
-	// lapsed entries are missing in the store but kept for now; held are those of them
-	// that no line has told of yet.
+	// tombstones maps the name of a removed object to the revision of its removal, so that a
+	// stale read does not restore it.
+	tombstones map[string]objectapi.Version
+	// lapsed holds the entries that are missing in the store but kept for now; held
+	// collects those of them that have not been logged yet.
 	lapsed  map[string]bool
 	held    held
 	outages outages
-	// reachable says that this instance's last call was answered, lostAt since when none
-	// was.
+	// reachable reports that this instance's last call was answered; lostAt is when calls
+	// began to fail.
 	reachable bool
 	lostAt    time.Time
-	// failures is how many calls have failed since one was answered or the store came
-	// back, lastTry when the last one did.
+	// failures counts the failed calls since the last answer or the end of the outage;
+	// lastTry is when the last of them failed, or when the outage ended.
 	failures int
 	lastTry  time.Time
 }
 
-// NewFollower returns a follower that Run starts.
+// NewFollower returns a follower; call Run to start it.
 func NewFollower(cfg Config) *Follower {
 	return &Follower{
-		cfg:     cfg,
-		hint:    make(chan struct{}, 1),
-		objects: map[string]objectapi.Object{},
-		removed: map[string]objectapi.Version{},
-		lapsed:  map[string]bool{},
+		cfg:        cfg,
+		hint:       make(chan struct{}, 1),
+		objects:    map[string]objectapi.Object{},
+		tombstones: map[string]objectapi.Version{},
+		lapsed:     map[string]bool{},
 	}
 }
 
-// SetLapseAfter replaces the setting of that name.
+// SetLapseAfter replaces Config.LapseAfter.
 func (f *Follower) SetLapseAfter(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cfg.LapseAfter = d
 }
 
-// lapses reports whether entries of the kind can lapse.
+// lapses reports whether entries of the kind can expire.
 func (f *Follower) lapses() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -153,102 +154,102 @@
 	if f.lapses() {
 		wg.Go(func() { f.sweep(ctx) })
 	}
-	pause := firstRetry
+	pause := minRetryDelay
 	behind := true
 	for ctx.Err() == nil {
-		if behind && !f.read(ctx, inTurn) {
+		if behind && !f.read(ctx, scheduled) {
 			_ = clock.Sleep(ctx, pause)
-			pause = min(2*pause, lastRetry)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
 		behind = false
 		if !f.watches() {
-			f.waitForTurn(ctx)
+			f.waitUntilWatching(ctx)
 			continue
 		}
 		began := time.Now()
 		f.watch(ctx)
-		// A watch that others have taken over has missed nothing: the next one goes on
-		// where it ended.
+		// A watch that ended because other instances took over has missed nothing; the next
+		// one resumes where it ended.
 		behind = f.watches()
-		if time.Since(began) < shortWatch {
+		if time.Since(began) < minWatchDuration {
 			_ = clock.Sleep(ctx, pause)
-			pause = min(2*pause, lastRetry)
+			pause = min(2*pause, maxRetryDelay)
 			continue
 		}
-		pause = firstRetry
+		pause = minRetryDelay
 	}
 	wg.Wait()
 }
 
 func (f *Follower) watches() bool { return f.cfg.Watches == nil || f.cfg.Watches() }
 
-// turnEvery is how often an instance looks whether it has to watch: often enough
-// that the watch of one that died is taken over within the bounds on changes.
-const turnEvery = 100 * time.Millisecond
+// roleCheckInterval is how often an instance checks whether it has to watch: often enough that the
+// watch of a crashed instance is replaced within the propagation bounds.
+const roleCheckInterval = 100 * time.Millisecond
 
-// waitForTurn blocks while others watch the kind.
-func (f *Follower) waitForTurn(ctx context.Context) {
-	for !f.watches() && clock.Sleep(ctx, turnEvery) == nil {
+// waitUntilWatching blocks while other instances watch the kind for this one.
+func (f *Follower) waitUntilWatching(ctx context.Context) {
+	for !f.watches() && clock.Sleep(ctx, roleCheckInterval) == nil {
 	}
 }
 
-// check reads the kind now and then, and when a peer has seen something newer.
+// check reads the kind when its turn is due, and when a peer reports a newer revision.
 //
-// Load: the store turns this instance away while peers tell of newer revisions
-// many times a second. Harm prevented: a call for each of these, all of them
-// refused. After a failed read, hints wait for a pause that grows.
+// Peers may report newer revisions many times a second while the store refuses this
+// instance's calls. A read for each report would only be refused again, so hints are
+// subject to a growing backoff after a failed read.
 func (f *Follower) check(ctx context.Context) {
-	pause := firstRetry
+	pause := minRetryDelay
 	for {
-		due := f.untilCheck()
-		timer := time.NewTimer(min(due, checkLook))
-		why := inTurn
+		due := f.timeUntilRead()
+		timer := time.NewTimer(min(due, checkInterval))
+		reason := scheduled
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
 		case <-timer.C:
-			if due > checkLook || f.untilCheck() > 0 {
+			if due > checkInterval || f.timeUntilRead() > 0 {
 				continue
 			}
 		case <-f.hint:
-			// The change itself is mostly on its way, by this instance's watch or
-			// by another one's word. Without the pause, each instance of a large
-			// fleet would read the kind for each change of it.
-			if f.awaitHinted(ctx) {
+			// The change itself usually follows within milliseconds, from this instance's
+			// watch or from a peer. Without this delay, each instance of a large fleet
+			// would read the kind for every change.
+			if f.awaitHintedChange(ctx) {
 				timer.Stop()
-				f.again()
+				f.rehint()
 				continue
 			}
-			why = hinted
+			reason = onHint
 		}
 		timer.Stop()
-		if f.read(ctx, why) {
-			pause = firstRetry
+		if f.read(ctx, reason) {
+			pause = minRetryDelay
 			continue
 		}
 		_ = clock.Sleep(ctx, pause)
-		pause = min(2*pause, lastRetry)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// untilCheck is how long it is until the kind has to be read.
-func (f *Follower) untilCheck() time.Duration {
+// timeUntilRead returns the time until the kind has to be read.
+func (f *Follower) timeUntilRead() time.Duration {
 	place := f.place()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
 	case !f.listed:
-		// The first read is Run's own; a second one beside it would bring the same.
-		return 2 * checkLook
+		// Run does the first read; a second one in parallel would return the same.
+		return 2 * checkInterval
 	case f.reachable:
-		return max(f.cfg.Every+time.Duration(place)*turnStagger-time.Since(f.readAt), 0)
+		return max(f.cfg.Every+time.Duration(place)*readStagger-time.Since(f.readAt), 0)
 	}
-	return max(probePause(place, f.failures, f.cfg.Every)-time.Since(f.lastTry), 0)
+	return max(probeDelay(place, f.failures, f.cfg.Every)-time.Since(f.lastTry), 0)
 }
 
-// place is this instance's place among those that read the kind.
+// place returns this instance's position in the read order.
 func (f *Follower) place() int {
 	if f.cfg.Place == nil {
 		return 0
@@ -256,32 +257,34 @@
 	return f.cfg.Place()
 }
 
-// Checked says when another instance has read the kind; its revisions are told apart.
+// Checked records that another instance read the kind at the given time. The revisions it
+// found are reported separately, by Hint or Take.
 func (f *Follower) Checked(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.checked(at)
+	f.checkedLocked(at)
 }
 
-func (f *Follower) checked(at time.Time) {
+func (f *Follower) checkedLocked(at time.Time) {
 	f.storeAnswered(at)
 	if at.After(f.readAt) {
 		f.readAt = at
 	}
 }
 
-// occasion is why a kind is read.
-type occasion int
+// readReason is the reason for a read.
+type readReason int
 
 const (
-	// inTurn is a read for the whole fleet.
-	inTurn occasion = iota
-	// hinted is one after a peer has sent a newer revision; others read too.
-	hinted
+	// scheduled is a scheduled read on behalf of the whole fleet.
+	scheduled readReason = iota
+	// onHint is a read because a peer reported a newer revision; other instances may read
+	// too.
+	onHint
 )
 
-// read takes in what the store holds now.
-func (f *Follower) read(ctx context.Context, why occasion) bool {
+// read lists the kind and applies the result; it reports whether the store answered.
+func (f *Follower) read(ctx context.Context, reason readReason) bool {
 	began := time.Now()
 	l, err := f.cfg.Store.List(ctx, f.cfg.Kind)
 	if err != nil {
@@ -293,11 +296,11 @@
 	if f.cfg.Read != nil {
 		f.cfg.Read(f.cfg.Kind)
 	}
-	f.takeList(l, why)
+	f.applyList(l, reason)
 	return true
 }
 
-// watch takes in changes until the watch ends.
+// watch applies changes until the watch ends.
 func (f *Follower) watch(ctx context.Context) {
 	f.mu.Lock()
 	from := f.revision
@@ -305,7 +308,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	if f.cfg.Watches != nil {
-		go f.endWithTurn(ctx, cancel)
+		go f.cancelWhenReplaced(ctx, cancel)
 	}
 	w, err := f.cfg.Store.Watch(ctx, f.cfg.Kind, from)
 	if err != nil {
@@ -321,13 +324,13 @@
 			}
 			return
 		}
-		f.takeEvent(obj)
+		f.applyEvent(obj)
 	}
 }
 
-// endWithTurn ends the watch when others have taken it over.
-func (f *Follower) endWithTurn(ctx context.Context, cancel context.CancelFunc) {
-	for clock.Sleep(ctx, turnEvery) == nil {
+// cancelWhenReplaced cancels the watch when other instances have taken over.
+func (f *Follower) cancelWhenReplaced(ctx context.Context, cancel context.CancelFunc) {
+	for clock.Sleep(ctx, roleCheckInterval) == nil {
 		if !f.watches() {
 			cancel()
 		}
@@ -352,24 +355,24 @@
 	f.reachable = false
 	f.lostAt = f.lastTry
 	log.WithField("kind", f.cfg.Kind).WithField("why", err.Error()).Warn("store lost")
-	f.tellReached(false)
+	f.notifyReachable(false)
 }
 
-func (f *Follower) tellReached(reached bool) {
+func (f *Follower) notifyReachable(reached bool) {
 	if f.cfg.Reached != nil {
 		f.cfg.Reached(reached)
 	}
 }
 
-// answered notes that the store has answered a call of this instance.
+// answered records that the store answered a call of this instance.
 func (f *Follower) answered(by Source) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reached(by)
+	f.answeredLocked(by)
 }
 
-// reached is answered; the mutex is held.
-func (f *Follower) reached(by Source) {
+// answeredLocked is answered for callers that hold f.mu.
+func (f *Follower) answeredLocked(by Source) {
 	now := time.Now()
 	f.storeAnswered(now)
 	f.failures = 0
@@ -377,7 +380,7 @@
 		return
 	}
 	f.reachable = true
-	f.tellReached(true)
+	f.notifyReachable(true)
 	line := log.WithField("kind", f.cfg.Kind).WithField("source", by)
 	if !f.lostAt.IsZero() {
 		line = line.WithField("lost_ms", now.Sub(f.lostAt).Milliseconds())
@@ -385,31 +388,32 @@
 	line.Info("store reached")
 }
 
-// storeAnswered notes that the store has answered this instance or a peer; the mutex is
-// held.
+// storeAnswered records that the store answered this instance or a peer. The caller holds
+// f.mu.
 func (f *Follower) storeAnswered(at time.Time) {
 	if f.outages.answered(at, f.cfg.LapseAfter) {
-		// What this instance could not do in the outage, it may be able to do now.
+		// Calls that failed during the outage may succeed now: try again in turn.
 		f.failures, f.lastTry = 0, time.Now()
 	}
 }
 
-// Reachable reports whether the last call was answered.
+// Reachable reports whether the store answered this instance's last call.
 func (f *Follower) Reachable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.reachable
 }
 
-// Revision returns the newest revision seen.
+// Revision returns the revision up to which all changes are known.
 func (f *Follower) Revision() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return uint64(f.revision)
 }
 
-// takeList merges a list; nothing newer is taken back by an older one.
-func (f *Follower) takeList(l objectapi.Listing, why occasion) {
+// applyList merges a list into the known state; objects that are newer than the list are
+// kept.
+func (f *Follower) applyList(l objectapi.Listing, reason readReason) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first, before := !f.listed, f.lastChange
@@ -427,23 +431,24 @@
 	}
 	found := f.changes
 	f.advance(l.Version)
-	f.tell(changed)
+	f.deliver(changed)
 	if !changed {
 		return
 	}
-	f.seen()
-	if why == inTurn && !first {
-		f.sendFound(found, before)
+	f.publishRevision()
+	if reason == scheduled && !first {
+		f.publishFound(found, before)
 	}
 }
 
-// sendFound sends the others the changes that a read has found, oldest first; before is
-// the last change known until then. The mutex is held.
+// publishFound sends peers the changes that a read found, oldest first; before is the last
+// change known until then. The caller holds f.mu.
 //
-// Failure: the watches are silent while an endpoint leaves, and some instances can't read
-// at that moment. Sent a revision alone, they would use the endpoint until they can.
-func (f *Follower) sendFound(found []Change, before objectapi.Version) {
-	if f.cfg.Heard == nil || len(found) > maxFound {
+// The watches may deliver nothing while an endpoint leaves, and some instances may be
+// unable to read at that moment. If they received only a revision, they would use the
+// endpoint until they can read again.
+func (f *Follower) publishFound(found []Change, before objectapi.Version) {
+	if f.cfg.Heard == nil || len(found) > maxForwarded {
 		return
 	}
 	found = slices.Clone(found)
@@ -455,28 +460,28 @@
 	}
 }
 
-func (f *Follower) takeEvent(obj objectapi.Object) {
+func (f *Follower) applyEvent(obj objectapi.Object) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reached(FromWatch)
+	f.answeredLocked(FromWatch)
 	before := f.lastChange
 	f.apply(obj, FromWatch)
 	f.advance(obj.Version)
 	if f.cfg.Heard == nil {
-		f.seen()
+		f.publishRevision()
 		return
 	}
 	f.cfg.Heard(obj, uint64(before), !f.mayHaveLapsed())
 }
 
-// seen tells the newest change known; the mutex is held.
-func (f *Follower) seen() {
+// publishRevision reports the newest known change to peers. The caller holds f.mu.
+func (f *Follower) publishRevision() {
 	if f.cfg.Seen != nil {
 		f.cfg.Seen(f.cfg.Kind, uint64(f.lastChange))
 	}
 }
 
-// apply takes in one change; the mutex is held.
+// apply applies one change. The caller holds f.mu.
 func (f *Follower) apply(obj objectapi.Object, by Source) {
 	changed := false
 	if obj.Deleted {
@@ -485,11 +490,11 @@
 		changed = f.merge(obj, by)
 	}
 	f.lastChange = max(f.lastChange, obj.Version)
-	f.tell(changed)
+	f.deliver(changed)
 }
 
 func (f *Follower) merge(obj objectapi.Object, by Source) bool {
-	if obj.Version <= f.removed[obj.Name] {
+	if obj.Version <= f.tombstones[obj.Name] {
 		return false
 	}
 	delete(f.lapsed, obj.Name)
@@ -501,8 +506,8 @@
 	return true
 }
 
-// remove drops an entry, unless it seems to have lapsed while its owner could
-// not renew it.
+// remove drops an entry, unless it may have expired because its owner could not renew it.
+// It reports whether the entry was dropped.
 func (f *Follower) remove(name string, at objectapi.Version, by Source) bool {
 	if _, ok := f.objects[name]; !ok {
 		return false
@@ -524,20 +529,20 @@
 	}
 	delete(f.objects, name)
 	delete(f.lapsed, name)
-	f.removed[name] = at
-	if len(f.removed) > maxRemoved {
-		f.forgetRemoved()
+	f.tombstones[name] = at
+	if len(f.tombstones) > maxTombstones {
+		f.pruneTombstones()
 	}
 	f.lastChange = max(f.lastChange, at)
 }
 
-// forgetRemoved drops the older half of what is remembered of removed objects. It
-// guards against reads that were under way when an object went, which are seconds
-// old; without a bound it would grow with every endpoint that ever was.
-func (f *Follower) forgetRemoved() {
-	revisions := slices.Sorted(maps.Values(f.removed))
+// pruneTombstones drops the older half of the tombstones. They protect against reads that
+// were in flight when an object was removed, which are at most seconds old; without a bound
+// they would grow with every endpoint that ever existed.
+func (f *Follower) pruneTombstones() {
+	revisions := slices.Sorted(maps.Values(f.tombstones))
 	middle := revisions[len(revisions)/2]
-	maps.DeleteFunc(f.removed, func(_ string, at objectapi.Version) bool { return at < middle })
+	maps.DeleteFunc(f.tombstones, func(_ string, at objectapi.Version) bool { return at < middle })
 }
 
 func (f *Follower) advance(revision objectapi.Version) {
@@ -547,12 +552,13 @@
 	f.revision = revision
 }
 
-// tell hands changes on; the mutex is held, so that they come in order.
+// deliver passes the pending changes to Config.Changed. The caller holds f.mu, which keeps the
+// calls in order.
 //
-// Load: a pool of 140 endpoints takes new weights, and each entry changes twice. Harm
-// prevented: with all objects handed on at each change, 62 instances spent two thirds
-// of what they allocated on lists in which one entry was new.
-func (f *Follower) tell(changed bool) {
+// Only changed objects are passed on: when a pool of 140 endpoints took new weights and
+// each entry changed twice, passing on all objects at each change made 62 instances spend
+// two thirds of their allocations on lists with one new entry.
+func (f *Follower) deliver(changed bool) {
 	if !changed {
 		return
 	}
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -440,17 +440,17 @@
 // not grow with them, or it runs out of memory one day.
 func TestMemoryOfRemovedObjectsIsBounded(t *testing.T) {
 	f := NewFollower(Config{Kind: "endpoints", Changed: func([]Change) {}})
-	f.takeList(objectapi.Listing{Version: 1}, inTurn)
-	for i := range 4 * maxRemoved {
+	f.applyList(objectapi.Listing{Version: 1}, scheduled)
+	for i := range 4 * maxTombstones {
 		name := strconv.Itoa(i)
-		f.takeEvent(objectapi.Object{Name: name, Version: objectapi.Version(2*i + 2)})
-		f.takeEvent(objectapi.Object{Name: name, Version: objectapi.Version(2*i + 3), Deleted: true})
+		f.applyEvent(objectapi.Object{Name: name, Version: objectapi.Version(2*i + 2)})
+		f.applyEvent(objectapi.Object{Name: name, Version: objectapi.Version(2*i + 3), Deleted: true})
 	}
-	if len(f.removed) > maxRemoved || len(f.objects) > 0 {
-		t.Errorf("%d removed objects remembered, %d objects held", len(f.removed), len(f.objects))
+	if len(f.tombstones) > maxTombstones || len(f.objects) > 0 {
+		t.Errorf("%d removed objects remembered, %d objects held", len(f.tombstones), len(f.objects))
 	}
-	last := strconv.Itoa(4*maxRemoved - 1)
-	f.takeEvent(objectapi.Object{Name: last, Version: 3})
+	last := strconv.Itoa(4*maxTombstones - 1)
+	f.applyEvent(objectapi.Object{Name: last, Version: 3})
 	if len(f.objects) > 0 {
 		t.Error("an old read brought back what was removed last")
 	}
--- a/directory/hints.go
+++ b/directory/hints.go
@@ -9,54 +9,54 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// Hint says that a revision exists somewhere; the kind is read at once if it is
-// newer than what is known here.
+// Hint reports a revision that exists in the store. If it is newer than what is known here,
+// the kind is read unless the change arrives first.
 func (f *Follower) Hint(revision uint64) {
 	f.mu.Lock()
-	f.hinted = max(f.hinted, objectapi.Version(revision))
+	f.newestHint = max(f.newestHint, objectapi.Version(revision))
 	newer := f.behind()
 	f.mu.Unlock()
 	if newer {
-		f.readSoon()
+		f.requestRead()
 	}
 }
 
-// behind reports whether somebody has told of a newer revision; the mutex is held.
-func (f *Follower) behind() bool { return f.hinted > max(f.revision, f.lastChange) }
+// behind reports whether a peer has reported a newer revision. The caller holds f.mu.
+func (f *Follower) behind() bool { return f.newestHint > max(f.revision, f.lastChange) }
 
-// awaitHinted waits for the change that a hint tells of. It reports whether the
-// change has come by itself.
-func (f *Follower) awaitHinted(ctx context.Context) bool {
+// awaitHintedChange waits for the change that a hint announced, and reports whether it arrived
+// without a read.
+func (f *Follower) awaitHintedChange(ctx context.Context) bool {
 	f.mu.Lock()
-	told := f.hinted
+	target := f.newestHint
 	f.mu.Unlock()
-	_ = clock.Sleep(ctx, hintPause+rand.N(hintPause))
+	_ = clock.Sleep(ctx, hintDelay+rand.N(hintDelay))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.missed && told <= max(f.revision, f.lastChange)
+	return !f.missed && target <= max(f.revision, f.lastChange)
 }
 
-// again looks after newer hints that came during the wait for one.
-func (f *Follower) again() {
+// rehint requests a read if newer hints arrived while awaitHintedChange was waiting.
+func (f *Follower) rehint() {
 	f.mu.Lock()
 	newer := f.behind()
 	f.mu.Unlock()
 	if newer {
-		f.readSoon()
+		f.requestRead()
 	}
 }
 
-func (f *Follower) readSoon() {
+func (f *Follower) requestRead() {
 	select {
 	case f.hint <- struct{}{}:
 	default:
 	}
 }
 
-// Take takes in a change that another instance's watch has heard of. before is
-// the revision of the kind's last change before it; if that one is not known
-// here, the kind is read. steady says that the other instance knows a removal from a
-// lapse, whatever outage there was here.
+// Take applies a change received from another instance. before is the revision of the
+// kind's previous change; if that is not known here, the kind is read. steady reports that
+// the sender can distinguish a removal from an expiry, so that a removal is applied at once
+// even after an outage here.
 func (f *Follower) Take(obj objectapi.Object, before uint64, steady bool) {
 	f.mu.Lock()
 	f.storeAnswered(time.Now())
@@ -66,12 +66,12 @@
 	case !f.listed:
 	case obj.Deleted && steady:
 		f.drop(obj.Name, obj.Version, FromPeer)
-		f.tell(len(f.changes) > 0)
+		f.deliver(len(f.changes) > 0)
 	default:
 		f.apply(obj, FromPeer)
 	}
 	f.mu.Unlock()
 	if missed {
-		f.readSoon()
+		f.requestRead()
 	}
 }
--- a/directory/lapsed.go
+++ b/directory/lapsed.go
@@ -13,11 +13,11 @@
 
 var heldTotal = metrics.GetOrCreateCounter("sardinedock_directory_removals_held_total")
 
-// maxHeldNames bounds the entries that one line names.
+// maxHeldNames bounds the entry names in one log line.
 const maxHeldNames = 5
 
-// held gathers removals that are held back, for one line about all of them: an outage may
-// let thousands of entries lapse at once.
+// held collects removals that are held back so that they share one log line: in an outage,
+// thousands of entries may expire at once.
 type held struct {
 	names    []string
 	count    int
@@ -34,7 +34,7 @@
 	h.revision, h.source = revision, by
 }
 
-// logHeld writes the line about the removals held back since the last one; the mutex is held.
+// logHeld logs the removals held back since its last call. The caller holds f.mu.
 func (f *Follower) logHeld() {
 	if f.held.count == 0 {
 		return
@@ -46,21 +46,22 @@
 	f.held = held{}
 }
 
-// Held returns how many entries are missing in the store and kept for now.
+// Held returns the number of entries that are missing in the store and kept for now.
 func (f *Follower) Held() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.lapsed)
 }
 
-// mayHaveLapsed reports whether a removal may be a lapse; the mutex is held.
+// mayHaveLapsed reports whether a removal may be an expiry caused by an outage. The caller
+// holds f.mu.
 func (f *Follower) mayHaveLapsed() bool {
 	return f.cfg.LapseAfter > 0 && f.outages.mayHaveLapsed(time.Now(), f.cfg.LapseAfter)
 }
 
-// sweep drops lapsed entries that nobody has renewed in time.
+// sweep drops lapsed entries that were not renewed in time.
 func (f *Follower) sweep(ctx context.Context) {
-	for clock.Sleep(ctx, sweepEvery) == nil {
+	for clock.Sleep(ctx, sweepInterval) == nil {
 		f.mu.Lock()
 		f.logHeld()
 		changed := false
@@ -71,7 +72,7 @@
 				log.WithField("kind", f.cfg.Kind).WithField("name", name).Info("lapsed entry gone")
 			}
 		}
-		f.tell(changed)
+		f.deliver(changed)
 		f.mu.Unlock()
 	}
 }
--- a/directory/outage.go
+++ b/directory/outage.go
@@ -2,31 +2,32 @@
 
 import "time"
 
-// lapsedGrace is how long after the store answers again an entry that is missing may
-// have lapsed in the outage: endpoints that live have renewed theirs by then, and what is
-// still missing has gone.
+// lapsedGrace is how long after the end of an outage a missing entry may still have expired
+// because of it. Live endpoints renew their entries within this time; what is still missing
+// then has been removed.
 const lapsedGrace = 2 * time.Second
 
-// outages tells when entries can have lapsed though their owners live: while the store
-// answered nobody, and for a moment afterwards. Any answer that this instance or a peer
-// has received ends an outage, since endpoints can renew their entries again. It is pure:
-// the time is an argument.
+// outages tracks when entries can have expired although their owners are alive: while the
+// store answered no instance, and for lapsedGrace afterwards. Any answer to this instance
+// or a peer ends an outage, since endpoints can then renew their entries again. It does not
+// read the clock: the time is an argument.
 type outages struct {
-	// answeredAt is when the store has last answered anybody, as far as known here.
+	// answeredAt is when the store last answered any instance, as far as known here.
 	answeredAt time.Time
-	// failedAt is when a call of this instance has last failed.
+	// failedAt is when a call of this instance last failed.
 	failedAt time.Time
-	// length of the last outage in which entries can have lapsed, and when it ended.
+	// length is the duration of the last outage in which entries can have expired, and
+	// endedAt its end.
 	length  time.Duration
 	endedAt time.Time
 }
 
-// failed notes that a call of this instance has had no answer.
+// failed records a failed call of this instance.
 func (o *outages) failed(at time.Time) { o.failedAt = at }
 
-// answered notes that the store has answered somebody; lapseAfter is the shortest outage
-// in which entries lapse. Answers may be reported late and in any order. It reports whether
-// an outage ends with this one.
+// answered records that the store answered an instance; lapseAfter is the shortest outage
+// in which entries expire. Answers may be reported late and out of order. It reports
+// whether this answer ends an outage.
 func (o *outages) answered(at time.Time, lapseAfter time.Duration) (ended bool) {
 	if !at.After(o.answeredAt) {
 		return false
@@ -39,7 +40,8 @@
 	return ended
 }
 
-// silence is for how long the store has answered nobody; 0 where no call has failed.
+// silence returns for how long the store has answered no instance; 0 if no call has failed
+// since the last answer.
 func (o *outages) silence(now time.Time) time.Duration {
 	if o.answeredAt.IsZero() || !o.failedAt.After(o.answeredAt) || now.Before(o.failedAt) {
 		return 0
@@ -47,9 +49,9 @@
 	return now.Sub(o.answeredAt)
 }
 
-// mayHaveLapsed reports whether an entry that is missing now may be one whose owner lives
-// and could not renew it. A call or two that failed are no outage: an entry that goes then
-// has been removed, and its owner is about to end.
+// mayHaveLapsed reports whether an entry that is missing now may belong to a live owner
+// that could not renew it. One or two failed calls are not an outage: an entry that
+// disappears then has been removed, and its owner is about to stop.
 func (o *outages) mayHaveLapsed(now time.Time, lapseAfter time.Duration) bool {
 	return o.silence(now) >= lapseAfter || !o.endedAt.IsZero() && now.Sub(o.endedAt) < lapsedGrace
 }
--- a/directory/turns.go
+++ b/directory/turns.go
@@ -8,37 +8,40 @@
 )
 
 const (
-	// turnStagger is how much later the next instance in order reads a kind: the message
-	// that tells of a read reaches the others within 10 ms, and some more where they are
-	// busy.
-	turnStagger = 60 * time.Millisecond
-	// aloneTurns spreads the reads of instances that nobody reads for over a second.
-	aloneTurns = 16
-	// probers is how many instances look for the store's return after failed calls, in turn:
-	// with as many, the fleet does so once in the time between two reads. Several, since the
-	// path of one may be cut for longer.
+	// readStagger is the delay between the reads of consecutive instances in the read
+	// order. The message that announces a read reaches the others within 10 ms, or somewhat
+	// later under load.
+	readStagger = 60 * time.Millisecond
+	// standaloneSlots is the number of slots over which instances that know of no reading
+	// scheduler spread their own reads, over about one second.
+	standaloneSlots = 16
+	// probers is how many instances probe an unreachable store in turn: with this many, the
+	// fleet probes about once per read interval. Several are needed because one instance's
+	// own path to the store may be cut for longer.
 	probers = 6
-	// spareTurns is after how many times that time each further instance looks too: the
-	// store may serve a few again, and not those that are first in order.
-	spareTurns = 30
+	// backupProbeTurns is the number of read intervals after which each further instance probes
+	// too: the store may serve only a few instances again, and not the first in the order.
+	backupProbeTurns = 30
 )
 
-// Standing is what an instance knows of those that read and watch the store for all.
+// Standing is an instance's view of the instances that read and watch the store for the
+// fleet.
 type Standing struct {
-	// Self is this instance's name, Scheduler says that it is a scheduler.
+	// Self is this instance's name; Scheduler reports whether it is a scheduler.
 	Self      string
 	Scheduler bool
-	// Schedulers are the live ones, Reaching those of them that reach the store; where this
-	// instance is a scheduler, it is among both.
+	// Schedulers are the live schedulers, and Reaching those of them that reach the store.
+	// Both include this instance if it is a scheduler.
 	Schedulers, Reaching []string
-	// Reaches says whether this instance reaches the store.
+	// Reaches reports whether this instance reaches the store.
 	Reaches bool
-	// Position of this instance in an order of all.
+	// Position is this instance's position in an order of all instances.
 	Position int
 }
 
-// Rank is how many schedulers come before this instance, in an order by hash that all
-// instances agree on: those that reach the store before those that do not.
+// Rank returns the number of schedulers ordered before this instance for the given name.
+// The order is by a hash that all instances agree on, with schedulers that reach the store
+// first.
 func (s Standing) Rank(what string) int {
 	if s.Reaches {
 		return rendezvous.Rank(what, s.Self, s.Reaching)
@@ -50,39 +53,39 @@
 	return reaching + rendezvous.Rank(what, s.Self, s.Schedulers)
 }
 
-// Place is this instance's place among those that read a kind in turn: schedulers that
-// reach the store first, then all others. One that knows of no scheduler that does reads by
-// itself.
+// Place returns this instance's position among those that read a kind: schedulers that
+// reach the store come first, then all others. An instance that reaches the store but knows
+// of no scheduler that does reads on its own.
 //
-// Load: all watches go deaf at once, such as when what stands between the fleet and the
-// store has forgotten its connections. Harm prevented: with a timer of its own at each
-// instance, the turns of a fleet that has started together fall together, and a change
-// stays unseen for as many seconds as there are instances.
+// All watches may stop delivering events at once, for example when a middlebox between the
+// fleet and the store drops its connection state. With independent timers, the reads of
+// instances that started together would coincide, and a change could stay unnoticed for as
+// many seconds as there are instances.
 func (s Standing) Place(kind string) int {
 	switch {
 	case s.Scheduler:
 		return s.Rank(kind)
 	case s.Reaches && len(s.Reaching) == 0:
-		return s.Position % aloneTurns
+		return s.Position % standaloneSlots
 	}
 	return len(s.Schedulers) + s.Position
 }
 
-// probePause is how long after its last failed call an instance calls the store again, to
-// find out whether it has returned; every is the time between two reads by the fleet.
+// probeDelay returns how long after its last failed call an instance calls the store again
+// to find out whether it is back; every is the fleet's read interval.
 //
-// Load: the store answers nobody, and each call is paid for. Harm prevented: with the
-// calls of all instances in step, nobody notices for seconds that the store is back, and
-// removals are taken for lapses meanwhile. The first few take turns.
-func probePause(place, failures int, every time.Duration) time.Duration {
+// While the store answers no instance, each call still costs money. If all instances probed
+// at the same moments, the store's return could go unnoticed for seconds, and removals
+// would be mistaken for expiries meanwhile. So the first few instances take turns.
+func probeDelay(place, failures int, every time.Duration) time.Duration {
 	turns := probers
 	if place >= probers {
-		turns = spareTurns
+		turns = backupProbeTurns
 	}
 	switch failures {
 	case 0:
-		// The store is back: all look again, one after the other.
-		return time.Duration(place) * turnStagger
+		// The store is back: all instances try again, one after another.
+		return time.Duration(place) * readStagger
 	case 1:
 		return time.Duration(1+place%turns) * every
 	}
