--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	// messageDelay is how long a message between instances of the model takes, relays
-	// included.
+	// messageDelay is the delivery time of a message between instances of the model,
+	// including relays.
 	messageDelay = 15 * time.Millisecond
-	// modelSchedulers, modelSmall and modelWatchers are the roles of the model's fleet.
+	// modelSchedulers, modelSmall and modelWatchers are the number of schedulers, the fleet
+	// size up to which every instance is a scheduler, and the number of watchers.
 	modelSchedulers, modelSmall, modelWatchers = 5, 16, 3
-	// modelEvery is the time between two reads of the kind by the model's fleet.
+	// modelEvery is the interval between reads of the kind by the model's fleet.
 	modelEvery = time.Second
 )
 
 var fleetSize = flag.Int("fleet", 0, "size of the model's fleet; 0 means 8 and 65")
 
-// fleetModel is a fleet of followers over one store, in virtual time.
+// fleetModel is a fleet of followers of one store, in virtual time.
 type fleetModel struct {
 	store   *fakeStore
 	members []*modelMember
@@ -39,13 +40,13 @@
 	name     string
 	position int
 	follower *Follower
-	// The fleet's mutex guards the rest.
-	cut  bool
-	lost bool
-	gone map[string]time.Time
+	// The fields below are guarded by the fleet's mutex.
+	cut         bool
+	unreachable bool
+	removedAt   map[string]time.Time
 }
 
-// memberStore is the store as one instance reaches it.
+// memberStore is the store as seen by one instance.
 type memberStore struct {
 	*fakeStore
 	member *modelMember
@@ -81,7 +82,7 @@
 	var cancel context.CancelFunc
 	f.ctx, cancel = context.WithCancel(t.Context())
 	for n := range size {
-		f.members = append(f.members, &modelMember{fleet: f, name: fmt.Sprintf("instance-%d", n), position: n, gone: map[string]time.Time{}})
+		f.members = append(f.members, &modelMember{fleet: f, name: fmt.Sprintf("instance-%d", n), position: n, removedAt: map[string]time.Time{}})
 	}
 	for _, m := range f.members {
 		m.follower = NewFollower(m.config())
@@ -101,8 +102,8 @@
 		Store: memberStore{m.fleet.store, m}, Kind: "endpoints", LapseAfter: 2400 * time.Millisecond, Every: modelEvery,
 		Place:   func() int { return m.standing().Place("endpoints") },
 		Watches: func() bool { s := m.standing(); return s.Scheduler && s.Rank("endpoints") < modelWatchers },
-		Changed: m.note,
-		Reached: func(reached bool) { m.setLost(!reached) },
+		Changed: m.recordRemovals,
+		Reached: func(reached bool) { m.setUnreachable(!reached) },
 		Read: func(string) {
 			at := time.Now()
 			m.send(func(to *Follower) { to.Checked(at) })
@@ -128,46 +129,46 @@
 	})
 }
 
-func (m *modelMember) setLost(lost bool) {
+func (m *modelMember) setUnreachable(unreachable bool) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	m.lost = lost
+	m.unreachable = unreachable
 }
 
-// note keeps when the member has learned that an object was removed.
-func (m *modelMember) note(changes []Change) {
+// recordRemovals records when the member learned that objects were removed.
+func (m *modelMember) recordRemovals(changes []Change) {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	for _, c := range changes {
 		if c.Deleted {
-			m.gone[c.Name] = time.Now()
+			m.removedAt[c.Name] = time.Now()
 		} else {
-			delete(m.gone, c.Name)
+			delete(m.removedAt, c.Name)
 		}
 	}
 }
 
-func (m *modelMember) schedules() bool {
+func (m *modelMember) isScheduler() bool {
 	return len(m.fleet.members) <= modelSmall || m.position < modelSchedulers
 }
 
 func (m *modelMember) standing() Standing {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	s := Standing{Self: m.name, Scheduler: m.schedules(), Reaches: !m.lost, Position: m.position}
+	s := Standing{Self: m.name, Scheduler: m.isScheduler(), Reaches: !m.unreachable, Position: m.position}
 	for _, other := range m.fleet.members {
-		if !other.schedules() {
+		if !other.isScheduler() {
 			continue
 		}
 		s.Schedulers = append(s.Schedulers, other.name)
-		if other == m || !other.lost {
+		if other == m || !other.unreachable {
 			s.Reaching = append(s.Reaching, other.name)
 		}
 	}
 	return s
 }
 
-// cut takes the store from two of five members for good.
+// cut permanently disconnects two of five members from the store.
 func (f *fleetModel) cut() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -176,14 +177,14 @@
 	}
 }
 
-// learned is how long after a removal the last member has learned of it; limit where one
-// has not.
-func (f *fleetModel) learned(name string, since time.Time, limit time.Duration) time.Duration {
+// propagationTime returns how long after a removal the last member learned of it, or limit
+// if a member has not.
+func (f *fleetModel) propagationTime(name string, since time.Time, limit time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	latest := time.Duration(0)
 	for _, m := range f.members {
-		at, ok := m.gone[name]
+		at, ok := m.removedAt[name]
 		if !ok {
 			return limit
 		}
@@ -192,9 +193,9 @@
 	return latest
 }
 
-// latestRemoval plays a scenario at several moments of the fleet's turns, and returns the longest
-// that an instance took to learn of the removal of "a" at its end, and the most reads that
-// the scenario took.
+// latestRemoval runs a scenario at several phases of the fleet's read schedule. It returns
+// the longest time that an instance took to learn of the removal of "a" after the scenario,
+// and the most reads that the scenario took.
 func latestRemoval(t *testing.T, size int, scenario func(f *fleetModel)) (latest time.Duration, reads int) {
 	t.Helper()
 	const plays, limit = 6, 8 * time.Second
@@ -209,27 +210,27 @@
 			removed := time.Now()
 			s.remove("a")
 			time.Sleep(limit)
-			latest = max(latest, f.learned("a", removed, limit))
+			latest = max(latest, f.propagationTime("a", removed, limit))
 		})
 	}
 	return latest, reads
 }
 
-// outage has the store away for 8.5 s and back for 3; silent says that the watches that were
-// open bring nothing afterwards.
-func (f *fleetModel) outage(silent bool) {
+// outage makes the store unreachable for 8.5 s and then reachable for 3 s. If stall is set,
+// the watches that were open deliver nothing afterwards.
+func (f *fleetModel) outage(stall bool) {
 	f.store.change(func() { f.store.hangs = true })
 	f.store.setDown(true)
 	time.Sleep(8500 * time.Millisecond)
-	if silent {
-		f.store.silence()
+	if stall {
+		f.store.stallWatches()
 	}
 	f.store.setDown(false)
 	time.Sleep(3 * time.Second)
 }
 
-// Guards against an endpoint that leaves being used for longer than it still serves, the worst
-// case of each way by which a fleet learns of it.
+// Guards against an endpoint that leaves being used for longer than it still serves, in the
+// worst case of each way by which the fleet learns of the removal.
 func TestRemovalReachesTheWholeFleetInTime(t *testing.T) {
 	const bound = 1800 * time.Millisecond
 	sizes := []int{8, 65}
@@ -238,25 +239,25 @@
 	}
 	for _, sc := range []struct {
 		name string
-		// play ends right before the removal, when each instance has reached the store for three
-		// seconds.
+		// play ends right before the removal, when each instance has reached the store for
+		// three seconds.
 		play func(f *fleetModel)
 	}{
 		{"calm", func(*fleetModel) {}},
-		{"watches silent", func(f *fleetModel) { f.store.silence() }},
-		{"outage, watches go on", func(f *fleetModel) { f.outage(false) }},
-		{"outage, watches silent", func(f *fleetModel) { f.outage(true) }},
-		{"watches silent, store away from some", func(f *fleetModel) {
-			f.store.silence()
+		{"watches stalled", func(f *fleetModel) { f.store.stallWatches() }},
+		{"outage, watches resume", func(f *fleetModel) { f.outage(false) }},
+		{"outage, watches stalled", func(f *fleetModel) { f.outage(true) }},
+		{"watches stalled, store unreachable for some", func(f *fleetModel) {
+			f.store.stallWatches()
 			f.cut()
 		}},
 	} {
 		for _, size := range sizes {
 			t.Run(fmt.Sprintf("%s, %d instances", sc.name, size), func(t *testing.T) {
 				took, reads := latestRemoval(t, size, sc.play)
-				t.Logf("known to all after %v; %d reads", took, reads)
+				t.Logf("all instances learned of the removal within %v; %d reads", took, reads)
 				if took > bound {
-					t.Errorf("an instance knows after %v, want within %v", took, bound)
+					t.Errorf("an instance learned of the removal after %v, want within %v", took, bound)
 				}
 			})
 		}
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -13,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// fakeStore holds one kind. Watches hear changes unless it is deaf or down.
+// fakeStore holds one kind. Watches deliver changes unless the store is stalled or down.
 type fakeStore struct {
 	objectapi.Store
 	mu      sync.Mutex
@@ -21,15 +21,17 @@
 	objects map[string]objectapi.Object
 	events  []objectapi.Object
 	down    bool
-	deaf    bool
-	// hangs says that an outage keeps waiting watches waiting; else it breaks them.
-	hangs   bool
-	noWatch bool
-	changed chan struct{}
-	reads   int
-	watches int
-	// silenced is how many of the watches so far bring nothing any more.
-	silenced int
+	stalled bool
+	// hangs reports that an outage leaves open watches waiting; otherwise it ends them with
+	// an error.
+	hangs         bool
+	refuseWatches bool
+	changed       chan struct{}
+	reads         int
+	watches       int
+	// stalledWatches is how many of the watches, counted from the first, deliver nothing
+	// any more.
+	stalledWatches int
 }
 
 func newFakeStore(names ...string) *fakeStore {
@@ -92,16 +94,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watches++
-	if s.noWatch {
+	if s.refuseWatches {
 		return nil, errDown
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	return &fakeWatch{s, ctx, cancel, from, s.watches}, nil
 }
 
-// silence has the open watches bring nothing any more, as connections do that something
-// on the way has forgotten.
-func (s *fakeStore) silence() { s.change(func() { s.silenced = s.watches }) }
+// stallWatches makes the open watches deliver nothing any more, like connections whose
+// state was dropped by a middlebox.
+func (s *fakeStore) stallWatches() { s.change(func() { s.stalledWatches = s.watches }) }
 
 type fakeWatch struct {
 	s      *fakeStore
@@ -117,9 +119,9 @@
 func (w *fakeWatch) Next() (objectapi.Object, error) {
 	for {
 		w.s.mu.Lock()
-		changed, down, deaf, hangs := w.s.changed, w.s.down, w.s.deaf || w.number <= w.s.silenced, w.s.hangs
+		changed, down, stalled, hangs := w.s.changed, w.s.down, w.s.stalled || w.number <= w.s.stalledWatches, w.s.hangs
 		for _, e := range w.s.events {
-			if e.Version > w.from && !down && !deaf {
+			if e.Version > w.from && !down && !stalled {
 				w.from = e.Version
 				w.s.mu.Unlock()
 				return e, nil
@@ -137,7 +139,8 @@
 	}
 }
 
-// follow runs a follower over the store and returns what it believes.
+// follow runs a follower of the store and returns a function that reports whether the
+// follower has an object of the given name.
 func follow(t *testing.T, s *fakeStore, check time.Duration) func(name string) bool {
 	t.Helper()
 	has, _ := followHinted(t, s, check)
@@ -149,7 +152,7 @@
 	return followWith(t, s, check, func(*Config) {})
 }
 
-// followWith is followHinted with other settings.
+// followWith is followHinted with a modified configuration.
 func followWith(t *testing.T, s *fakeStore, check time.Duration, change func(*Config)) (func(name string) bool, *Follower) {
 	t.Helper()
 	var mu sync.Mutex
@@ -181,9 +184,10 @@
 	}, f
 }
 
-// The store turns one router away, and its peers tell it of a newer revision with
-// every datagram. A read for each of them costs hundreds of refused calls.
-func TestHintsAreNotReadAgainWhileTheStoreRefuses(t *testing.T) {
+// Guards against a read for each hint while the store refuses this instance's calls: peers
+// report a newer revision with every datagram, and a read for each costs hundreds of
+// refused calls.
+func TestHintsBackOffWhileTheStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a")
 		_, f := followHinted(t, s, 4*time.Second)
@@ -201,10 +205,10 @@
 	})
 }
 
-// A fleet of many instances starts, and each change is told by all of them at once.
-// An instance that reads the kind at each such word, a moment before the change
-// itself comes, makes as many calls as there are instances and changes.
-func TestHintsThatChangesOvertakeCostNoRead(t *testing.T) {
+// Guards against a read for each hint whose change arrives a moment later. When a large
+// fleet starts, all instances report each change at once, and reads at each report cost as
+// many calls as there are instances times changes.
+func TestHintFollowedByItsChangeCausesNoRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a")
 		_, f := followHinted(t, s, time.Minute)
@@ -227,29 +231,29 @@
 	})
 }
 
-// Another instance watches the kind for all and tells of a change, but the one
-// before it was lost on the way. Without a look at the store the router would go
-// on sending to an endpoint that was removed.
-func TestLostChangeIsReadAfterTheNextOne(t *testing.T) {
+// Guards against a lost change going unnoticed: a peer that watches the kind sends a
+// change, but the one before it was lost. Without a read, the router would go on sending to
+// an endpoint that was removed.
+func TestMissedChangeIsReadAfterTheNextOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has, f := followHinted(t, s, time.Minute)
 		time.Sleep(time.Second)
-		s.change(func() { s.deaf = true })
+		s.change(func() { s.stalled = true })
 		s.remove("a")
 		s.put("c")
 		f.Take(objectapi.Object{Name: "c", Version: 4}, 3, true)
 		time.Sleep(300 * time.Millisecond)
 		if has("a") || !has("c") {
-			t.Errorf("removed entry believed: %v, new one: %v", has("a"), has("c"))
+			t.Errorf("removed entry kept: %v, new entry known: %v", has("a"), has("c"))
 		}
 	})
 }
 
-// The store is away for some seconds, and the entries of endpoints that live
-// lapse meanwhile, since they cannot renew them. If a router believes the empty
-// list, it turns every caller away although all endpoints serve.
-func TestEntriesThatLapsedInAnOutageAreKept(t *testing.T) {
+// Guards against dropping live endpoints whose entries expired because the store was
+// unreachable for some seconds and they could not renew them. A router that believed the
+// empty list would reject every caller although all endpoints serve.
+func TestEntriesExpiredInAnOutageAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has := follow(t, s, time.Second)
@@ -266,15 +270,15 @@
 		s.put("a")
 		time.Sleep(2 * time.Second)
 		if !has("a") || has("b") {
-			t.Errorf("two seconds after the return: renewed entry kept %v, missing entry kept %v", has("a"), has("b"))
+			t.Errorf("two seconds after the outage: renewed entry kept: %v, missing entry kept: %v", has("a"), has("b"))
 		}
 	})
 }
 
-// An endpoint leaves without a word three seconds after an outage: its entry is
-// removed, and it stops soon after. A router that still takes entries for lapsed
-// then sends requests to an endpoint that is about to go.
-func TestEntryRemovedAfterAnOutageIsGoneAtOnce(t *testing.T) {
+// Guards against a removal being mistaken for an expiry three seconds after an outage: an
+// endpoint that leaves stops soon after its entry is removed, and the router would send it
+// requests until then.
+func TestRemovalAfterAnOutageIsAppliedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has := follow(t, s, time.Second)
@@ -286,21 +290,21 @@
 		s.remove("a")
 		time.Sleep(100 * time.Millisecond)
 		if has("a") {
-			t.Error("the entry is still believed")
+			t.Error("the removed entry is still kept")
 		}
 	})
 }
 
-// Guards against a removal being held back as a lapse for as long as no list has been answered
-// since an outage, though the watch brings changes again.
-func TestRemovalIsTakenWhereTheWatchHasOutlivedAnOutage(t *testing.T) {
+// Guards against a removal being held back as an expiry for as long as no list has been
+// answered since an outage, although the watch delivers changes again.
+func TestRemovalIsAppliedWhenTheWatchSurvivedAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		s.hangs = true
 		has := follow(t, s, time.Second)
 		time.Sleep(time.Second)
 		s.setDown(true)
-		// The list that fails last does so right before the store returns.
+		// The last failing list call fails right before the store returns.
 		time.Sleep(8500 * time.Millisecond)
 		s.remove("a")
 		s.setDown(false)
@@ -310,14 +314,14 @@
 		s.remove("a")
 		time.Sleep(100 * time.Millisecond)
 		if has("a") || !has("b") {
-			t.Errorf("removed entry believed %v, the other one %v", has("a"), has("b"))
+			t.Errorf("removed entry kept: %v, other entry kept: %v", has("a"), has("b"))
 		}
 	})
 }
 
-// Guards against an instance whose only failed call was long ago, and whose peers read in its
-// place, holding the next removal back as a lapse.
-func TestRemovalIsTakenWherePeersWereAnsweredAllTheWhile(t *testing.T) {
+// Guards against a removal being held back by an instance whose only failed call was long
+// ago and whose peers have read in its place since.
+func TestRemovalIsAppliedWhilePeersReachTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has, f := followWith(t, s, 1500*time.Millisecond, func(cfg *Config) { cfg.Watches = func() bool { return false } })
@@ -334,14 +338,15 @@
 		f.Hint(4)
 		time.Sleep(500 * time.Millisecond)
 		if has("a") || !has("b") {
-			t.Errorf("removed entry believed %v, the other one %v", has("a"), has("b"))
+			t.Errorf("removed entry kept: %v, other entry kept: %v", has("a"), has("b"))
 		}
 	})
 }
 
-// One call of the store fails, and a moment later an endpoint leaves without a word.
-// Taken for lapsed, it would get requests for two seconds more, while it ends.
-func TestFailedCallIsNoOutage(t *testing.T) {
+// Guards against a single failed call counting as an outage: the removal that follows would
+// be held back as an expiry, and the endpoint would get requests for two more seconds while
+// it stops.
+func TestSingleFailedCallIsNotAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has := follow(t, s, 200*time.Millisecond)
@@ -353,15 +358,15 @@
 		s.remove("a")
 		time.Sleep(100 * time.Millisecond)
 		if has("a") {
-			t.Error("the entry is still believed")
+			t.Error("the removed entry is still kept")
 		}
 	})
 }
 
-// The store turned this instance away for seconds and serves it again, and just then
-// an endpoint leaves. An instance that was served all the while tells that the entry
-// was removed. Taken for lapsed all the same, it would get requests while it ends.
-func TestRemovalThatASteadyPeerTellsIsNoLapse(t *testing.T) {
+// Guards against holding back a removal that a peer with an uninterrupted connection to the
+// store reports as certain, while this instance has just had an outage: the endpoint would
+// get requests while it stops.
+func TestRemovalFromASteadyPeerIsAppliedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has, f := followHinted(t, s, time.Second)
@@ -371,38 +376,38 @@
 		f.Take(objectapi.Object{Name: "a", Version: 3, Deleted: true}, 2, true)
 		f.Take(objectapi.Object{Name: "b", Version: 4, Deleted: true}, 3, false)
 		if has("a") || !has("b") {
-			t.Errorf("removed entry believed %v; entry that may have lapsed kept %v", has("a"), has("b"))
+			t.Errorf("removed entry kept: %v; entry that may have expired kept: %v", has("a"), has("b"))
 		}
 	})
 }
 
-// A watch stays open and hears nothing while an endpoint is removed. Callers are
-// sent to an endpoint that has gone unless the kind is read besides.
-func TestDeafWatchIsFoundOut(t *testing.T) {
+// Guards against a watch that stays open and delivers nothing while an endpoint is removed.
+// Without reads besides the watch, callers would be sent to the removed endpoint.
+func TestStalledWatchIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has := follow(t, s, 500*time.Millisecond)
 		time.Sleep(time.Second)
-		s.change(func() { s.deaf = true })
+		s.change(func() { s.stalled = true })
 		s.remove("a")
 		time.Sleep(700 * time.Millisecond)
 		if has("a") {
-			t.Error("the entry is still believed 700 ms after its removal")
+			t.Error("the entry is still kept 700 ms after its removal")
 		}
 	})
 }
 
-// One instance of a fleet reads a kind in turn and tells the others. Each of them
-// reading too would cost a fleet of hundreds as many calls a second; none of them
-// reading once it has gone would leave all of them deaf.
-func TestReadsOfPeersStandForOwn(t *testing.T) {
+// Guards against each instance reading on its own schedule while a peer reads for all,
+// which costs a fleet of hundreds as many calls a second; and against no instance reading
+// after that peer has stopped, which would leave stalled watches unnoticed.
+func TestPeerReadsReplaceOwnReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a", "b")
 		has, f := followHinted(t, s, 500*time.Millisecond)
-		// Its own turns come each half second; between two of them, it is certain which
-		// reads came before the peer's.
+		// The instance's own reads come every half second. Halfway between two of them, it
+		// is certain which reads came before the peer's.
 		time.Sleep(1250 * time.Millisecond)
-		s.change(func() { s.deaf = true })
+		s.change(func() { s.stalled = true })
 		before := s.readCount()
 		for range 20 {
 			f.Checked(time.Now())
@@ -414,18 +419,18 @@
 		s.remove("a")
 		time.Sleep(700 * time.Millisecond)
 		if has("a") {
-			t.Error("nobody reads once the peer has gone")
+			t.Error("the instance does not read after the peer has stopped reading")
 		}
 	})
 }
 
-// The store answers reads and refuses watches, as it does when its history is
-// gone. A router that tries again at once makes thousands of calls, each of
-// which its operators pay for.
-func TestRefusedWatchesAreNotHammered(t *testing.T) {
+// Guards against retrying at once when the store answers reads and refuses watches, as it
+// does when its history has been compacted. This would cost thousands of calls, each of
+// which the operators pay for.
+func TestRefusedWatchesBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a")
-		s.noWatch = true
+		s.refuseWatches = true
 		follow(t, s, time.Second)
 		time.Sleep(10 * time.Second)
 		s.mu.Lock()
@@ -436,9 +441,9 @@
 	})
 }
 
-// Endpoints come and go for months. What a router remembers of those that went must
-// not grow with them, or it runs out of memory one day.
-func TestMemoryOfRemovedObjectsIsBounded(t *testing.T) {
+// Guards against the tombstones growing with every endpoint that was ever removed until the
+// router runs out of memory after months.
+func TestTombstonesAreBounded(t *testing.T) {
 	f := NewFollower(Config{Kind: "endpoints", Changed: func([]Change) {}})
 	f.applyList(objectapi.Listing{Version: 1}, scheduled)
 	for i := range 4 * maxTombstones {
@@ -447,23 +452,23 @@
 		f.applyEvent(objectapi.Object{Name: name, Version: objectapi.Version(2*i + 3), Deleted: true})
 	}
 	if len(f.tombstones) > maxTombstones || len(f.objects) > 0 {
-		t.Errorf("%d removed objects remembered, %d objects held", len(f.tombstones), len(f.objects))
+		t.Errorf("%d tombstones, %d objects kept", len(f.tombstones), len(f.objects))
 	}
 	last := strconv.Itoa(4*maxTombstones - 1)
 	f.applyEvent(objectapi.Object{Name: last, Version: 3})
 	if len(f.objects) > 0 {
-		t.Error("an old read brought back what was removed last")
+		t.Error("a stale event restored the object removed last")
 	}
 }
 
-// A fleet of 62 instances hears of each change from the three that watch. If each of
-// them tells all others at once that it has seen something newer, every change costs
-// thousands of datagrams, and while a pool takes new weights callers wait behind these.
-func TestWhatPeersTellIsNotToldOn(t *testing.T) {
+// Guards against forwarding changes received from peers. In a fleet of 62 instances of
+// which three watch, forwarding each change to all others costs thousands of datagrams per
+// change, which delay callers while a pool takes new weights.
+func TestPeerChangesAreNotForwarded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore("a")
 		var mu sync.Mutex
-		var told []uint64
+		var published []uint64
 		f := NewFollower(Config{
 			Store: s, Kind: "endpoints", Every: time.Minute,
 			Watches: func() bool { return false },
@@ -471,7 +476,7 @@
 			Seen: func(_ string, revision uint64) {
 				mu.Lock()
 				defer mu.Unlock()
-				told = append(told, revision)
+				published = append(published, revision)
 			},
 		})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -481,8 +486,8 @@
 		f.Take(objectapi.Object{Name: "b", Version: 2}, 1, true)
 		f.Take(objectapi.Object{Name: "c", Version: 3}, 2, true)
 		time.Sleep(time.Second)
-		if f.Revision() == 0 || len(told) != 1 || told[0] != 1 {
-			t.Errorf("told of revisions %v, want only 1, which the own read brought", told)
+		if f.Revision() == 0 || len(published) != 1 || published[0] != 1 {
+			t.Errorf("published revisions %v, want only 1, from the own read", published)
 		}
 		cancel()
 		done.Wait()
--- a/directory/lapsed_test.go
+++ b/directory/lapsed_test.go
@@ -9,8 +9,9 @@
 	"github.com/sardinedock/sardinedock/logline/logtest"
 )
 
-// Guards against a log line for each of the thousands of entries that lapse in one outage.
-func TestHeldRemovalsShareALine(t *testing.T) {
+// Guards against one log line for each of the thousands of entries that expire in one
+// outage.
+func TestHeldRemovalsShareALogLine(t *testing.T) {
 	lines := logtest.Record(t)
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
--- a/directory/outage_test.go
+++ b/directory/outage_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against removals being held back though the store has answered somebody, time and
-// again, for longer than the grace.
-func TestNoRemovalIsHeldWhileTheStoreAnswersSomebody(t *testing.T) {
+// Guards against removals being held back although the store has kept answering some
+// instance for longer than lapsedGrace.
+func TestNoRemovalIsHeldWhileTheStoreAnswersAnyInstance(t *testing.T) {
 	const lapseAfter = 2400 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		var o outages
@@ -27,38 +27,38 @@
 				o.failed(now)
 			}
 			if !now.Before(calm) && o.mayHaveLapsed(now, lapseAfter) {
-				t.Fatalf("a removal is held %v after the outage", now.Sub(calm)+lapsedGrace)
+				t.Fatalf("a removal is still held back %v after the outage", now.Sub(calm)+lapsedGrace)
 			}
 			o.answered(now, lapseAfter)
 		}
 	})
 }
 
-// Guards against live endpoints being dropped in an outage, or before they can have renewed
-// their entries after it.
-func TestRemovalsAreHeldThroughAnOutageAndTheGrace(t *testing.T) {
+// Guards against live endpoints being dropped during an outage, or before they have had
+// time to renew their entries after it.
+func TestRemovalsAreHeldDuringAnOutageAndItsGrace(t *testing.T) {
 	const lapseAfter = 2400 * time.Millisecond
 	rapid.Check(t, func(t *rapid.T) {
 		var o outages
 		began := time.Unix(1000, 0)
 		o.answered(began, lapseAfter)
 		o.failed(began.Add(lapseAfter / 2))
-		back := began.Add(time.Duration(rapid.Int64Range(int64(lapseAfter), int64(time.Minute)).Draw(t, "outage")))
+		end := began.Add(time.Duration(rapid.Int64Range(int64(lapseAfter), int64(time.Minute)).Draw(t, "outage")))
 		if rapid.Bool().Draw(t, "an answer from before the failure is reported late") {
 			o.answered(began.Add(lapseAfter/4), lapseAfter)
-			back = back.Add(lapseAfter / 4)
+			end = end.Add(lapseAfter / 4)
 		}
-		if !o.mayHaveLapsed(back, lapseAfter) {
-			t.Fatal("a removal in the outage is believed")
+		if !o.mayHaveLapsed(end, lapseAfter) {
+			t.Fatal("a removal during the outage is applied")
 		}
-		o.answered(back, lapseAfter)
+		o.answered(end, lapseAfter)
 		later := time.Duration(rapid.Int64Range(0, int64(lapsedGrace)-1).Draw(t, "after the return"))
 		if rapid.Bool().Draw(t, "a call fails right after the return") {
-			o.failed(back.Add(1))
-			o.answered(back.Add(later/2), lapseAfter)
+			o.failed(end.Add(1))
+			o.answered(end.Add(later/2), lapseAfter)
 		}
-		if !o.mayHaveLapsed(back.Add(later), lapseAfter) {
-			t.Fatalf("a removal is believed %v after the return", later)
+		if !o.mayHaveLapsed(end.Add(later), lapseAfter) {
+			t.Fatalf("a removal is applied %v after the outage", later)
 		}
 	})
 }
