--- a/lease/duty.go
+++ b/lease/duty.go
@@ -15,14 +15,14 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// Kind is the kind of the lease objects.
+// Kind is the object kind of leases in the store.
 const Kind = "leases"
 
 const (
-	// DefaultLength is how long a lease outlives its holder. Rollouts and
-	// status may rest for that long; a shorter one costs more writes.
+	// DefaultLength is how long a lease stays valid after its holder has stopped. Rollouts
+	// and status updates may pause for that long; a shorter lease costs more writes.
 	DefaultLength = 10 * time.Second
-	// releaseTimeout bounds the write that releases a lease at the end.
+	// releaseTimeout bounds the write that releases a lease at shutdown.
 	releaseTimeout = 500 * time.Millisecond
 )
 
@@ -32,23 +32,24 @@
 	failsTotal = metrics.GetOrCreateCounter("sardinedock_lease_failures_total")
 )
 
-// Config is what a Duty needs.
+// Config configures a Duty.
 type Config struct {
 	Store objectapi.Store
-	// Name of the lease object.
+	// Name is the name of the lease object.
 	Name string
 	// Self is this instance's name.
 	Self string
-	// Length of the lease, the same at all instances; 0 means DefaultLength.
+	// Length is the duration of the lease, which must be the same on all instances; 0 means
+	// DefaultLength.
 	Length time.Duration
-	// Candidate reports whether this instance should try for the lease. Only a
-	// few should, since each one's reads cost the object API. A holder goes on
-	// whatever it says. Nil means yes.
+	// Candidate reports whether this instance should try to acquire the lease. Only a few
+	// should, since the reads of each one cost calls of the object API. The holder keeps
+	// renewing regardless of Candidate. Nil means that it should.
 	Candidate func() bool
 }
 
-// Duty tries for a lease and keeps it. One goroutine does the work; Held may be
-// called by any.
+// Duty acquires a lease and renews it in a goroutine of its own. Held may be called from
+// any goroutine.
 type Duty struct {
 	cfg    Config
 	cancel context.CancelFunc
@@ -59,7 +60,7 @@
 	held    bool
 }
 
-// NewDuty returns a duty that does nothing before Start.
+// NewDuty returns a Duty; call Start to run it.
 func NewDuty(cfg Config) *Duty {
 	if cfg.Length == 0 {
 		cfg.Length = DefaultLength
@@ -70,22 +71,22 @@
 	return &Duty{cfg: cfg, machine: NewMachine(cfg.Length, objectapi.NewAttempt)}
 }
 
-// Start begins to try for the lease.
+// Start begins to acquire the lease.
 func (d *Duty) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	d.done.Go(func() { d.run(ctx) })
 }
 
-// Stop ends the duty and waits for its goroutine. The lease then ends by time,
-// or by Release.
+// Stop stops renewing and waits for the goroutine to end. The lease then expires unless
+// Release is called.
 func (d *Duty) Stop() {
 	d.cancel()
 	d.done.Wait()
 }
 
-// Held returns the fencing number while this instance may believe that it
-// holds the lease; see Machine.Held.
+// Held returns the fencing number while this instance can rely on holding the lease; see
+// Machine.Held.
 func (d *Duty) Held() (fence uint64, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,14 +94,14 @@
 	return uint64(f), ok
 }
 
-// Dump is the duty's part of the state dump.
+// Dump is the lease's part of the state dump.
 type Dump struct {
 	Lease string `json:"lease"`
 	Held  bool   `json:"held"`
 	Fence uint64 `json:"fence"`
 }
 
-// Dump returns the duty's state.
+// Dump returns the state of the lease on this instance.
 func (d *Duty) Dump() Dump {
 	fence, held := d.Held()
 	return Dump{Lease: d.cfg.Name, Held: held, Fence: fence}
@@ -108,9 +109,9 @@
 
 func (d *Duty) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.note()
-		if !d.busy() && !d.cfg.Candidate() {
-			_ = clock.Sleep(ctx, d.cfg.Length/pollShare)
+		d.recordTransition()
+		if !d.isHolder() && !d.cfg.Candidate() {
+			_ = clock.Sleep(ctx, d.cfg.Length/pollDivisor)
 			continue
 		}
 		d.mu.Lock()
@@ -127,14 +128,15 @@
 	}
 }
 
-// busy reports whether this instance is the holder, or was until now.
-func (d *Duty) busy() bool {
+// isHolder reports whether this instance holds the lease, or has held it and has not yet
+// read or written since.
+func (d *Duty) isHolder() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.machine.mine
+	return d.machine.own
 }
 
-// jitter keeps the instances that wait for one moment from coming together.
+// jitter spreads the calls of instances that wait for the same moment.
 func (d *Duty) jitter() time.Duration {
 	return time.Duration(rand.Float64() * float64(d.cfg.Length) / 50)
 }
@@ -150,7 +152,7 @@
 	}
 	var v Value
 	if err != nil || json.Unmarshal(obj.Value, &v) != nil {
-		// A value that cannot be read has a version all the same.
+		// The version of the object counts even if its value is missing or unreadable.
 		v = Value{}
 	}
 	d.machine.Observed(time.Now(), obj, v)
@@ -177,8 +179,8 @@
 	return d.cfg.Store.Put(ctx, obj, s.Expected)
 }
 
-// Release gives the lease up after Stop, if it is held, so that another
-// instance takes it soon. It blocks for half a second at most.
+// Release gives up the lease after Stop, if it is held, so that another instance can
+// acquire it soon. It blocks for at most half a second.
 func (d *Duty) Release() {
 	d.mu.Lock()
 	s, ok := d.machine.Release(time.Now())
@@ -193,8 +195,8 @@
 	}
 }
 
-// note logs and counts when the lease came or went.
-func (d *Duty) note() {
+// recordTransition logs and counts that the lease was acquired or lost.
+func (d *Duty) recordTransition() {
 	fence, held := d.Held()
 	d.mu.Lock()
 	changed := held != d.held
--- a/lease/duty_test.go
+++ b/lease/duty_test.go
@@ -29,7 +29,7 @@
 	return list
 }
 
-func TestOneOfManyHoldsAndAnotherFollows(t *testing.T) {
+func TestOneHolderAndTakeoverAfterRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		duties := startDuties(s, 3)
@@ -57,10 +57,10 @@
 	})
 }
 
-// The object API is away for longer than the lease. Nobody may go on believing,
-// and exactly one may believe again afterwards. Lost replies of the first
-// writes must not cost the lease.
-func TestOutageEndsTheBelief(t *testing.T) {
+// Guards against a holder relying on its lease after the object API was unreachable for
+// longer than the lease, against none or several holders afterwards, and against lost
+// replies to the first writes costing the lease.
+func TestOutageInvalidatesTheLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		s.LoseReplies(3)
@@ -72,7 +72,7 @@
 		s.SetDown(true)
 		time.Sleep(DefaultLength)
 		if n := len(holders(duties)); n != 0 {
-			t.Fatalf("%d holders in an outage, want none", n)
+			t.Fatalf("%d holders during an outage, want none", n)
 		}
 		s.SetDown(false)
 		time.Sleep(2 * DefaultLength)
@@ -85,7 +85,7 @@
 	})
 }
 
-func TestNoCandidateMakesNoCalls(t *testing.T) {
+func TestNonCandidateMakesNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		d := NewDuty(Config{Store: s, Name: "rollout", Self: "entry-0", Candidate: func() bool { return false }})
--- a/lease/machine.go
+++ b/lease/machine.go
@@ -1,10 +1,10 @@
-// Package lease gives a duty that must have one holder to one instance at a
-// time, by an object of the platform's object API.
+// Package lease elects one instance at a time as the holder of a lease, which is an object
+// in the platform's object API.
 //
-// A lease object is written again and again by its holder. Who sees its version
-// unchanged for the lease's length, by its own clock, takes it over by a
-// conditional write. The version of the write that took it is the fencing
-// number. Instances never compare the readings of their clocks with each other.
+// The holder keeps writing the lease object. An instance that sees the object's version
+// unchanged for the lease's length, by its own clock, takes the lease over by a conditional
+// write. The version created by that write is the fencing number. Instances never compare
+// the readings of their clocks with each other.
 package lease
 
 import (
@@ -15,120 +15,121 @@
 )
 
 const (
-	// driftShare is the part of the length by which a holder stops believing
-	// earlier than others may take over. Clocks of machines run apart by far
-	// less than a tenth.
-	driftShare = 10
-	// renewShare and pollShare are the parts of the length after which the
-	// holder writes and the others read again. Two writes may fail before
-	// the lease is lost. Others see a write late by up to a poll and look again
-	// late by another, so rare polls add to the time without a holder.
-	renewShare = 3
-	pollShare  = 6
-	// retryShare is the part of the length after which a failed call is made
-	// again.
-	retryShare = 12
-	// maxUnsettled bounds the writes whose fate is not known. A later write
-	// under the same condition rules an earlier one out, so a few are enough.
-	maxUnsettled = 4
+	// driftDivisor is the divisor of the length that gives the margin by which a holder stops
+	// relying on the lease before others may take it over. The clocks of two machines drift
+	// apart by far less than a tenth.
+	driftDivisor = 10
+	// renewDivisor and pollDivisor are the divisors of the length that give the intervals at
+	// which the holder writes and the others read. Two writes in a row may fail before the
+	// lease is lost. Other instances see a write up to one poll late, and check for expiry
+	// up to another poll late, so a longer poll interval adds to the time without a holder.
+	renewDivisor = 3
+	pollDivisor  = 6
+	// retryDivisor is the divisor of the length that gives the delay before a failed call is
+	// retried.
+	retryDivisor = 12
+	// maxPendingWrites bounds the number of writes with an unknown outcome. A later write under
+	// the same condition rules an earlier one out, so a few are enough.
+	maxPendingWrites = 4
 )
 
-// Value is what a lease object holds, as JSON.
+// Value is the content of a lease object, as JSON.
 type Value struct {
-	// Holder is the instance's name, for operators. It decides nothing: an
-	// instance that restarts under its old name is another holder.
+	// Holder is the holding instance's name, for operators only. It is not used for
+	// decisions: an instance that restarts under the same name is a different holder.
 	Holder string `json:"holder"`
-	// Released says that the holder has given the lease up.
+	// Released reports that the holder has released the lease.
 	Released bool `json:"released,omitempty"`
 }
 
-// StepKind is what has to be done for a lease.
+// StepKind is a kind of action that the caller of Machine has to take.
 type StepKind int
 
 // The kinds of step.
 const (
-	// StepWait: nothing before the step's time.
+	// StepWait means that there is nothing to do before Step.At.
 	StepWait StepKind = iota
-	// StepRead: read the object and call Observed or ReadFailed.
+	// StepRead means to read the object and call Observed or ReadFailed.
 	StepRead
-	// StepWrite: write the object and call Wrote or WriteFailed.
+	// StepWrite means to write the object and call Wrote or WriteFailed.
 	StepWrite
 )
 
-// Step is what has to be done next.
+// Step is the next action to take.
 type Step struct {
 	Kind StepKind
-	// At is when to ask again, of StepWait.
+	// At is when to call Next again, for StepWait.
 	At time.Time
-	// Expected and Attempt go into the conditional write, of StepWrite.
+	// Expected is the version required by the conditional write, and Attempt its id, for
+	// StepWrite.
 	Expected objectapi.Version
 	Attempt  string
 }
 
-// Machine decides for one instance and one lease. It is pure: it takes
-// messages and the time by the instance's monotonic clock. One goroutine may
-// use it.
+// Machine is the state machine of one lease on one instance. It does no I/O and reads no
+// clock: it is given the results of calls and the time by the instance's monotonic clock.
+// It is not safe for concurrent use.
 type Machine struct {
 	length     time.Duration
 	newAttempt func() string
 
-	// seen is the newest version that was read or written, and seenAt when it
-	// was first seen. absent says that the object is missing since then.
+	// seen is the newest version that was read or written, and seenAt when it was first
+	// seen. absent reports that the object has been missing since then.
 	seen   objectapi.Version
 	seenAt time.Time
 	absent bool
-	// mine says that the version seen is this machine's write, free that its
+	// own reports that the version seen is this machine's own write; released reports that its
 	// writer has released the lease.
-	mine bool
-	free bool
-	// settled says that no write went out since the last read.
-	settled    bool
+	own      bool
+	released bool
+	// confirmed reports that the object was read after the last write of unknown outcome.
+	confirmed  bool
 	readDue    time.Time
 	writeAfter time.Time
 
-	fence   objectapi.Version
-	until   time.Time
-	renewAt time.Time
+	fence      objectapi.Version
+	validUntil time.Time
+	renewAt    time.Time
 
-	unsettled []sentWrite
+	pendingWrites []pendingWrite
 }
 
-// sentWrite is a write whose reply has not come, and when it was sent.
-type sentWrite struct {
+// pendingWrite is a write without a known outcome, and when it was sent.
+type pendingWrite struct {
 	attempt string
 	at      time.Time
-	// creates says that the write only makes the object.
+	// creates reports that the write only creates the object and acquires no lease.
 	creates bool
 }
 
-// NewMachine returns a machine that has seen nothing. newAttempt returns ids
-// that no other write has.
+// NewMachine returns a machine without any knowledge of the object. newAttempt must return
+// a unique id for each write.
 func NewMachine(length time.Duration, newAttempt func() string) *Machine {
 	return &Machine{length: length, newAttempt: newAttempt}
 }
 
-// Held returns the fencing number while this instance may believe that it
-// holds the lease. A goroutine may be paused after the answer, so what it does
-// must bear being late.
+// Held returns the fencing number while this instance can rely on holding the lease. The
+// goroutine may be paused after the call returns, so whatever it does under the lease must
+// tolerate being late.
 func (m *Machine) Held(now time.Time) (fence objectapi.Version, ok bool) {
-	if m.fence == 0 || !now.Before(m.until) {
+	if m.fence == 0 || !now.Before(m.validUntil) {
 		return 0, false
 	}
 	return m.fence, true
 }
 
-// Next says what to do at a moment. A write counts as sent from then on.
+// Next returns the next action. If that is a write, it counts as sent at the time now.
 func (m *Machine) Next(now time.Time) Step {
 	writeAt := m.writeAt()
-	if m.settled && !now.Before(writeAt) {
+	if m.confirmed && !now.Before(writeAt) {
 		return m.write(now)
 	}
-	reads := !m.settled || !m.mine
+	reads := !m.confirmed || !m.own
 	if reads && !now.Before(m.readDue) {
 		return Step{Kind: StepRead}
 	}
 	switch {
-	case !m.settled:
+	case !m.confirmed:
 		return Step{Kind: StepWait, At: m.readDue}
 	case reads && m.readDue.Before(writeAt):
 		return Step{Kind: StepWait, At: m.readDue}
@@ -136,15 +137,15 @@
 	return Step{Kind: StepWait, At: writeAt}
 }
 
-// writeAt is when a conditional write is right: to renew, to take what is
-// free, to take what stood unchanged for the whole length, or to make the
-// object where it is missing.
+// writeAt returns when the next conditional write is due: to renew the lease, to acquire a
+// lease that was released or whose version has not changed for the whole length, or to
+// create the object if it is missing.
 func (m *Machine) writeAt() time.Time {
 	at := m.seenAt.Add(m.length)
 	switch {
-	case m.mine:
+	case m.own:
 		at = m.renewAt
-	case m.free, m.absent:
+	case m.released, m.absent:
 		at = m.seenAt
 	}
 	if at.Before(m.writeAfter) {
@@ -153,119 +154,119 @@
 	return at
 }
 
-// write returns the conditional write that is due. Making a missing object
-// takes no lease: its condition would also hold after another instance had
-// taken the lease and somebody had removed the object once more. Only a version
-// tells that nothing came in between.
+// write returns the conditional write that is due. Creating a missing object does not
+// acquire the lease: its condition would also hold after another instance had acquired the
+// lease and the object had been removed again. Only the condition on a version proves that
+// nothing happened in between.
 func (m *Machine) write(now time.Time) Step {
 	s := Step{Kind: StepWrite, Expected: m.seen, Attempt: m.newAttempt()}
 	if m.absent {
 		s.Expected = 0
 	}
-	m.unsettled = append(m.unsettled, sentWrite{attempt: s.Attempt, at: now, creates: m.absent})
-	if over := len(m.unsettled) - maxUnsettled; over > 0 {
-		m.unsettled = m.unsettled[over:]
+	m.pendingWrites = append(m.pendingWrites, pendingWrite{attempt: s.Attempt, at: now, creates: m.absent})
+	if over := len(m.pendingWrites) - maxPendingWrites; over > 0 {
+		m.pendingWrites = m.pendingWrites[over:]
 	}
 	return s
 }
 
-// Wrote says that the write has taken effect at a version.
+// Wrote records that the write took effect and created the given version.
 func (m *Machine) Wrote(now time.Time, attempt string, version objectapi.Version) {
-	sent, own := m.sent(attempt)
-	if !own || (version <= m.seen && m.mine) {
+	sent, ok := m.findPending(attempt)
+	if !ok || (version <= m.seen && m.own) {
 		return
 	}
 	if sent.creates {
-		m.see(now, version)
-		m.free, m.settled = false, true
-		m.readDue = now.Add(m.length / pollShare)
+		m.setVersion(now, version)
+		m.released, m.confirmed = false, true
+		m.readDue = now.Add(m.length / pollDivisor)
 		return
 	}
 	if _, held := m.Held(now); !held {
 		invariant.Check(version > m.fence, "fencing_numbers_rise", "fence %d after %d", version, m.fence)
 		m.fence = version
 	}
-	m.see(now, version)
-	m.mine, m.free, m.settled = true, false, true
-	m.until = sent.at.Add(m.length - m.length/driftShare)
-	m.renewAt = sent.at.Add(m.length / renewShare)
-	m.unsettled = nil
+	m.setVersion(now, version)
+	m.own, m.released, m.confirmed = true, false, true
+	m.validUntil = sent.at.Add(m.length - m.length/driftDivisor)
+	m.renewAt = sent.at.Add(m.length / renewDivisor)
+	m.pendingWrites = nil
 }
 
-func (m *Machine) sent(attempt string) (sentWrite, bool) {
-	for _, w := range m.unsettled {
+func (m *Machine) findPending(attempt string) (pendingWrite, bool) {
+	for _, w := range m.pendingWrites {
 		if w.attempt == attempt {
 			return w, true
 		}
 	}
-	return sentWrite{}, false
+	return pendingWrite{}, false
 }
 
-// see notes which version stands in the object.
-func (m *Machine) see(now time.Time, version objectapi.Version) {
+// setVersion records the current version of the object.
+func (m *Machine) setVersion(now time.Time, version objectapi.Version) {
 	if m.seenAt.IsZero() || m.absent || version > m.seen {
 		m.seenAt = now
 	}
 	m.seen, m.absent = version, false
 }
 
-// WriteFailed says that no success was heard of. Whatever the error, the write
-// may have taken effect, so the object is read before the next one.
+// WriteFailed records that a write was not confirmed. Whatever the error, the write may
+// have taken effect, so the object is read before the next write.
 func (m *Machine) WriteFailed(now time.Time) {
-	m.settled = false
+	m.confirmed = false
 	m.readDue = now
-	m.writeAfter = now.Add(m.length / retryShare)
+	m.writeAfter = now.Add(m.length / retryDivisor)
 }
 
-// ReadFailed says that a read was not answered.
+// ReadFailed records that a read got no answer.
 func (m *Machine) ReadFailed(now time.Time) {
-	m.readDue = now.Add(m.length / retryShare)
+	m.readDue = now.Add(m.length / retryDivisor)
 }
 
-// Observed says what a read has shown. An object that does not exist has
-// version 0: nobody has held the lease, or somebody has removed the object
-// while a holder still believes in it.
+// Observed records the result of a read. A missing object has version 0: either the lease
+// was never held, or the object was removed while a holder still relies on the lease.
 func (m *Machine) Observed(now time.Time, obj objectapi.Object, v Value) {
-	m.readDue = now.Add(m.length / pollShare)
+	m.readDue = now.Add(m.length / pollDivisor)
 	if obj.Version == 0 {
 		if m.seenAt.IsZero() || !m.absent {
 			m.seenAt = now
 		}
-		m.absent, m.free, m.settled = true, false, true
-		m.lose()
+		m.absent, m.released, m.confirmed = true, false, true
+		m.invalidate()
 		return
 	}
 	if obj.Version < m.seen {
-		// A stale read tells nothing.
+		// A stale read carries no information.
 		return
 	}
-	if _, own := m.sent(obj.Attempt); own {
+	if _, ok := m.findPending(obj.Attempt); ok {
 		m.Wrote(now, obj.Attempt, obj.Version)
 		return
 	}
-	unchanged := m.mine && obj.Version == m.seen
-	m.see(now, obj.Version)
-	m.settled = true
+	unchanged := m.own && obj.Version == m.seen
+	m.setVersion(now, obj.Version)
+	m.confirmed = true
 	if !unchanged {
-		m.free = v.Released
-		m.lose()
+		m.released = v.Released
+		m.invalidate()
 	}
 }
 
-// lose ends the belief at once: another write stands in the object.
-func (m *Machine) lose() {
-	m.mine = false
-	m.until = time.Time{}
+// invalidate invalidates the lease on this instance at once, because it was released or the
+// object has changed.
+func (m *Machine) invalidate() {
+	m.own = false
+	m.validUntil = time.Time{}
 }
 
-// Release ends the belief and returns the write that lets others take over at
-// once. ok is false where there is nothing to release.
+// Release invalidates the lease on this instance and returns the write that lets others
+// acquire it at once. ok is false if the lease is not held.
 func (m *Machine) Release(now time.Time) (s Step, ok bool) {
 	if _, held := m.Held(now); !held {
 		return Step{}, false
 	}
 	expected := m.seen
-	m.lose()
-	m.settled = false
+	m.invalidate()
+	m.confirmed = false
 	return Step{Kind: StepWrite, Expected: expected, Attempt: m.newAttempt()}, true
 }
--- a/lease/machine_test.go
+++ b/lease/machine_test.go
@@ -14,25 +14,25 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// world is one lease object and the machines of some instances, whose clocks
-// differ and run at slightly different rates.
+// world is one lease object and the machines of several instances, whose clocks differ and
+// run at slightly different rates.
 type world struct {
-	now     time.Duration
-	version objectapi.Version
-	object  objectapi.Object
-	value   Value
-	olds    []objectapi.Object
-	nodes   []*node
-	fence   objectapi.Version
-	holder  int
+	now        time.Duration
+	version    objectapi.Version
+	object     objectapi.Object
+	value      Value
+	oldObjects []objectapi.Object
+	nodes      []*node
+	fence      objectapi.Version
+	holder     int
 }
 
 type node struct {
 	m      *Machine
 	offset time.Duration
 	drift  float64
-	// flight holds writes that have left and not arrived.
-	flight []Step
+	// inFlight holds writes that were sent and have not arrived.
+	inFlight []Step
 }
 
 func (n *node) clock(now time.Duration) time.Time {
@@ -56,19 +56,19 @@
 	return w
 }
 
-// apply puts a write in the object if its condition holds.
+// apply applies a write to the object if its condition holds.
 func (w *world) apply(s Step) (objectapi.Version, bool) {
 	if w.object.Version != s.Expected {
 		return 0, false
 	}
 	w.version++
-	w.olds = append(w.olds, w.object)
+	w.oldObjects = append(w.oldObjects, w.object)
 	w.object = objectapi.Object{Version: w.version, Attempt: s.Attempt}
 	w.value = Value{}
 	return w.version, true
 }
 
-// step lets one instance do what its machine says, with a fault or without.
+// step takes the next action of one instance's machine, possibly with an injected fault.
 func (w *world) step(t *rapid.T, n *node) {
 	s := n.m.Next(n.clock(w.now))
 	fate := rapid.SampledFrom([]string{"well", "well", "well", "lost", "late", "slow", "stale", "down"}).Draw(t, "fate")
@@ -81,7 +81,7 @@
 	case StepWrite:
 		w.write(n, s, fate)
 		if fate == "late" {
-			n.flight = append(n.flight, s)
+			n.inFlight = append(n.inFlight, s)
 		}
 	}
 }
@@ -90,8 +90,8 @@
 	switch {
 	case fate == "down":
 		n.m.ReadFailed(n.clock(w.now))
-	case fate == "stale" && len(w.olds) > 0:
-		old := w.olds[rapid.IntRange(0, len(w.olds)-1).Draw(t, "old")]
+	case fate == "stale" && len(w.oldObjects) > 0:
+		old := w.oldObjects[rapid.IntRange(0, len(w.oldObjects)-1).Draw(t, "old")]
 		n.m.Observed(n.clock(w.now), old, Value{})
 	default:
 		n.m.Observed(n.clock(w.now), w.object, w.value)
@@ -115,7 +115,7 @@
 	w.now += time.Duration(rapid.IntRange(0, int(most/time.Millisecond)).Draw(t, "ms")) * time.Millisecond
 }
 
-// check is what no order of events may break.
+// check verifies the invariants that must hold after any sequence of events.
 func (w *world) check(t *rapid.T) {
 	holder := -1
 	for i, n := range w.nodes {
@@ -134,12 +134,12 @@
 	}
 }
 
-// Instances are paused for longer than the lease, replies are lost, writes
-// arrive late, reads are stale, operators remove the object and clocks differ.
-// Two instances must never believe at one time that they hold the lease, or
-// both would order endpoints about; and the fencing numbers of successive
-// holders must rise, or endpoints would refuse the new one.
-func TestOneHolderAndRisingFences(t *testing.T) {
+// Guards against two instances relying on the lease at the same time, so that both would
+// send orders to endpoints, and against the fencing numbers of successive holders not
+// increasing, so that endpoints would refuse the new holder. Instances are paused for
+// longer than the lease, replies are lost, writes arrive late, reads are stale, operators
+// remove the object and clocks differ.
+func TestOneHolderAndIncreasingFences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.IntRange(2, 4).Draw(t, "instances"))
 		for range rapid.IntRange(10, 150).Draw(t, "steps") {
@@ -150,9 +150,9 @@
 			case "pass":
 				w.pass(t, 12*time.Second)
 			case "arrive":
-				if len(n.flight) > 0 {
-					w.apply(n.flight[0])
-					n.flight = n.flight[1:]
+				if len(n.inFlight) > 0 {
+					w.apply(n.inFlight[0])
+					n.inFlight = n.inFlight[1:]
 				}
 			case "release":
 				if s, ok := n.m.Release(n.clock(w.now)); ok {
@@ -171,8 +171,8 @@
 	})
 }
 
-// run lets the instances take turns without faults for a time, and returns who
-// holds the lease then.
+// run lets the instances act in turn without faults for the given time, and returns the
+// holder at its end.
 func (w *world) run(d time.Duration, nodes ...*node) (*node, objectapi.Version) {
 	for end := w.now + d; w.now < end; w.now += 100 * time.Millisecond {
 		for _, n := range nodes {
@@ -192,7 +192,7 @@
 	return nil, 0
 }
 
-func quietWorld(instances int) *world {
+func faultlessWorld(instances int) *world {
 	w := &world{holder: -1}
 	for i := range instances {
 		attempts := 0
@@ -204,14 +204,13 @@
 	return w
 }
 
-// The holder is paused for longer than the lease. Another instance takes over
-// with a higher number, and when the first one wakes up it must know at once
-// that it holds nothing.
-func TestPausedHolderIsFollowed(t *testing.T) {
-	w := quietWorld(2)
+// Guards against a holder that was paused for longer than the lease relying on it when it
+// resumes: another instance has taken over with a higher fencing number meanwhile.
+func TestPausedHolderIsReplaced(t *testing.T) {
+	w := faultlessWorld(2)
 	first, fence := w.run(30*time.Second, w.nodes...)
 	if first == nil {
-		t.Fatal("nobody took the lease")
+		t.Fatal("no instance acquired the lease")
 	}
 	other := w.nodes[0]
 	if other == first {
@@ -222,17 +221,17 @@
 		t.Fatalf("fence %d after %d; the other instance holds: %v", next, fence, second == other)
 	}
 	if _, ok := first.m.Held(first.clock(w.now)); ok {
-		t.Fatal("the paused instance believes that it holds the lease")
+		t.Fatal("the paused instance still relies on the lease")
 	}
 	if holder, _ := w.run(30*time.Second, w.nodes...); holder != other {
-		t.Fatal("the lease went back without need")
+		t.Fatal("the lease changed hands without a fault")
 	}
 }
 
-// An instance stops in an orderly way. Waiting out its lease would stall every
-// rollout at every release of the program.
-func TestReleasedLeaseIsTakenSoon(t *testing.T) {
-	w := quietWorld(2)
+// Guards against waiting for the expiry of the lease of an instance that shuts down
+// cleanly, which would delay every rollout whenever the program is upgraded.
+func TestReleasedLeaseIsAcquiredWithinOnePoll(t *testing.T) {
+	w := faultlessWorld(2)
 	first, _ := w.run(30*time.Second, w.nodes[0])
 	w.run(time.Second, w.nodes[1])
 	s, ok := first.m.Release(first.clock(w.now))
@@ -241,13 +240,14 @@
 	}
 	w.value.Released = true
 	if second, _ := w.run(6*time.Second, w.nodes[1]); second != w.nodes[1] {
-		t.Fatal("the released lease was not taken in the time of a poll")
+		t.Fatal("the released lease was not acquired within one poll")
 	}
 }
 
-// At rest the holder renews three times a length and the others read twice.
-func TestCallsAtRestAreFew(t *testing.T) {
-	w := quietWorld(1)
+// Without faults, the holder renews the lease three times per length, and the others read it
+// six times.
+func TestIdleWritesAreBounded(t *testing.T) {
+	w := faultlessWorld(1)
 	w.run(30*time.Second, w.nodes[0])
 	before := w.version
 	w.run(100*time.Second, w.nodes[0])
--- a/lease/takeover_test.go
+++ b/lease/takeover_test.go
@@ -8,10 +8,10 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// The holder loses its power right after it has renewed its lease. Until another
-// instance takes it, nobody rolls out the weights that operators have named, and
-// callers get answers of the old ones.
-func TestLostHolderIsReplacedSoon(t *testing.T) {
+// Guards against a late takeover when the holder loses power right after it renewed its
+// lease. Until another instance takes over, the weights that operators have requested are
+// not rolled out, and callers get answers from the old ones.
+func TestCrashedHolderIsReplacedInTime(t *testing.T) {
 	const length, renewed = 3 * time.Second, 5 * time.Second
 	start := time.Unix(1000, 0)
 	attempts := 0
@@ -26,7 +26,7 @@
 			if took := elapsed - renewed; took > length+length/4 {
 				t.Errorf("taken over %v after the last renewal, with a lease of %v", took, length)
 			} else if took < length {
-				t.Errorf("taken over %v after the last renewal: the holder may still believe", took)
+				t.Errorf("taken over %v after the last renewal, while the holder may still rely on it", took)
 			}
 			return
 		}
