--- a/lease/machine.go
+++ b/lease/machine.go
@@ -172,11 +172,11 @@
 
 // Wrote records that the write took effect and created the given version.
 func (m *Machine) Wrote(now time.Time, attempt string, version objectapi.Version) {
-	sent, ok := m.findPending(attempt)
+	pending, ok := m.pending(attempt)
 	if !ok || (version <= m.seen && m.own) {
 		return
 	}
-	if sent.creates {
+	if pending.creates {
 		m.setVersion(now, version)
 		m.released, m.confirmed = false, true
 		m.readDue = now.Add(m.length / pollDivisor)
@@ -188,12 +188,12 @@
 	}
 	m.setVersion(now, version)
 	m.own, m.released, m.confirmed = true, false, true
-	m.validUntil = sent.at.Add(m.length - m.length/driftDivisor)
-	m.renewAt = sent.at.Add(m.length / renewDivisor)
+	m.validUntil = pending.at.Add(m.length - m.length/driftDivisor)
+	m.renewAt = pending.at.Add(m.length / renewDivisor)
 	m.pendingWrites = nil
 }
 
-func (m *Machine) findPending(attempt string) (pendingWrite, bool) {
+func (m *Machine) pending(attempt string) (pendingWrite, bool) {
 	for _, w := range m.pendingWrites {
 		if w.attempt == attempt {
 			return w, true
@@ -239,7 +239,7 @@
 		// A stale read carries no information.
 		return
 	}
-	if _, ok := m.findPending(obj.Attempt); ok {
+	if _, ok := m.pending(obj.Attempt); ok {
 		m.Wrote(now, obj.Attempt, obj.Version)
 		return
 	}
