--- a/monitor/event.go
+++ b/monitor/event.go
@@ -1,6 +1,5 @@
-// Package monitor follows what the endpoints that an instance owns say of
-// themselves: whether they live, what they have loaded, their load and their
-// caches.
+// Package monitor follows the endpoints that an instance owns: whether they are alive,
+// which models they have loaded, their load and their caches.
 package monitor
 
 import (
@@ -10,34 +9,33 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// Event is something that an endpoint showed: StatusChanged, LoadReported or
-// CacheChanged.
+// Event is an observation of an endpoint: StatusChanged, LoadReported or CacheChanged.
 type Event interface {
-	// EndpointName names the endpoint that the event is about.
+	// EndpointName returns the name of the endpoint that the event is about.
 	EndpointName() string
 }
 
-// StatusChanged tells how an endpoint is to be treated and what it has loaded.
-// It comes at each change, and again each second in case one was given up.
+// StatusChanged is an endpoint's status and the models it has loaded. It is sent at each
+// change, and again about once a second in case one was dropped.
 type StatusChanged struct {
 	Endpoint    string
 	Pool        string
 	Status      fleetpb.EndpointStatus
 	Incarnation uint64
-	// ModelVersions are loaded, as model@version, in order.
+	// ModelVersions are the loaded models as model@version, sorted.
 	ModelVersions []string
-	// Reason of the status in words, empty for a live endpoint.
+	// Reason is a human-readable reason for the status, empty for a live endpoint.
 	Reason string
 }
 
-// LoadReported passes on an endpoint's word on its load.
+// LoadReported is a load report from an endpoint.
 type LoadReported struct {
 	Endpoint string
 	Report   endpoint.LoadReport
 }
 
-// CacheChanged passes on an event of an endpoint's cache. A step of more than
-// one in its Seq is a gap, be it the engine's or this process's own.
+// CacheChanged is an event of an endpoint's cache. If Seq increases by more than one,
+// events are missing, dropped either by the engine or by this process.
 type CacheChanged struct {
 	Endpoint string
 	Event    endpoint.CacheEvent
@@ -52,7 +50,7 @@
 // EndpointName implements Event.
 func (e CacheChanged) EndpointName() string { return e.Endpoint }
 
-// EndpointDump is the state of one followed endpoint.
+// EndpointDump is the state of one followed endpoint in the state dump.
 type EndpointDump struct {
 	Endpoint      string    `json:"endpoint"`
 	Pool          string    `json:"pool"`
--- a/monitor/heartbeat_test.go
+++ b/monitor/heartbeat_test.go
@@ -9,29 +9,30 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// beating follows an engine whose streams send heartbeats, from a moment on
-// when they have shown life.
-func beating(t *testing.T, slowest time.Duration, test func(m *Monitor, e *engine, seen *log)) {
-	follow(t, func(m *Monitor, e *engine, seen *log) {
-		e.change(func(e *engine) { e.beats, e.slowest = true, slowest })
+// withHeartbeats follows an engine whose streams send heartbeats, and starts the test once
+// they have been received.
+func withHeartbeats(t *testing.T, minInterval time.Duration, test func(m *Monitor, e *engine, seen *recorder)) {
+	follow(t, func(m *Monitor, e *engine, seen *recorder) {
+		e.change(func(e *engine) { e.sendsHeartbeats, e.minInterval = true, minInterval })
 		seen.after(10 * time.Second)
 		test(m, e, seen)
 	})
 }
 
-func (e *engine) polled() int {
+func (e *engine) pollCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.polls
 }
 
-// Thousands of engines are followed. Asking each of them several times a second
-// costs more than all else that an instance does at rest.
-func TestHeartbeatsStandForPolls(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
-		before, loads := e.polled(), seen.loads
+// Guards against polling each endpoint several times a second although it sends heartbeats.
+// With thousands of engines, this would cost more than everything else that an idle
+// instance does.
+func TestHeartbeatsReplacePolls(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
+		before, loads := e.pollCount(), seen.loads
 		seen.after(60 * time.Second)
-		if got := e.polled() - before; got < 40 || got > 51 {
+		if got := e.pollCount() - before; got < 40 || got > 51 {
 			t.Fatalf("%d polls in a minute, want one in 1.2 to 1.5 s", got)
 		}
 		if got := seen.loads - loads; got < 10 || got > 16 {
@@ -39,41 +40,41 @@
 		}
 		for _, s := range seen.statuses {
 			if s.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
-				t.Fatalf("a live engine was told as %+v", s)
+				t.Fatalf("a live engine was published as %+v", s)
 			}
 		}
 	})
 }
 
-// An engine's heartbeats come more rarely than the pool's bound allows. Taking
-// them for enough would make it a suspect between two of them.
-func TestRareHeartbeatsArePolledBetween(t *testing.T) {
-	beating(t, 3*time.Second, func(_ *Monitor, e *engine, seen *log) {
-		before := e.polled()
+// Guards against an engine whose heartbeats come more rarely than the pool's suspicion
+// bound being suspected between two of them.
+func TestRareHeartbeatsAreSupplementedByPolls(t *testing.T) {
+	withHeartbeats(t, 3*time.Second, func(_ *Monitor, e *engine, seen *recorder) {
+		before := e.pollCount()
 		seen.after(30 * time.Second)
-		if got := e.polled() - before; got < 80 {
+		if got := e.pollCount() - before; got < 80 {
 			t.Fatalf("%d polls in 30 s, want about three a second", got)
 		}
 		for _, s := range seen.statuses {
 			if s.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
-				t.Fatalf("a live engine was told as %+v", s)
+				t.Fatalf("a live engine was published as %+v", s)
 			}
 		}
 	})
 }
 
-// An engine hangs with its connections open. Callers would be sent to it and
-// wait; it is asked over a new connection and then suspected, both by its bound
-// and half a bound at most for the answer that does not come.
-func TestSilenceOfTheStreamIsCheckedAndSuspected(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
-		before := e.polled()
-		e.change(func(e *engine) { e.silent = true })
+// Guards against callers being sent to an engine that hangs with its connections open. It
+// must be polled over a new connection and then suspected, within its bound plus at most
+// half a bound for the answer that does not come.
+func TestHungEngineIsPolledAndSuspected(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
+		before := e.pollCount()
+		e.change(func(e *engine) { e.hung = true })
 		if got := seen.after(1500 * time.Millisecond).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_SUSPECT {
 			t.Fatalf("got %+v", got)
 		}
-		if e.polled() == before {
-			t.Fatal("suspected without being asked")
+		if e.pollCount() == before {
+			t.Fatal("suspected without a poll")
 		}
 		if got := seen.after(4 * time.Second).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED {
 			t.Fatalf("got %+v", got)
@@ -81,29 +82,29 @@
 	})
 }
 
-// The stream goes silent for good while the engine lives. Nothing is wrong with
-// it for its callers, so that it must go on getting work.
-func TestSilentStreamOfALiveEngine(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
+// Guards against suspecting a live engine whose stream permanently stops delivering. It
+// still serves its callers, so it must keep getting work.
+func TestIdleStreamOfALiveEngineIsNotSuspected(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) {
-			e.beats = false
+			e.sendsHeartbeats = false
 			close(e.broken)
 			e.broken = make(chan struct{})
 		})
 		seen.after(30 * time.Second)
 		for _, s := range seen.statuses {
 			if s.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
-				t.Fatalf("a live engine was told as %+v", s)
+				t.Fatalf("a live engine was published as %+v", s)
 			}
 		}
 	})
 }
 
-// An engine's machine takes no new connections while the open stream goes on.
-// Requests to it fail, whatever the stream says.
-func TestStreamIsNoLifeWithoutNewConnections(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
-		e.change(func(e *engine) { e.refuses = true })
+// Guards against an open stream hiding that an engine's machine accepts no new connections:
+// requests to it would fail.
+func TestOpenStreamDoesNotHideRefusedConnections(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
+		e.change(func(e *engine) { e.refusesConnections = true })
 		if got := seen.after(2500 * time.Millisecond).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_SUSPECT {
 			t.Fatalf("got %+v", got)
 		}
@@ -113,10 +114,10 @@
 	})
 }
 
-// An engine crashes between two polls and is back, empty, before the next. What
-// was known of its cache would draw requests that it has to compute anew.
-func TestQuickCrashIsSeenByTheStream(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
+// Guards against missing that an engine crashed and restarted with an empty cache between
+// two polls. Its stale cache state would attract requests that it has to compute again.
+func TestCrashBetweenPollsIsDetectedByTheStream(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) {
 			e.state.Incarnation = 2
 			e.events = []endpoint.CacheEvent{{Seq: 1, Incarnation: 2, Op: endpoint.CacheClear}}
@@ -130,18 +131,18 @@
 	})
 }
 
-// An engine is gone for a moment and comes back empty, and its streams with it.
-// The heartbeats of the new life must not pass for those of the life before,
-// whose cache would go on to draw requests.
-func TestHeartbeatsOfAnotherIncarnation(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
+// Guards against taking the heartbeats of a restarted engine for those of its previous
+// incarnation, whose stale cache state would keep attracting requests. The engine is down
+// briefly, and its streams end with it.
+func TestNewIncarnationIsDetectedDespiteHeartbeats(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) {
-			e.refuses = true
+			e.refusesConnections = true
 			close(e.broken)
 			e.broken = make(chan struct{})
 		})
 		seen.after(100 * time.Millisecond)
-		e.change(func(e *engine) { e.refuses, e.state.Incarnation = false, 2 })
+		e.change(func(e *engine) { e.refusesConnections, e.state.Incarnation = false, 2 })
 		got := seen.after(600 * time.Millisecond).last()
 		if got.Incarnation != 2 || got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
 			t.Fatalf("got %+v", got)
@@ -149,10 +150,10 @@
 	})
 }
 
-// An engine says that it leaves and goes on to send heartbeats. New requests to
-// it would be cut when it ends.
-func TestLeavingIsKnownInTimeBesideHeartbeats(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
+// Guards against missing that an engine is leaving because it continues to send heartbeats:
+// new requests to it would be cut off when it stops.
+func TestLeavingIsDetectedDespiteHeartbeats(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) { e.state.Leaving = true })
 		if got := seen.after(1600 * time.Millisecond).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LEAVING {
 			t.Fatalf("got %+v", got)
@@ -164,12 +165,12 @@
 	})
 }
 
-// An engine's process dies, its streams break and its machine refuses
-// connections. Waiting for the next poll would cost callers a second or two.
-func TestBreakOfTheStreamIsAskedAboutAtOnce(t *testing.T) {
-	beating(t, 0, func(_ *Monitor, e *engine, seen *log) {
+// Guards against waiting for the next poll after an engine's process has died, its streams
+// have ended and its machine refuses connections. This would cost callers a second or two.
+func TestEndOfStreamCausesAnImmediatePoll(t *testing.T) {
+	withHeartbeats(t, 0, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) {
-			e.refuses = true
+			e.refusesConnections = true
 			close(e.broken)
 			e.broken = make(chan struct{})
 		})
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -10,15 +10,15 @@
 	"github.com/sardinedock/sardinedock/ring"
 )
 
-// Config is what a Monitor needs.
+// Config configures a Monitor.
 type Config struct {
-	// Dial returns what reads the engine at an address. Its Events bring the
-	// heartbeats that stand for most polls. Its State must use a
-	// new connection at each call, so that an open connection which went
-	// silent for good does not pass for a dead engine.
+	// Dial returns an observer of the engine at an address. The heartbeats in its Events
+	// replace most polls. Its State must use a new connection for each call, so that an
+	// open connection that permanently stopped delivering is not mistaken for a dead
+	// engine.
 	Dial func(address string) endpoint.Observer
-	// Events takes what the endpoints show. When it is full the oldest are
-	// given up: a status comes again, a lost cache event shows as a gap.
+	// Events receives the events. When it is full, the oldest are dropped: a status is
+	// repeated, and a lost cache event shows as a gap in the sequence numbers.
 	Events *ring.Ring[Event]
 }
 
@@ -27,13 +27,13 @@
 	Name    string
 	Pool    string
 	Address string
-	// Leaving is the record's word that it gets no new work.
+	// Leaving reports that the endpoint's record excludes it from new work.
 	Leaving bool
 	Bounds  policy.HealthBounds
 }
 
-// Monitor follows a set of endpoints, each by goroutines of its own. All
-// methods may be called by any goroutine.
+// Monitor follows a set of endpoints, each in its own goroutines. All methods may be called
+// from any goroutine.
 type Monitor struct {
 	cfg Config
 
@@ -42,13 +42,13 @@
 	stopped  bool
 }
 
-// New returns a monitor that follows nothing.
+// New returns a monitor that follows no endpoints.
 func New(cfg Config) *Monitor {
 	return &Monitor{cfg: cfg, watchers: map[string]*watcher{}}
 }
 
-// SetEndpoints replaces the set of endpoints that are followed. What is known
-// of those that stay is kept. It does not block on I/O.
+// SetEndpoints replaces the set of followed endpoints. The state of those that remain is
+// kept. It does not block on I/O.
 func (m *Monitor) SetEndpoints(targets []Target) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -60,7 +60,7 @@
 		wanted[t.Name] = t
 	}
 	for name, w := range m.watchers {
-		if t, ok := wanted[name]; ok && w.set(t) {
+		if t, ok := wanted[name]; ok && w.setTarget(t) {
 			continue
 		}
 		w.cancel()
@@ -73,7 +73,7 @@
 	}
 }
 
-// Stop ends all following and waits for the goroutines.
+// Stop stops following all endpoints and waits for the goroutines.
 func (m *Monitor) Stop() {
 	m.mu.Lock()
 	m.stopped = true
@@ -88,7 +88,7 @@
 	}
 }
 
-// Dump returns the state of each followed endpoint, in order of name.
+// Dump returns the state of each followed endpoint, sorted by name.
 func (m *Monitor) Dump() []EndpointDump {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,13 +103,13 @@
 func startWatcher(cfg Config, t Target) *watcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &watcher{
-		observer: cfg.Dial(t.Address),
-		events:   cfg.Events,
-		cancel:   cancel,
-		target:   t,
-		retarget: make(chan struct{}, 1),
-		beats:    make(chan beat, 1),
-		ask:      make(chan struct{}, 1),
+		observer:   cfg.Dial(t.Address),
+		events:     cfg.Events,
+		cancel:     cancel,
+		target:     t,
+		retarget:   make(chan struct{}, 1),
+		heartbeats: make(chan heartbeat, 1),
+		pollNow:    make(chan struct{}, 1),
 	}
 	w.dump = EndpointDump{Endpoint: t.Name, Pool: t.Pool}
 	w.done.Go(func() { w.run(ctx) })
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -19,21 +19,21 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// engine is an engine in memory.
+// engine is an in-memory engine.
 type engine struct {
-	mu      sync.Mutex
-	state   endpoint.State
-	silent  bool
-	refuses bool
-	events  []endpoint.CacheEvent
+	mu                 sync.Mutex
+	state              endpoint.State
+	hung               bool
+	refusesConnections bool
+	events             []endpoint.CacheEvent
 	// broken ends the open streams when it is closed.
 	broken chan struct{}
 	opened []uint64
-	// beats has the streams send heartbeats, as often as asked for but not
-	// more often than slowest.
-	beats   bool
-	slowest time.Duration
-	polls   int
+	// sendsHeartbeats makes the streams send heartbeats at the requested interval, but at
+	// intervals of at least slowest.
+	sendsHeartbeats bool
+	minInterval     time.Duration
+	polls           int
 }
 
 func newEngine() *engine {
@@ -53,10 +53,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.polls++
-	if e.refuses {
+	if e.refusesConnections {
 		return endpoint.State{}, fault.Wrap(syscall.ECONNREFUSED, fault.Unavailable, "start it", "dial")
 	}
-	if e.silent {
+	if e.hung {
 		e.mu.Unlock()
 		<-ctx.Done()
 		e.mu.Lock()
@@ -74,8 +74,8 @@
 	defer e.mu.Unlock()
 	e.opened = append(e.opened, after)
 	s := &stream{engine: e, broken: e.broken, closed: make(chan struct{})}
-	if e.beats {
-		s.incarnation, s.heartbeat = e.state.Incarnation, max(heartbeat, e.slowest)
+	if e.sendsHeartbeats {
+		s.incarnation, s.heartbeat = e.state.Incarnation, max(heartbeat, e.minInterval)
 	}
 	for _, ev := range e.events {
 		if ev.Seq > after {
@@ -111,7 +111,7 @@
 	for {
 		select {
 		case <-beat:
-			if s.engine.speaks() {
+			if s.engine.answers() {
 				return endpoint.CacheEvent{Incarnation: s.incarnation, Op: endpoint.CacheHeartbeat}, nil
 			}
 			continue
@@ -125,58 +125,57 @@
 
 func (s *stream) Incarnation() uint64 { return s.incarnation }
 
-func (e *engine) speaks() bool {
+func (e *engine) answers() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return !e.silent
+	return !e.hung
 }
 
 func (s *stream) Close() { s.once.Do(func() { close(s.closed) }) }
 
 var bounds = policy.HealthBounds{SuspectAfter: time.Second, ExpelAfter: 5 * time.Second}
 
-// follow starts a monitor of one engine; the rest of the test runs in virtual
-// time.
-func follow(t *testing.T, test func(m *Monitor, e *engine, seen *log)) {
+// follow starts a monitor of one engine and runs the test in virtual time.
+func follow(t *testing.T, test func(m *Monitor, e *engine, seen *recorder)) {
 	synctest.Test(t, func(t *testing.T) {
 		e := newEngine()
 		events := ring.New[Event]("test_monitor", 1024)
 		m := New(Config{Dial: func(string) endpoint.Observer { return e }, Events: events})
 		m.SetEndpoints([]Target{{Name: "engine-1", Pool: "engines", Address: "a", Bounds: bounds}})
-		test(m, e, &log{events: events})
+		test(m, e, &recorder{events: events})
 		m.Stop()
 	})
 }
 
-// log collects what the monitor told.
-type log struct {
+// recorder collects the events published by the monitor.
+type recorder struct {
 	events   *ring.Ring[Event]
 	statuses []StatusChanged
 	cache    []uint64
 	loads    int
 }
 
-// after lets time pass and reads what was told by then.
-func (l *log) after(d time.Duration) *log {
+// after advances the time and collects the events published until then.
+func (r *recorder) after(d time.Duration) *recorder {
 	time.Sleep(d)
 	synctest.Wait()
-	for l.events.Len() > 0 {
-		switch e := (<-l.events.C()).(type) {
+	for r.events.Len() > 0 {
+		switch e := (<-r.events.C()).(type) {
 		case StatusChanged:
-			l.statuses = append(l.statuses, e)
+			r.statuses = append(r.statuses, e)
 		case CacheChanged:
-			l.cache = append(l.cache, e.Event.Seq)
+			r.cache = append(r.cache, e.Event.Seq)
 		case LoadReported:
-			l.loads++
+			r.loads++
 		}
 	}
-	return l
+	return r
 }
 
-func (l *log) last() StatusChanged { return l.statuses[len(l.statuses)-1] }
+func (r *recorder) last() StatusChanged { return r.statuses[len(r.statuses)-1] }
 
-func TestLiveEndpointIsTold(t *testing.T) {
-	follow(t, func(_ *Monitor, _ *engine, seen *log) {
+func TestLiveEndpointIsPublished(t *testing.T) {
+	follow(t, func(_ *Monitor, _ *engine, seen *recorder) {
 		got := seen.after(3 * time.Second).last()
 		if got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE || got.Incarnation != 1 ||
 			!slices.Equal(got.ModelVersions, []string{"counter@1"}) || got.Pool != "engines" {
@@ -191,16 +190,16 @@
 	})
 }
 
-// An engine pauses and comes back. It gets no new work meanwhile, and its
-// callers on it notice nothing else, since its cache is still there.
-func TestPauseMakesASuspectOnly(t *testing.T) {
-	follow(t, func(_ *Monitor, e *engine, seen *log) {
+// Guards against expelling an engine that pauses and resumes. It must get no new work
+// meanwhile, but its cache is still there, so that callers must not notice anything else.
+func TestPausedEngineIsSuspectedNotExpelled(t *testing.T) {
+	follow(t, func(_ *Monitor, e *engine, seen *recorder) {
 		seen.after(time.Second)
-		e.change(func(e *engine) { e.silent = true })
+		e.change(func(e *engine) { e.hung = true })
 		if got := seen.after(2 * time.Second).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_SUSPECT || got.Reason == "" {
-			t.Fatalf("got %+v after two seconds of silence", got)
+			t.Fatalf("got %+v after two seconds without answers", got)
 		}
-		e.change(func(e *engine) { e.silent = false })
+		e.change(func(e *engine) { e.hung = false })
 		if got := seen.after(time.Second).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
 			t.Fatalf("got %+v after the pause", got)
 		}
@@ -212,37 +211,39 @@
 	})
 }
 
-// A machine is lost. What was known of its cache must not draw requests to it.
-func TestLongSilenceExpels(t *testing.T) {
-	follow(t, func(_ *Monitor, e *engine, seen *log) {
+// Guards against the cache state of a lost machine attracting requests to it.
+func TestUnresponsiveEngineIsExpelled(t *testing.T) {
+	follow(t, func(_ *Monitor, e *engine, seen *recorder) {
 		seen.after(time.Second)
-		e.change(func(e *engine) { e.silent = true })
+		e.change(func(e *engine) { e.hung = true })
 		if got := seen.after(7 * time.Second).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED {
 			t.Fatalf("got %+v", got)
 		}
 	})
 }
 
-// An engine's process dies and its machine refuses connections. That is known
-// at once, before any silence; it comes back empty with another incarnation.
-func TestCrashIsKnownAtOnce(t *testing.T) {
-	follow(t, func(_ *Monitor, e *engine, seen *log) {
+// Guards against detecting only by a time-out that an engine's process has died and its
+// machine refuses connections, and against missing the new incarnation with an empty cache
+// that follows.
+func TestRefusedConnectionIsDetectedAtOnce(t *testing.T) {
+	follow(t, func(_ *Monitor, e *engine, seen *recorder) {
 		seen.after(time.Second)
-		e.change(func(e *engine) { e.refuses = true })
+		e.change(func(e *engine) { e.refusesConnections = true })
 		if got := seen.after(300 * time.Millisecond).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_SUSPECT {
 			t.Fatalf("got %+v", got)
 		}
-		e.change(func(e *engine) { e.refuses, e.state.Incarnation = false, 2 })
+		e.change(func(e *engine) { e.refusesConnections, e.state.Incarnation = false, 2 })
 		if got := seen.after(300 * time.Millisecond).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE || got.Incarnation != 2 {
 			t.Fatalf("got %+v", got)
 		}
 	})
 }
 
-// The stream of cache events is forgotten by something in between. It goes on
-// over a new connection where it stood, and a lost event shows as a gap.
+// Guards against losing cache events when a middlebox drops the stream's connection state:
+// the stream must resume at the same event over a new connection, and a lost event must
+// show as a gap.
 func TestCacheStreamResumes(t *testing.T) {
-	follow(t, func(_ *Monitor, e *engine, seen *log) {
+	follow(t, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) { e.events = []endpoint.CacheEvent{{Seq: 1, Incarnation: 1}, {Seq: 2, Incarnation: 1}} })
 		seen.after(time.Second)
 		e.change(func(e *engine) {
@@ -260,10 +261,10 @@
 	})
 }
 
-// An engine restarts and numbers its events from the start again. Reading on
-// from the old number would miss all of them.
-func TestCacheStreamStartsAnewWithTheIncarnation(t *testing.T) {
-	follow(t, func(_ *Monitor, e *engine, seen *log) {
+// Guards against missing the events of a restarted engine, which numbers them from the
+// start again, by resuming at the old number.
+func TestCacheStreamRestartsWithTheIncarnation(t *testing.T) {
+	follow(t, func(_ *Monitor, e *engine, seen *recorder) {
 		e.change(func(e *engine) { e.events = []endpoint.CacheEvent{{Seq: 90, Incarnation: 1}} })
 		seen.after(time.Second)
 		e.change(func(e *engine) {
@@ -277,24 +278,25 @@
 	})
 }
 
-// An operator takes an endpoint out, or another instance becomes its owner.
+// Guards against following an endpoint that was removed by an operator or has another owner
+// now, and against ignoring that it was marked as leaving.
 func TestSetEndpoints(t *testing.T) {
-	follow(t, func(m *Monitor, _ *engine, seen *log) {
+	follow(t, func(m *Monitor, _ *engine, seen *recorder) {
 		m.SetEndpoints([]Target{{Name: "engine-1", Pool: "engines", Address: "a", Bounds: bounds, Leaving: true}})
 		if got := seen.after(time.Second).last(); got.Status != fleetpb.EndpointStatus_ENDPOINT_STATUS_LEAVING {
 			t.Fatalf("got %+v", got)
 		}
 		m.SetEndpoints(nil)
 		seen.after(time.Second)
-		told := len(seen.statuses)
-		if seen.after(10 * time.Second); len(seen.statuses) != told || len(m.Dump()) != 0 {
-			t.Fatal("an endpoint is followed that was taken out")
+		published := len(seen.statuses)
+		if seen.after(10 * time.Second); len(seen.statuses) != published || len(m.Dump()) != 0 {
+			t.Fatal("a removed endpoint is still followed")
 		}
 	})
 }
 
-// BenchmarkFollow tells the processor time of following one endpoint for a
-// second of its time, without the connection.
+// BenchmarkFollow measures the processor time for following one endpoint for one second of
+// the endpoint's time, without the connection.
 func BenchmarkFollow(b *testing.B) {
 	for _, n := range []int{8, 64} {
 		b.Run(fmt.Sprintf("endpoints=%d", n), func(b *testing.B) {
@@ -307,7 +309,7 @@
 			ctx := context.Background()
 			for b.Loop() {
 				for _, w := range watchers {
-					for range pollShare {
+					for range pollDivisor {
 						w.poll(ctx, w.target)
 					}
 				}
@@ -317,9 +319,9 @@
 	}
 }
 
-// The real client must let the refusal of a connection be seen, or a crash
-// would be found by silence only.
-func TestClientShowsARefusedConnection(t *testing.T) {
+// Guards against the real client hiding that a connection was refused: a crash would then
+// be detected only by a time-out.
+func TestClientExposesARefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/monitor/watcher.go
+++ b/monitor/watcher.go
@@ -19,35 +19,35 @@
 )
 
 const (
-	// pollShare is the part of the suspicion bound after which an endpoint is
-	// asked again: one lost answer must not make it a suspect.
-	pollShare = 4
-	// leastPoll bounds the cost of following, whatever a record says.
-	leastPoll = 50 * time.Millisecond
-	// silentShare is the part of the suspicion bound after which a quiet stream
-	// of cache events is no sign of life any more. The other part is for asking
-	// over a new connection, so that no endpoint is suspected on a stream's
-	// word alone.
-	silentShare = 2
-	// stateEvery and stateSpread give the time between polls while the stream
-	// of cache events shows life: up to 1.5 s, so that the word of an engine
-	// that it is leaving is in force everywhere within three seconds, of which
-	// the exchange takes another one. The spread keeps the endpoints of a fleet
-	// from being asked in step.
-	stateEvery  = 1200 * time.Millisecond
-	stateSpread = 300 * time.Millisecond
-	// loadEvery is the least time between load reports: an owner knows most of
-	// the load from its own grants.
-	loadEvery = 4 * time.Second
-	// longestHeartbeat bounds what engines are asked for: a stream must not
-	// count as silent between two heartbeats.
-	longestHeartbeat = time.Second
-	// repeatEvery is how often the status is told without a change.
-	repeatEvery = time.Second
-	// firstPause and longestPause bound the time between attempts to open the
-	// stream of cache events.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 2 * time.Second
+	// pollDivisor is the divisor of the suspicion bound that gives the poll interval: one
+	// lost answer must not make an endpoint suspected.
+	pollDivisor = 4
+	// minPollInterval bounds the cost of polling, however short a record's suspicion bound is.
+	minPollInterval = 50 * time.Millisecond
+	// idleDivisor is the divisor of the suspicion bound that gives the time after which an
+	// idle stream of cache events no longer shows that the endpoint is alive. The rest of
+	// the bound is left for a poll over a new connection, so that no endpoint is suspected
+	// because of its stream alone.
+	idleDivisor = 2
+	// statePollInterval and statePollJitter give the time between polls while the stream of cache
+	// events shows that the endpoint is alive: up to 1.5 s, so that an engine's notice that
+	// it is leaving takes effect on all instances within three seconds, one of which is for
+	// the exchange between them. The jitter keeps the endpoints of a fleet from being
+	// polled in step.
+	statePollInterval = 1200 * time.Millisecond
+	statePollJitter   = 300 * time.Millisecond
+	// loadReportInterval is the least time between load reports: an owner knows most of the load
+	// from its own grants.
+	loadReportInterval = 4 * time.Second
+	// maxHeartbeatInterval bounds the heartbeat interval requested from engines: a stream must
+	// not count as idle between two heartbeats.
+	maxHeartbeatInterval = time.Second
+	// statusRepeatInterval is how often an unchanged status is published again.
+	statusRepeatInterval = time.Second
+	// minReopenDelay and maxReopenDelay bound the backoff between attempts to open the stream of
+	// cache events.
+	minReopenDelay = 100 * time.Millisecond
+	maxReopenDelay = 2 * time.Second
 )
 
 var (
@@ -57,14 +57,14 @@
 	streamsTotal = metrics.GetOrCreateCounter("sardinedock_monitor_cache_streams_total")
 )
 
-// beat is a sign of life from a stream of cache events.
-type beat struct {
+// heartbeat is evidence from a stream of cache events that the endpoint is alive.
+type heartbeat struct {
 	at          time.Time
 	incarnation uint64
 }
 
-// watcher follows one endpoint. One goroutine asks for state and load and owns
-// the health; another, for each incarnation, reads the cache events.
+// watcher follows one endpoint. One goroutine polls state and load and owns the health;
+// another one, for each incarnation, reads the cache events.
 type watcher struct {
 	observer endpoint.Observer
 	events   *ring.Ring[Event]
@@ -72,29 +72,30 @@
 	done     sync.WaitGroup
 	retarget chan struct{}
 
-	health *policy.EndpointHealth
-	models []string
-	told   time.Time
-	loaded time.Time
-	// leaving is the engine's own word.
+	health        *policy.EndpointHealth
+	models        []string
+	lastPublished time.Time
+	lastLoad      time.Time
+	// leaving is the engine's own report that it is leaving.
 	leaving bool
-	// unanswered is set while polls fail. An open stream is no sign of life
-	// then: requests need new connections.
-	unanswered bool
-	// streamHeard is when the stream of the present incarnation showed life.
-	streamHeard time.Time
+	// pollFailing is set while polls fail. An open stream then does not show that the
+	// endpoint is alive: requests need new connections.
+	pollFailing bool
+	// lastHeartbeat is the time of the last heartbeat in the stream of the current
+	// incarnation.
+	lastHeartbeat time.Time
 
-	// beats are the stream's signs of life, ask its word to poll at once.
-	beats chan beat
-	ask   chan struct{}
+	// heartbeats come from the stream; pollNow requests an immediate poll.
+	heartbeats chan heartbeat
+	pollNow    chan struct{}
 
 	mu     sync.Mutex
 	target Target
 	dump   EndpointDump
 }
 
-// set replaces the target; it reports false where that takes a new watcher.
-func (w *watcher) set(t Target) bool {
+// setTarget replaces the target. It returns false if the new target requires a new watcher.
+func (w *watcher) setTarget(t Target) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if t.Address != w.target.Address || t.Pool != w.target.Pool {
@@ -111,7 +112,7 @@
 	return true
 }
 
-func (w *watcher) current() Target {
+func (w *watcher) currentTarget() Target {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.target
@@ -124,11 +125,11 @@
 }
 
 func (w *watcher) run(ctx context.Context) {
-	w.health = policy.NewEndpointHealth(time.Now(), w.current().Bounds)
+	w.health = policy.NewEndpointHealth(time.Now(), w.currentTarget().Bounds)
 	stopCache := func() {}
 	defer func() { stopCache() }()
 	for ctx.Err() == nil {
-		t := w.current()
+		t := w.currentTarget()
 		w.health.SetBounds(t.Bounds)
 		_, before := w.health.Status()
 		polled := time.Now()
@@ -137,32 +138,32 @@
 			stopCache()
 			stopCache = w.followCache(ctx, now)
 		}
-		w.pause(ctx, t, polled)
+		w.waitForPoll(ctx, t, polled)
 	}
 }
 
 func pollInterval(t Target) time.Duration {
-	return max(t.Bounds.SuspectAfter/pollShare, leastPoll)
+	return max(t.Bounds.SuspectAfter/pollDivisor, minPollInterval)
 }
 
-// pause waits for the next poll: until shortly after the stream of cache
-// events went quiet, but not longer than the state may be unknown. An engine
-// that sends heartbeats too rarely for the bound, or none, is polled as often
-// as the bound needs.
-func (w *watcher) pause(ctx context.Context, t Target, polled time.Time) {
+// waitForPoll waits until the next poll is due. This is shortly after the stream of cache
+// events has become idle, and at the latest when the polled state gets too old. An engine
+// that sends heartbeats too rarely for the suspicion bound, or none, is polled as often as
+// the bound requires.
+func (w *watcher) waitForPoll(ctx context.Context, t Target, polled time.Time) {
 	least := pollInterval(t)
-	next := polled.Add(stateEvery + time.Duration(rand.Float64()*float64(stateSpread)))
+	next := polled.Add(statePollInterval + time.Duration(rand.Float64()*float64(statePollJitter)))
 	for {
-		wait := min(time.Until(next), time.Until(w.streamHeard.Add(t.Bounds.SuspectAfter/silentShare)))
+		wait := min(time.Until(next), time.Until(w.lastHeartbeat.Add(t.Bounds.SuspectAfter/idleDivisor)))
 		wait = max(wait, time.Until(polled.Add(least)))
 		timer := time.NewTimer(max(wait, 0))
 		select {
-		case b := <-w.beats:
+		case b := <-w.heartbeats:
 			timer.Stop()
-			w.alive(t, b)
+			w.onHeartbeat(t, b)
 			continue
 		case <-timer.C:
-		case <-w.ask:
+		case <-w.pollNow:
 		case <-w.retarget:
 		case <-ctx.Done():
 		}
@@ -171,25 +172,26 @@
 	}
 }
 
-// alive takes a sign of life of the incarnation that was polled last.
-func (w *watcher) alive(t Target, b beat) {
-	if _, incarnation := w.health.Status(); b.incarnation != incarnation || w.unanswered {
+// onHeartbeat records a heartbeat, unless it is from another incarnation than the one
+// polled last or polls are failing.
+func (w *watcher) onHeartbeat(t Target, b heartbeat) {
+	if _, incarnation := w.health.Status(); b.incarnation != incarnation || w.pollFailing {
 		return
 	}
-	w.streamHeard = b.at
+	w.lastHeartbeat = b.at
 	w.mu.Lock()
 	w.dump.Failure, w.dump.HeardAt = "", b.at
 	w.mu.Unlock()
 	changed := w.health.Heard(b.at, b.incarnation, t.Leaving || w.leaving)
 	now := time.Now()
 	changed = w.health.Tick(now) || changed
-	if changed || now.Sub(w.told) >= repeatEvery {
-		w.tell(now, t, changed)
+	if changed || now.Sub(w.lastPublished) >= statusRepeatInterval {
+		w.publishStatus(now, t, changed)
 	}
 }
 
-// poll asks once for the state and takes the answer, or its absence, into the
-// health. An answer that takes longer than two polls counts as none.
+// poll requests the state once and updates the health with the answer or the failure. An
+// answer that takes longer than two poll intervals counts as a failure.
 func (w *watcher) poll(ctx context.Context, t Target) {
 	pollsTotal.Inc()
 	bounded, cancel := context.WithTimeout(ctx, 2*pollInterval(t))
@@ -200,26 +202,26 @@
 	}
 	now := time.Now()
 	changed := false
-	w.unanswered = err != nil
+	w.pollFailing = err != nil
 	if err != nil {
-		w.streamHeard = time.Time{}
+		w.lastHeartbeat = time.Time{}
 		pollFailures.Inc()
-		changed = w.failed(now, err)
+		changed = w.onPollFailure(now, err)
 	} else {
-		changed = w.heard(now, t, s)
+		changed = w.onPollSuccess(now, t, s)
 	}
-	if changed || now.Sub(w.told) >= repeatEvery {
-		w.tell(now, t, changed)
+	if changed || now.Sub(w.lastPublished) >= statusRepeatInterval {
+		w.publishStatus(now, t, changed)
 	}
-	if changed || now.Sub(w.loaded) >= loadEvery {
-		w.loaded = now
+	if changed || now.Sub(w.lastLoad) >= loadReportInterval {
+		w.lastLoad = now
 		w.load(ctx, t)
 	}
 }
 
-// failed notes a poll without an answer. A refused connection is the word of
-// the machine that the process is gone; anything else may be a pause.
-func (w *watcher) failed(now time.Time, err error) bool {
+// onPollFailure records a failed poll. A refused connection means that the machine is up
+// and the process is not; anything else may be a pause.
+func (w *watcher) onPollFailure(now time.Time, err error) bool {
 	w.mu.Lock()
 	w.dump.Failure = err.Error()
 	w.mu.Unlock()
@@ -231,7 +233,7 @@
 	return changed
 }
 
-func (w *watcher) heard(now time.Time, t Target, s endpoint.State) bool {
+func (w *watcher) onPollSuccess(now time.Time, t Target, s endpoint.State) bool {
 	w.mu.Lock()
 	w.dump.Failure, w.dump.HeardAt = "", now
 	w.mu.Unlock()
@@ -254,8 +256,8 @@
 	return list
 }
 
-func (w *watcher) tell(now time.Time, t Target, changed bool) {
-	w.told = now
+func (w *watcher) publishStatus(now time.Time, t Target, changed bool) {
+	w.lastPublished = now
 	if changed {
 		changesTotal.Inc()
 	}
@@ -270,7 +272,7 @@
 	})
 }
 
-// reason says a status in words for operators.
+// reason returns a description of the status for operators.
 func reason(status policy.EndpointStatus, failure string) string {
 	switch status {
 	case policy.EndpointSuspect:
@@ -283,7 +285,7 @@
 	return ""
 }
 
-// statusMessage is a status as instances tell it to each other.
+// statusMessage returns the status as it is encoded between instances.
 func statusMessage(s policy.EndpointStatus) fleetpb.EndpointStatus {
 	switch s {
 	case policy.EndpointLive:
@@ -297,8 +299,8 @@
 	}
 }
 
-// load passes the load report on. It is never a sign of death: the report may
-// come over a connection that something in between has forgotten.
+// load publishes a load report. A failure is not evidence that the endpoint is dead: the
+// call may use a connection whose state was dropped by a middlebox.
 func (w *watcher) load(ctx context.Context, t Target) {
 	if status, _ := w.health.Status(); status != policy.EndpointLive {
 		return
@@ -310,19 +312,19 @@
 	}
 }
 
-// followCache reads the cache events of one incarnation until the returned
-// function is called. Each incarnation counts its events from the start.
+// followCache reads the cache events of one incarnation until the returned function is
+// called. Each incarnation numbers its events from the start.
 func (w *watcher) followCache(ctx context.Context, incarnation uint64) context.CancelFunc {
 	ctx, cancel := context.WithCancel(ctx)
 	w.done.Go(func() {
 		var seq uint64
-		pause := firstPause
+		pause := minReopenDelay
 		for ctx.Err() == nil {
 			before := seq
 			seq = w.readCache(ctx, incarnation, seq)
-			pause = min(2*pause, longestPause)
+			pause = min(2*pause, maxReopenDelay)
 			if seq > before {
-				pause = firstPause
+				pause = minReopenDelay
 			}
 			_ = clock.Sleep(ctx, pause/2+time.Duration(rand.Float64()*float64(pause)))
 		}
@@ -330,25 +332,25 @@
 	return cancel
 }
 
-// readCache reads one stream of events to its end and returns the last Seq.
-// A stream that goes silent ends by the client's bound, and the next one is
-// opened on a new connection where this one stood.
+// readCache reads one stream of events to its end and returns the last Seq. The client ends
+// a stream that stops delivering, and the next one resumes at the same event on a new
+// connection.
 func (w *watcher) readCache(ctx context.Context, incarnation, seq uint64) uint64 {
 	streamsTotal.Inc()
-	t := w.current()
-	stream, err := w.observer.Events(ctx, seq, min(pollInterval(t), longestHeartbeat))
+	t := w.currentTarget()
+	stream, err := w.observer.Events(ctx, seq, min(pollInterval(t), maxHeartbeatInterval))
 	if err != nil {
 		return seq
 	}
-	// The end of a stream is the first that shows of a crash.
+	// The end of a stream is the earliest sign of a crash.
 	defer func() {
 		if ctx.Err() == nil {
-			w.askNow()
+			w.requestPoll()
 		}
 	}()
 	newer := stream.Incarnation() > incarnation
 	if newer {
-		w.askNow()
+		w.requestPoll()
 	}
 	defer stream.Close()
 	stop := context.AfterFunc(ctx, stream.Close)
@@ -358,14 +360,14 @@
 		if err != nil || ctx.Err() != nil {
 			return seq
 		}
-		// Another incarnation has to be polled, and an emptied cache may come
-		// with other weights. A stream that goes on to tell of an incarnation
-		// that the state denies has it polled once only.
+		// Another incarnation has to be polled, and a cleared cache may come with other
+		// weights. If the polled state contradicts a newer incarnation that the stream
+		// keeps reporting, the stream causes only one poll.
 		if e.Op == endpoint.CacheClear || e.Incarnation > incarnation && !newer {
 			newer = newer || e.Incarnation > incarnation
-			w.askNow()
+			w.requestPoll()
 		}
-		w.beat(stream.Incarnation())
+		w.heartbeat(stream.Incarnation())
 		if e.Incarnation != incarnation || e.Op == endpoint.CacheHeartbeat {
 			continue
 		}
@@ -377,19 +379,19 @@
 	}
 }
 
-// beat tells of a stream's sign of life. While one waits to be taken, newer
-// ones are given up: at worst the endpoint is polled once more.
-func (w *watcher) beat(incarnation uint64) {
+// heartbeat passes on a heartbeat of the stream. While one is pending, newer ones are
+// dropped: at worst the endpoint is polled once more.
+func (w *watcher) heartbeat(incarnation uint64) {
 	select {
-	case w.beats <- beat{time.Now(), incarnation}:
+	case w.heartbeats <- heartbeat{time.Now(), incarnation}:
 	default:
 	}
 }
 
-// askNow has the state polled at once.
-func (w *watcher) askNow() {
+// requestPoll requests an immediate poll of the state.
+func (w *watcher) requestPoll() {
 	select {
-	case w.ask <- struct{}{}:
+	case w.pollNow <- struct{}{}:
 	default:
 	}
 }
