--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -1,7 +1,8 @@
-// Package cachefeed follows what endpoints and stores say of the prompt parts that
-// they hold. Each of them is followed by one instance, its owner, which tells the
-// others; so an instance that starts knows what is cached where within moments,
-// and an endpoint is asked once however many instances there are.
+// Package cachefeed follows the cache events of endpoints and stores, which report the
+// prompt parts that they hold. Each endpoint or store is followed by one instance, its
+// owner, which forwards the events to the others. So an instance that starts learns the
+// contents of all caches within moments, and an endpoint is polled once however many
+// instances there are.
 package cachefeed
 
 import (
@@ -19,28 +20,28 @@
 )
 
 const (
-	// waitTime is how long a call waits for events; calls that wait for less than
-	// 200 ms cost as much as a health check.
-	waitTime = time.Second
-	// pollEvery is the least time between two calls to one holder. Events are some
-	// 100 ms late in any case.
-	pollEvery = 100 * time.Millisecond
-	// failPause is the wait after a call that failed.
-	failPause = 500 * time.Millisecond
-	// ownersEvery is how often it is looked at who follows whom.
-	ownersEvery = 200 * time.Millisecond
-	// wholeAfter is how long the word that peers have started is gathered before
-	// everything is told again.
-	wholeAfter = 150 * time.Millisecond
-	// fewEvents in an answer mean that no more are there: less than a holder gives
-	// out at a time, and more than come during a call.
-	fewEvents = 100
-	// catchUpWait is how long a call waits that may find nothing more.
-	catchUpWait = 200 * time.Millisecond
-	// settleTime is how long a starting instance waits before it takes anything on:
-	// it would count itself alone, and each of a fleet that starts together would
-	// follow everything at first.
-	settleTime = 60 * time.Millisecond
+	// longPollTimeout is how long a call waits for events. Calls that wait for less than 200 ms
+	// cost as much as a health check.
+	longPollTimeout = time.Second
+	// minPollInterval is the least time between two calls to one holder. Events are about 100 ms
+	// late in any case.
+	minPollInterval = 100 * time.Millisecond
+	// retryDelay is the delay after a failed call.
+	retryDelay = 500 * time.Millisecond
+	// assignInterval is how often the assignment of holders to instances is checked.
+	assignInterval = 200 * time.Millisecond
+	// resyncDelay is how long notices that peers have started are collected before
+	// everything is sent again.
+	resyncDelay = 150 * time.Millisecond
+	// minFullPage is the number of events below which an answer is the last one: it is less
+	// than a holder returns at a time, and more than occur during a call.
+	minFullPage = 100
+	// catchUpTimeout is how long a call waits for events when there may be no more.
+	catchUpTimeout = 200 * time.Millisecond
+	// startupDelay is how long a starting instance waits before it follows any holder. It
+	// does not know its peers yet, so each instance of a fleet that starts together would
+	// follow all holders at first.
+	startupDelay = 60 * time.Millisecond
 	// partsPerMessage keeps a message within a datagram.
 	partsPerMessage = 80
 )
@@ -51,19 +52,20 @@
 	gapsTotal  = metrics.GetOrCreateCounter("sardinedock_cachefeed_gaps_total")
 )
 
-// Holder is an endpoint or a store that holds parts.
+// Holder is an endpoint or a store that holds prompt parts.
 type Holder struct {
-	// ID of the endpoint's incarnation, and the Name that the platform gives the
-	// endpoint; both empty for a store.
+	// ID is the id of the endpoint's incarnation, and Name the name that the platform gives
+	// the endpoint; both are empty for a store.
 	ID, Name string
-	// Born is when the incarnation started, in ms since 1970; 0 where it does not say.
+	// Born is when the incarnation started, in ms since 1970; 0 if the endpoint does not
+	// report it.
 	Born    int64
 	Address string
-	// Model of the pool; empty for a store, which holds those of all.
+	// Model is the model of the pool; empty for a store, which holds parts of all models.
 	Model string
 }
 
-// name is what the holder is known by to balance.
+// name returns the holder's name in package balance.
 func (h Holder) name() string {
 	if h.ID == "" {
 		return h.Address
@@ -71,10 +73,10 @@
 	return h.ID
 }
 
-// Change is one event of a cache. A part that is given up shrinks in several steps
-// from its end; it counts as gone from the first, since the rest follows within half
-// a second, before a request that is sent for it arrives. Counting on what is left
-// for the moment had more parts read again.
+// Change is one event of a cache. A part that is evicted shrinks in several steps from its
+// end. It counts as removed from the first step, since the rest follows within half a
+// second, before a request that is routed because of it arrives. Relying on what was left
+// for the moment caused more parts to be read again.
 type Change struct {
 	Added  bool
 	Scope  string
@@ -83,55 +85,56 @@
 	Tokens int64
 }
 
-// Batch is what a holder says at a time.
+// Batch is the result of one call to a holder.
 type Batch struct {
-	// Epoch changes when the holder starts anew.
+	// Epoch changes when the holder restarts.
 	Epoch uint64
-	// Next is where the next call goes on.
+	// Next is the position at which the next call continues.
 	Next uint64
-	// Lost says that events before these are missing.
+	// Lost reports that events before these are missing.
 	Lost    bool
 	Changes []Change
 }
 
 // Source reads events.
 type Source interface {
-	// Events returns what happened since; it blocks until there is something, at
-	// most for wait. fault.NotFound: another holder has the address.
+	// Events returns the events starting at position since. It blocks until there are any,
+	// for at most wait. The error is fault.NotFound if the address belongs to another
+	// holder.
 	Events(ctx context.Context, h Holder, since uint64, wait time.Duration) (Batch, error)
 }
 
-// Config is what a Feed needs.
+// Config configures a Feed.
 type Config struct {
 	Source Source
 	// Owned returns the holders that this instance follows.
 	Owned func() []Holder
-	// Take takes in news here, Tell hands them to the other instances. Neither
-	// may block.
+	// Take applies an update on this instance, Tell sends it to the other instances.
+	// Neither may block.
 	Take, Tell func(balance.CacheNews)
-	// Held returns what a holder is known to hold.
+	// Held returns the parts that a holder is known to hold.
 	Held func(holder, model string) []balance.CachedPart
 }
 
-// Feed is the duty that follows the holders of this instance.
+// Feed follows the holders that this instance owns.
 type Feed struct {
 	cfg Config
 
 	mu      sync.Mutex
 	running map[Holder]context.CancelFunc
-	// whole asks for everything to be told again.
-	whole chan struct{}
+	// resync requests that the known parts of all holders are sent again.
+	resync chan struct{}
 }
 
-// New returns a feed that Run starts.
+// New returns a feed; call Run to start it.
 func New(cfg Config) *Feed {
-	return &Feed{cfg: cfg, running: map[Holder]context.CancelFunc{}, whole: make(chan struct{}, 1)}
+	return &Feed{cfg: cfg, running: map[Holder]context.CancelFunc{}, resync: make(chan struct{}, 1)}
 }
 
-// TellWhole has everything told again, for peers that have started.
+// TellWhole sends the known parts of all holders again, for peers that have started.
 func (f *Feed) TellWhole() {
 	select {
-	case f.whole <- struct{}{}:
+	case f.resync <- struct{}{}:
 	default:
 	}
 }
@@ -140,23 +143,24 @@
 func (f *Feed) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	ticker := time.NewTicker(ownersEvery)
+	ticker := time.NewTicker(assignInterval)
 	defer ticker.Stop()
-	_ = clock.Sleep(ctx, settleTime)
+	_ = clock.Sleep(ctx, startupDelay)
 	for {
 		f.assign(ctx, &wg)
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-f.whole:
-			_ = clock.Sleep(ctx, wholeAfter)
-			f.tellAll()
+		case <-f.resync:
+			_ = clock.Sleep(ctx, resyncDelay)
+			f.resendAll()
 		}
 	}
 }
 
-// assign starts and ends the goroutines of the holders.
+// assign starts following newly owned holders and stops following those that are no longer
+// owned.
 func (f *Feed) assign(ctx context.Context, wg *sync.WaitGroup) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,15 +182,16 @@
 	}
 }
 
-func (f *Feed) tellAll() {
+func (f *Feed) resendAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for h := range f.running {
-		f.tell(balance.CacheNews{Holder: h.name(), Model: h.Model, Whole: true, Added: f.cfg.Held(h.name(), h.Model)})
+		f.publish(balance.CacheNews{Holder: h.name(), Model: h.Model, Whole: true, Added: f.cfg.Held(h.name(), h.Model)})
 	}
 }
 
-// follow reads one holder's events until ctx ends.
+// follow reads one holder's events until ctx ends, or until its address belongs to another
+// holder.
 func (f *Feed) follow(ctx context.Context, h Holder) {
 	var since, epoch uint64
 	for ctx.Err() == nil {
@@ -199,40 +204,40 @@
 			if fault.Is(err, fault.NotFound) {
 				return
 			}
-			_ = clock.Sleep(ctx, failPause)
+			_ = clock.Sleep(ctx, retryDelay)
 			continue
 		}
 		if since > 0 && (b.Epoch != epoch || b.Lost) {
-			// The holder has started anew, or events are missing: what was known
-			// may be wrong in any part, so it is read from the start.
+			// The holder has restarted, or events are missing. Any part of the known state
+			// may be wrong, so the events are read again from the start.
 			gapsTotal.Inc()
-			log.WithField("holder", h.name()).WithField("lost", b.Lost).Info("cache events missing; read anew")
+			log.WithField("holder", h.name()).WithField("lost", b.Lost).Info("cache events missing; reading all events again")
 			since, epoch = 0, b.Epoch
 			continue
 		}
-		f.news(h, since == 0, b.Changes)
+		f.applyBatch(h, since == 0, b.Changes)
 		since, epoch = b.Next, b.Epoch
-		_ = clock.Sleep(ctx, pollEvery)
+		_ = clock.Sleep(ctx, minPollInterval)
 	}
 }
 
-// read returns the next events, or all that there are where since is 0. A holder
-// gives out a few hundred at a time, the oldest first; what the first of them say
-// of a part may long be past.
+// read returns the next events, or all available events if since is 0. A holder returns a
+// few hundred at a time, the oldest first, so the state given by the first of them may be
+// long outdated.
 func (f *Feed) read(ctx context.Context, h Holder, since uint64) (Batch, error) {
 	callsTotal.Inc()
-	b, err := f.cfg.Source.Events(ctx, h, since, waitTime)
+	b, err := f.cfg.Source.Events(ctx, h, since, longPollTimeout)
 	if err != nil || since > 0 {
 		return b, err
 	}
-	for n := len(b.Changes); n >= fewEvents && ctx.Err() == nil; {
+	for n := len(b.Changes); n >= minFullPage && ctx.Err() == nil; {
 		callsTotal.Inc()
-		more, err := f.cfg.Source.Events(ctx, h, b.Next, catchUpWait)
+		more, err := f.cfg.Source.Events(ctx, h, b.Next, catchUpTimeout)
 		if err != nil {
 			return Batch{}, err
 		}
 		if more.Epoch != b.Epoch || more.Lost {
-			return Batch{}, fault.New(fault.Broken, "the events are read anew", "events went while they were read")
+			return Batch{}, fault.New(fault.Broken, "the events are read again from the start", "events were dropped while they were read")
 		}
 		n = len(more.Changes)
 		b.Changes = append(b.Changes, more.Changes...)
@@ -241,9 +246,9 @@
 	return b, nil
 }
 
-// news hands on what a batch comes to in the end: of a part that came and went
-// only the last counts.
-func (f *Feed) news(h Holder, whole bool, changes []Change) {
+// applyBatch applies and publishes the net effect of a batch: only the last change of each
+// part counts.
+func (f *Feed) applyBatch(h Holder, whole bool, changes []Change) {
 	if len(changes) == 0 && !whole {
 		return
 	}
@@ -264,11 +269,11 @@
 		}
 	}
 	f.cfg.Take(n)
-	f.tell(n)
+	f.publish(n)
 }
 
-// tell hands news to the other instances in messages that fit into a datagram.
-func (f *Feed) tell(n balance.CacheNews) {
+// publish sends an update to the other instances in messages that fit into a datagram.
+func (f *Feed) publish(n balance.CacheNews) {
 	part := balance.CacheNews{Holder: n.Holder, Model: n.Model, Whole: n.Whole}
 	for {
 		a, r := min(len(n.Added), partsPerMessage/2), min(len(n.Removed), partsPerMessage/2)
--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -12,11 +12,11 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// atATime is how many events a holder gives out in one answer.
-const atATime = 300
+// eventsPerAnswer is how many events a holder returns in one answer.
+const eventsPerAnswer = 300
 
-// script is a holder whose events are given by the test.
-type script struct {
+// fakeHolder is a holder whose events are given by the test.
+type fakeHolder struct {
 	mu     sync.Mutex
 	epoch  uint64
 	lost   bool
@@ -24,7 +24,7 @@
 	calls  int
 }
 
-func (s *script) Events(ctx context.Context, _ Holder, since uint64, wait time.Duration) (Batch, error) {
+func (s *fakeHolder) Events(ctx context.Context, _ Holder, since uint64, wait time.Duration) (Batch, error) {
 	until := time.Now().Add(wait)
 	s.mu.Lock()
 	s.calls++
@@ -33,7 +33,7 @@
 		s.mu.Lock()
 		b := Batch{Epoch: s.epoch, Next: uint64(len(s.events)) + 1, Lost: s.lost && since > 0}
 		if from := max(since, 1) - 1; from < uint64(len(s.events)) {
-			to := min(from+atATime, uint64(len(s.events)))
+			to := min(from+eventsPerAnswer, uint64(len(s.events)))
 			b.Changes, b.Next = append(b.Changes, s.events[from:to]...), to+1
 		}
 		s.lost = s.lost && since == 0
@@ -49,7 +49,7 @@
 	}
 }
 
-func (s *script) add(changes ...Change) {
+func (s *fakeHolder) add(changes ...Change) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.events = append(s.events, changes...)
@@ -59,8 +59,9 @@
 	return Change{Added: added, Scope: "s", Part: id, Model: "m", Tokens: 100}
 }
 
-// run follows the holder and returns what is believed of it, and what was told.
-func run(t *testing.T, s *script) (has func(id string) bool, told func() int, feed *Feed) {
+// run follows the holder. It returns functions that report whether a part is known and how
+// many messages were published, and the feed.
+func run(t *testing.T, s *fakeHolder) (has func(id string) bool, published func() int, feed *Feed) {
 	t.Helper()
 	state := balance.NewState(time.Second)
 	state.SetEndpoints([]balance.Endpoint{{ID: "e", Address: "a:1", Service: "pool"}})
@@ -90,20 +91,20 @@
 		}
 		return false
 	}
-	told = func() int {
+	published = func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		return messages
 	}
-	return has, told, feed
+	return has, published, feed
 }
 
-// An endpoint crashes and comes back under its address with an empty cache. Its
-// numbers of events start anew, and without a look at its epoch the router counts
-// on parts that are gone: requests sent there for them read everything again.
-func TestRestartedHolderIsReadAnew(t *testing.T) {
+// Guards against relying on the parts of an endpoint that crashed and restarted under its
+// address with an empty cache. Its event numbers start again, and only the changed epoch
+// shows it; requests routed for the lost parts would read everything again.
+func TestRestartedHolderIsReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{epoch: 1}
+		s := &fakeHolder{epoch: 1}
 		s.add(part("x", true), part("y", true))
 		has, _, _ := run(t, s)
 		time.Sleep(time.Second)
@@ -120,11 +121,11 @@
 	})
 }
 
-// Events are lost on the way, an eviction among them. The router has to read what
-// is left from the start, or it goes on counting on the evicted part.
-func TestGapIsReadAnew(t *testing.T) {
+// Guards against relying on an evicted part after events were lost, an eviction among them:
+// the remaining events must be read from the start.
+func TestHolderIsReadAgainAfterAGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{epoch: 1}
+		s := &fakeHolder{epoch: 1}
 		s.add(part("x", true), part("y", true))
 		has, _, _ := run(t, s)
 		time.Sleep(time.Second)
@@ -138,42 +139,42 @@
 	})
 }
 
-// A holder has thousands of events to tell and gives out the oldest ones first. An
-// instance that goes by the first answer alone counts on parts that are long gone,
-// for as long as it takes to read on.
-func TestAllEventsAreReadBeforeAnyCounts(t *testing.T) {
+// Guards against an instance relying on outdated parts until it has read on. A holder with
+// thousands of events returns the oldest first, so its first answer alone may list parts
+// that were evicted long ago.
+func TestAllEventsAreReadBeforeAnyIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{epoch: 1}
+		s := &fakeHolder{epoch: 1}
 		s.add(part("old", true))
 		for i := range 1000 {
 			s.add(part(strconv.Itoa(i), true), part(strconv.Itoa(i), false))
 		}
 		s.add(part("old", false), part("new", true))
 		has, _, _ := run(t, s)
-		time.Sleep(settleTime + catchUpWait + 50*time.Millisecond)
+		time.Sleep(startupDelay + catchUpTimeout + 50*time.Millisecond)
 		if has("old") || !has("new") {
 			t.Errorf("right after the start: evicted part known %v, newest part known %v", has("old"), has("new"))
 		}
 	})
 }
 
-// Peers that have just started know of no cache; they are told everything, once
-// for however many of them start together.
-func TestStartedPeersAreToldEverything(t *testing.T) {
+// Guards against peers that have just started knowing of no cache, and against everything
+// being sent once for each of several peers that start together.
+func TestStartedPeersReceiveEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{epoch: 1}
+		s := &fakeHolder{epoch: 1}
 		s.add(part("x", true), part("y", true), part("y", false))
-		has, told, feed := run(t, s)
+		has, published, feed := run(t, s)
 		time.Sleep(time.Second)
 		if !has("x") || has("y") {
 			t.Fatalf("x %v, evicted y %v", has("x"), has("y"))
 		}
-		before := told()
+		before := published()
 		for range 5 {
 			feed.TellWhole()
 		}
 		time.Sleep(time.Second)
-		if got := told() - before; got < 1 || got > 2 {
+		if got := published() - before; got < 1 || got > 2 {
 			t.Errorf("%d messages for peers that started together", got)
 		}
 	})
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -30,7 +30,7 @@
 	broken chan struct{}
 	opened []uint64
 	// sendsHeartbeats makes the streams send heartbeats at the requested interval, but at
-	// intervals of at least slowest.
+	// intervals of at least minInterval.
 	sendsHeartbeats bool
 	minInterval     time.Duration
 	polls           int
