--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -109,7 +109,7 @@
 			m.send(func(to *Follower) { to.Checked(at) })
 		},
 		Seen: func(_ string, revision uint64) { m.send(func(to *Follower) { to.Hint(revision) }) },
-		Heard: func(obj objectapi.Object, before uint64, steady bool) {
+		PublishChange: func(obj objectapi.Object, before uint64, steady bool) {
 			m.send(func(to *Follower) { to.Take(obj, before, steady) })
 		},
 	}
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -66,7 +66,7 @@
 	// first call follows the first list, even if that is empty. It must not block.
 	Changed func(changes []Change)
 	// Seen, if not nil, is called with each newer revision that this instance's own reads
-	// and watch bring, except for changes passed to Heard.
+	// and watch bring, except for changes passed to PublishChange.
 	//
 	// Changes received from a peer are not forwarded, because then each instance would send
 	// each change to all others.
@@ -74,10 +74,10 @@
 	// Watches reports whether this instance watches the kind itself; nil means that it
 	// does. An instance that does not watch relies on Take and its own reads.
 	Watches func() bool
-	// Heard, if not nil, is called with each change that the watch delivers or a scheduled
+	// PublishChange, if not nil, is called with each change that the watch delivers or a scheduled
 	// read finds, and with the revision of the change before it. steady reports that this
 	// instance saw no outage that would make a removal ambiguous.
-	Heard func(obj objectapi.Object, before uint64, steady bool)
+	PublishChange func(obj objectapi.Object, before uint64, steady bool)
 	// Reached, if not nil, is called with false when the store becomes unreachable and with
 	// true when it answers again.
 	Reached func(bool)
@@ -448,14 +448,14 @@
 // unable to read at that moment. If they received only a revision, they would use the
 // endpoint until they can read again.
 func (f *Follower) publishFound(found []Change, before objectapi.Version) {
-	if f.cfg.Heard == nil || len(found) > maxForwarded {
+	if f.cfg.PublishChange == nil || len(found) > maxForwarded {
 		return
 	}
 	found = slices.Clone(found)
 	slices.SortFunc(found, func(a, b Change) int { return cmp.Compare(a.Version, b.Version) })
 	steady := !f.mayHaveLapsed()
 	for _, c := range found {
-		f.cfg.Heard(c.Object, uint64(before), steady)
+		f.cfg.PublishChange(c.Object, uint64(before), steady)
 		before = max(before, c.Version)
 	}
 }
@@ -467,11 +467,11 @@
 	before := f.lastChange
 	f.apply(obj, FromWatch)
 	f.advance(obj.Version)
-	if f.cfg.Heard == nil {
+	if f.cfg.PublishChange == nil {
 		f.publishRevision()
 		return
 	}
-	f.cfg.Heard(obj, uint64(before), !f.mayHaveLapsed())
+	f.cfg.PublishChange(obj, uint64(before), !f.mayHaveLapsed())
 }
 
 // publishRevision reports the newest known change to peers. The caller holds f.mu.
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -236,7 +236,7 @@
 		// Each change costs each watch a call of the store; a few watch, and tell
 		// the others.
 		cfg.Watches = func() bool { return i.watches(kind) }
-		cfg.Heard = i.broadcastEntry
+		cfg.PublishChange = i.broadcastEntry
 	}
 	if kind == platform.KindEndpoints {
 		cfg.Reached = i.node.ReportStore
