--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -108,7 +108,7 @@
 			at := time.Now()
 			m.send(func(to *Follower) { to.Checked(at) })
 		},
-		Seen: func(_ string, revision uint64) { m.send(func(to *Follower) { to.Hint(revision) }) },
+		PublishRevision: func(_ string, revision uint64) { m.send(func(to *Follower) { to.Hint(revision) }) },
 		PublishChange: func(obj objectapi.Object, before uint64, steady bool) {
 			m.send(func(to *Follower) { to.Take(obj, before, steady) })
 		},
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -65,12 +65,12 @@
 	// Changed is called with the changed objects, in order and never concurrently. The
 	// first call follows the first list, even if that is empty. It must not block.
 	Changed func(changes []Change)
-	// Seen, if not nil, is called with each newer revision that this instance's own reads
+	// PublishRevision, if not nil, is called with each newer revision that this instance's own reads
 	// and watch bring, except for changes passed to PublishChange.
 	//
 	// Changes received from a peer are not forwarded, because then each instance would send
 	// each change to all others.
-	Seen func(kind string, revision uint64)
+	PublishRevision func(kind string, revision uint64)
 	// Watches reports whether this instance watches the kind itself; nil means that it
 	// does. An instance that does not watch relies on Take and its own reads.
 	Watches func() bool
@@ -476,8 +476,8 @@
 
 // publishRevision reports the newest known change to peers. The caller holds f.mu.
 func (f *Follower) publishRevision() {
-	if f.cfg.Seen != nil {
-		f.cfg.Seen(f.cfg.Kind, uint64(f.lastChange))
+	if f.cfg.PublishRevision != nil {
+		f.cfg.PublishRevision(f.cfg.Kind, uint64(f.lastChange))
 	}
 }
 
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -473,7 +473,7 @@
 			Store: s, Kind: "endpoints", Every: time.Minute,
 			Watches: func() bool { return false },
 			Changed: func([]Change) {},
-			Seen: func(_ string, revision uint64) {
+			PublishRevision: func(_ string, revision uint64) {
 				mu.Lock()
 				defer mu.Unlock()
 				published = append(published, revision)
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -224,7 +224,7 @@
 // follow sets up the follower of a kind; run starts it.
 func (i *Instance) follow(kind string, changed func([]directory.Change)) {
 	cfg := directory.Config{
-		Store: i.store, Kind: kind, Changed: changed, Seen: i.node.BroadcastRevision,
+		Store: i.store, Kind: kind, Changed: changed, PublishRevision: i.node.BroadcastRevision,
 		Every: readEvery(kind), Place: func() int { return i.standing().Place(kind) }, Read: i.node.BroadcastRead,
 	}
 	switch kind {
