--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -104,7 +104,7 @@
 		Watches: func() bool { s := m.standing(); return s.Scheduler && s.Rank("endpoints") < modelWatchers },
 		Changed: m.recordRemovals,
 		Reached: func(reached bool) { m.setUnreachable(!reached) },
-		Read: func(string) {
+		PublishRead: func(string) {
 			at := time.Now()
 			m.send(func(to *Follower) { to.Checked(at) })
 		},
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -56,8 +56,8 @@
 	// Place returns this instance's position, from 0, in the order in which instances read
 	// the kind; nil means 0. An instance reads only if those before it fail to.
 	Place func() int
-	// Read, if not nil, is called after each successful read so that peers can skip theirs.
-	Read func(kind string)
+	// PublishRead, if not nil, is called after each successful read so that peers can skip theirs.
+	PublishRead func(kind string)
 	// LapseAfter is the shortest store outage in which entries can expire although their
 	// owners are alive. Entries that disappear around such an outage are kept until their
 	// owners have had time to renew them. 0 means that entries do not expire.
@@ -293,8 +293,8 @@
 	}
 	f.answered(FromRead)
 	f.Checked(began)
-	if f.cfg.Read != nil {
-		f.cfg.Read(f.cfg.Kind)
+	if f.cfg.PublishRead != nil {
+		f.cfg.PublishRead(f.cfg.Kind)
 	}
 	f.applyList(l, reason)
 	return true
