--- a/directory/follower.go
+++ b/directory/follower.go
@@ -78,9 +78,9 @@
 	// read finds, and with the revision of the change before it. steady reports that this
 	// instance saw no outage that would make a removal ambiguous.
 	PublishChange func(obj objectapi.Object, before uint64, steady bool)
-	// Reached, if not nil, is called with false when the store becomes unreachable and with
+	// ReachabilityChanged, if not nil, is called with false when the store becomes unreachable and with
 	// true when it answers again.
-	Reached func(bool)
+	ReachabilityChanged func(bool)
 }
 
 // Follower follows one kind of objects. Hint may be called from any goroutine.
@@ -359,8 +359,8 @@
 }
 
 func (f *Follower) notifyReachable(reached bool) {
-	if f.cfg.Reached != nil {
-		f.cfg.Reached(reached)
+	if f.cfg.ReachabilityChanged != nil {
+		f.cfg.ReachabilityChanged(reached)
 	}
 }
 
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -239,7 +239,7 @@
 		cfg.PublishChange = i.broadcastEntry
 	}
 	if kind == platform.KindEndpoints {
-		cfg.Reached = i.node.ReportStore
+		cfg.ReachabilityChanged = i.node.ReportStore
 		cfg.LapseAfter = lapseAfter(i.bounds.Load())
 	}
 	i.followers[kind] = directory.NewFollower(cfg)
