--- a/directory/follower.go
+++ b/directory/follower.go
@@ -50,9 +50,9 @@
 	Store objectapi.Store
 	// Kind is the kind of objects to follow.
 	Kind string
-	// Every is the interval between reads of the kind by the fleet as a whole. Reads
+	// ReadInterval is the interval between reads of the kind by the fleet as a whole. Reads
 	// complement the watches because a watch may stop delivering events without an error.
-	Every time.Duration
+	ReadInterval time.Duration
 	// Place returns this instance's position, from 0, in the order in which instances read
 	// the kind; nil means 0. An instance reads only if those before it fail to.
 	Place func() int
@@ -244,9 +244,9 @@
 		// Run does the first read; a second one in parallel would return the same.
 		return 2 * checkInterval
 	case f.reachable:
-		return max(f.cfg.Every+time.Duration(place)*readStagger-time.Since(f.readAt), 0)
+		return max(f.cfg.ReadInterval+time.Duration(place)*readStagger-time.Since(f.readAt), 0)
 	}
-	return max(probeDelay(place, f.failures, f.cfg.Every)-time.Since(f.lastTry), 0)
+	return max(probeDelay(place, f.failures, f.cfg.ReadInterval)-time.Since(f.lastTry), 0)
 }
 
 // place returns this instance's position in the read order.
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -159,7 +159,7 @@
 	now := map[string]bool{}
 	cfg := Config{
 		Store: s, Kind: "endpoints", LapseAfter: 2400 * time.Millisecond,
-		Every: check,
+		ReadInterval: check,
 		Changed: func(changes []Change) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -470,7 +470,7 @@
 		var mu sync.Mutex
 		var published []uint64
 		f := NewFollower(Config{
-			Store: s, Kind: "endpoints", Every: time.Minute,
+			Store: s, Kind: "endpoints", ReadInterval: time.Minute,
 			Watches: func() bool { return false },
 			Changed: func([]Change) {},
 			PublishRevision: func(_ string, revision uint64) {
