--- a/directory/follower.go
+++ b/directory/follower.go
@@ -53,9 +53,9 @@
 	// ReadInterval is the interval between reads of the kind by the fleet as a whole. Reads
 	// complement the watches because a watch may stop delivering events without an error.
 	ReadInterval time.Duration
-	// Place returns this instance's position, from 0, in the order in which instances read
+	// ReadPosition returns this instance's position, from 0, in the order in which instances read
 	// the kind; nil means 0. An instance reads only if those before it fail to.
-	Place func() int
+	ReadPosition func() int
 	// PublishRead, if not nil, is called after each successful read so that peers can skip theirs.
 	PublishRead func(kind string)
 	// LapseAfter is the shortest store outage in which entries can expire although their
@@ -251,10 +251,10 @@
 
 // place returns this instance's position in the read order.
 func (f *Follower) place() int {
-	if f.cfg.Place == nil {
+	if f.cfg.ReadPosition == nil {
 		return 0
 	}
-	return f.cfg.Place()
+	return f.cfg.ReadPosition()
 }
 
 // Checked records that another instance read the kind at the given time. The revisions it
