--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -110,7 +110,7 @@
 		},
 		PublishRevision: func(_ string, revision uint64) { m.send(func(to *Follower) { to.Hint(revision) }) },
 		PublishChange: func(obj objectapi.Object, before uint64, steady bool) {
-			m.send(func(to *Follower) { to.Take(obj, before, steady) })
+			m.send(func(to *Follower) { to.ApplyPeerChange(obj, before, steady) })
 		},
 	}
 }
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -72,7 +72,7 @@
 	// each change to all others.
 	PublishRevision func(kind string, revision uint64)
 	// Watches reports whether this instance watches the kind itself; nil means that it
-	// does. An instance that does not watch relies on Take and its own reads.
+	// does. An instance that does not watch relies on ApplyPeerChange and its own reads.
 	Watches func() bool
 	// PublishChange, if not nil, is called with each change that the watch delivers or a scheduled
 	// read finds, and with the revision of the change before it. steady reports that this
@@ -258,7 +258,7 @@
 }
 
 // Checked records that another instance read the kind at the given time. The revisions it
-// found are reported separately, by Hint or Take.
+// found are reported separately, by Hint or ApplyPeerChange.
 func (f *Follower) Checked(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -242,7 +242,7 @@
 		s.change(func() { s.stalled = true })
 		s.remove("a")
 		s.put("c")
-		f.Take(objectapi.Object{Name: "c", Version: 4}, 3, true)
+		f.ApplyPeerChange(objectapi.Object{Name: "c", Version: 4}, 3, true)
 		time.Sleep(300 * time.Millisecond)
 		if has("a") || !has("c") {
 			t.Errorf("removed entry kept: %v, new entry known: %v", has("a"), has("c"))
@@ -373,8 +373,8 @@
 		time.Sleep(time.Second)
 		s.setDown(true)
 		time.Sleep(6 * time.Second)
-		f.Take(objectapi.Object{Name: "a", Version: 3, Deleted: true}, 2, true)
-		f.Take(objectapi.Object{Name: "b", Version: 4, Deleted: true}, 3, false)
+		f.ApplyPeerChange(objectapi.Object{Name: "a", Version: 3, Deleted: true}, 2, true)
+		f.ApplyPeerChange(objectapi.Object{Name: "b", Version: 4, Deleted: true}, 3, false)
 		if has("a") || !has("b") {
 			t.Errorf("removed entry kept: %v; entry that may have expired kept: %v", has("a"), has("b"))
 		}
@@ -483,8 +483,8 @@
 		var done sync.WaitGroup
 		done.Go(func() { f.Run(ctx) })
 		time.Sleep(time.Second)
-		f.Take(objectapi.Object{Name: "b", Version: 2}, 1, true)
-		f.Take(objectapi.Object{Name: "c", Version: 3}, 2, true)
+		f.ApplyPeerChange(objectapi.Object{Name: "b", Version: 2}, 1, true)
+		f.ApplyPeerChange(objectapi.Object{Name: "c", Version: 3}, 2, true)
 		time.Sleep(time.Second)
 		if f.Revision() == 0 || len(published) != 1 || published[0] != 1 {
 			t.Errorf("published revisions %v, want only 1, from the own read", published)
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -167,7 +167,7 @@
 	if !ok {
 		return
 	}
-	f.Take(objectapi.Object{
+	f.ApplyPeerChange(objectapi.Object{
 		Kind: e.GetKind(), Name: e.GetName(), Version: objectapi.Version(e.GetRevision()), Deleted: e.GetDeleted(), Value: e.GetValue(),
 	}, e.GetBefore(), e.GetSteady())
 }
