--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -106,7 +106,7 @@
 		ReachabilityChanged: func(reached bool) { m.setUnreachable(!reached) },
 		PublishRead: func(string) {
 			at := time.Now()
-			m.send(func(to *Follower) { to.Checked(at) })
+			m.send(func(to *Follower) { to.RecordPeerRead(at) })
 		},
 		PublishRevision: func(_ string, revision uint64) { m.send(func(to *Follower) { to.Hint(revision) }) },
 		PublishChange: func(obj objectapi.Object, before uint64, steady bool) {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -257,9 +257,9 @@
 	return f.cfg.ReadPosition()
 }
 
-// Checked records that another instance read the kind at the given time. The revisions it
+// RecordPeerRead records that another instance read the kind at the given time. The revisions it
 // found are reported separately, by Hint or ApplyPeerChange.
-func (f *Follower) Checked(at time.Time) {
+func (f *Follower) RecordPeerRead(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.checkedLocked(at)
@@ -292,7 +292,7 @@
 		return false
 	}
 	f.answered(FromRead)
-	f.Checked(began)
+	f.RecordPeerRead(began)
 	if f.cfg.PublishRead != nil {
 		f.cfg.PublishRead(f.cfg.Kind)
 	}
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -331,7 +331,7 @@
 		time.Sleep(300 * time.Millisecond)
 		s.setDown(false)
 		for range 20 {
-			f.Checked(time.Now())
+			f.RecordPeerRead(time.Now())
 			time.Sleep(500 * time.Millisecond)
 		}
 		s.remove("a")
@@ -410,7 +410,7 @@
 		s.change(func() { s.stalled = true })
 		before := s.readCount()
 		for range 20 {
-			f.Checked(time.Now())
+			f.RecordPeerRead(time.Now())
 			time.Sleep(400 * time.Millisecond)
 		}
 		if n := s.readCount() - before; n > 0 {
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -176,6 +176,6 @@
 func (h receiver) Revision(kind string, revision uint64, readAt time.Time) {
 	if f, ok := h.followers[kind]; ok {
 		f.Hint(revision)
-		f.Checked(readAt)
+		f.RecordPeerRead(readAt)
 	}
 }
