--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -152,10 +152,10 @@
 	return len(m.fleet.members) <= modelSmall || m.position < modelSchedulers
 }
 
-func (m *modelMember) standing() Standing {
+func (m *modelMember) standing() FleetView {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
-	s := Standing{Self: m.name, Scheduler: m.isScheduler(), Reaches: !m.unreachable, Position: m.position}
+	s := FleetView{Self: m.name, Scheduler: m.isScheduler(), Reaches: !m.unreachable, Position: m.position}
 	for _, other := range m.fleet.members {
 		if !other.isScheduler() {
 			continue
--- a/directory/turns.go
+++ b/directory/turns.go
@@ -24,9 +24,9 @@
 	backupProbeTurns = 30
 )
 
-// Standing is an instance's view of the instances that read and watch the store for the
+// FleetView is an instance's view of the instances that read and watch the store for the
 // fleet.
-type Standing struct {
+type FleetView struct {
 	// Self is this instance's name; Scheduler reports whether it is a scheduler.
 	Self      string
 	Scheduler bool
@@ -42,7 +42,7 @@
 // Rank returns the number of schedulers ordered before this instance for the given name.
 // The order is by a hash that all instances agree on, with schedulers that reach the store
 // first.
-func (s Standing) Rank(what string) int {
+func (s FleetView) Rank(what string) int {
 	if s.Reaches {
 		return rendezvous.Rank(what, s.Self, s.Reaching)
 	}
@@ -61,7 +61,7 @@
 // fleet and the store drops its connection state. With independent timers, the reads of
 // instances that started together would coincide, and a change could stay unnoticed for as
 // many seconds as there are instances.
-func (s Standing) Place(kind string) int {
+func (s FleetView) Place(kind string) int {
 	switch {
 	case s.Scheduler:
 		return s.Rank(kind)
--- a/hosted/members.go
+++ b/hosted/members.go
@@ -191,8 +191,8 @@
 }
 
 // standing is what this instance knows of those that read and watch the store for all.
-func (i *Instance) standing() directory.Standing {
-	return directory.Standing{
+func (i *Instance) standing() directory.FleetView {
+	return directory.FleetView{
 		Self: i.settings.GetInstance(), Scheduler: i.node.IsScheduler(),
 		Schedulers: i.node.Schedulers(), Reaching: i.node.SchedulersWithStore(), Reaches: i.node.ReachesStore(), Position: i.node.Position(),
 	}
