--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -100,7 +100,7 @@
 func (m *modelMember) config() Config {
 	return Config{
 		Store: memberStore{m.fleet.store, m}, Kind: "endpoints", LapseAfter: 2400 * time.Millisecond, ReadInterval: modelEvery,
-		ReadPosition:        func() int { return m.standing().Place("endpoints") },
+		ReadPosition:        func() int { return m.standing().ReadPosition("endpoints") },
 		Watches:             func() bool { s := m.standing(); return s.Scheduler && s.Rank("endpoints") < modelWatchers },
 		Changed:             m.recordRemovals,
 		ReachabilityChanged: func(reached bool) { m.setUnreachable(!reached) },
--- a/directory/turns.go
+++ b/directory/turns.go
@@ -53,7 +53,7 @@
 	return reaching + rendezvous.Rank(what, s.Self, s.Schedulers)
 }
 
-// Place returns this instance's position among those that read a kind: schedulers that
+// ReadPosition returns this instance's position among those that read a kind: schedulers that
 // reach the store come first, then all others. An instance that reaches the store but knows
 // of no scheduler that does reads on its own.
 //
@@ -61,7 +61,7 @@
 // fleet and the store drops its connection state. With independent timers, the reads of
 // instances that started together would coincide, and a change could stay unnoticed for as
 // many seconds as there are instances.
-func (s FleetView) Place(kind string) int {
+func (s FleetView) ReadPosition(kind string) int {
 	switch {
 	case s.Scheduler:
 		return s.Rank(kind)
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -225,7 +225,7 @@
 func (i *Instance) follow(kind string, changed func([]directory.Change)) {
 	cfg := directory.Config{
 		Store: i.store, Kind: kind, Changed: changed, PublishRevision: i.node.BroadcastRevision,
-		ReadInterval: readEvery(kind), ReadPosition: func() int { return i.standing().Place(kind) }, PublishRead: i.node.BroadcastRead,
+		ReadInterval: readEvery(kind), ReadPosition: func() int { return i.standing().ReadPosition(kind) }, PublishRead: i.node.BroadcastRead,
 	}
 	switch kind {
 	case platform.KindRecords:
