--- a/monitor/event.go
+++ b/monitor/event.go
@@ -57,7 +57,7 @@
 	Status        string    `json:"status"`
 	Incarnation   uint64    `json:"incarnation"`
 	ModelVersions []string  `json:"model_versions"`
-	HeardAt       time.Time `json:"heard_at"`
+	LastSeenAt    time.Time `json:"heard_at"`
 	CacheSeq      uint64    `json:"cache_seq"`
 	Failure       string    `json:"failure,omitempty"`
 }
--- a/monitor/watcher.go
+++ b/monitor/watcher.go
@@ -180,7 +180,7 @@
 	}
 	w.lastHeartbeat = b.at
 	w.mu.Lock()
-	w.dump.Failure, w.dump.HeardAt = "", b.at
+	w.dump.Failure, w.dump.LastSeenAt = "", b.at
 	w.mu.Unlock()
 	changed := w.health.Heard(b.at, b.incarnation, t.Leaving || w.leaving)
 	now := time.Now()
@@ -235,7 +235,7 @@
 
 func (w *watcher) onPollSuccess(now time.Time, t Target, s endpoint.State) bool {
 	w.mu.Lock()
-	w.dump.Failure, w.dump.HeardAt = "", now
+	w.dump.Failure, w.dump.LastSeenAt = "", now
 	w.mu.Unlock()
 	w.leaving = s.Leaving
 	changed := w.health.Heard(now, s.Incarnation, t.Leaving || s.Leaving)
