--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -109,9 +109,9 @@
 	Source Source
 	// Owned returns the holders that this instance follows.
 	Owned func() []Holder
-	// Take applies an update on this instance, Tell sends it to the other instances.
+	// Apply applies an update on this instance, Tell sends it to the other instances.
 	// Neither may block.
-	Take, Tell func(balance.CacheNews)
+	Apply, Tell func(balance.CacheNews)
 	// Held returns the parts that a holder is known to hold.
 	Held func(holder, model string) []balance.CachedPart
 }
@@ -268,7 +268,7 @@
 			n.Removed = append(n.Removed, key)
 		}
 	}
-	f.cfg.Take(n)
+	f.cfg.Apply(n)
 	f.publish(n)
 }
 
