--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -109,9 +109,9 @@
 	Source Source
 	// Owned returns the holders that this instance follows.
 	Owned func() []Holder
-	// Apply applies an update on this instance, Tell sends it to the other instances.
+	// Apply applies an update on this instance, Publish sends it to the other instances.
 	// Neither may block.
-	Apply, Tell func(balance.CacheNews)
+	Apply, Publish func(balance.CacheNews)
 	// Held returns the parts that a holder is known to hold.
 	Held func(holder, model string) []balance.CachedPart
 }
@@ -278,7 +278,7 @@
 	for {
 		a, r := min(len(n.Added), partsPerMessage/2), min(len(n.Removed), partsPerMessage/2)
 		part.Added, part.Removed = n.Added[:a], n.Removed[:r]
-		f.cfg.Tell(part)
+		f.cfg.Publish(part)
 		n.Added, n.Removed = n.Added[a:], n.Removed[r:]
 		if len(n.Added) == 0 && len(n.Removed) == 0 {
 			return
--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -70,7 +70,7 @@
 	feed = New(Config{
 		Source: s, Owned: func() []Holder { return []Holder{{ID: "e", Address: "a:1", Model: "m"}} },
 		Apply: state.Cached, Held: state.CachedParts,
-		Tell: func(balance.CacheNews) {
+		Publish: func(balance.CacheNews) {
 			mu.Lock()
 			defer mu.Unlock()
 			messages++
