--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -112,8 +112,8 @@
 	// Apply applies an update on this instance, Publish sends it to the other instances.
 	// Neither may block.
 	Apply, Publish func(balance.CacheNews)
-	// Held returns the parts that a holder is known to hold.
-	Held func(holder, model string) []balance.CachedPart
+	// KnownParts returns the parts that a holder is known to hold.
+	KnownParts func(holder, model string) []balance.CachedPart
 }
 
 // Feed follows the holders that this instance owns.
@@ -186,7 +186,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for h := range f.running {
-		f.publish(balance.CacheNews{Holder: h.name(), Model: h.Model, Whole: true, Added: f.cfg.Held(h.name(), h.Model)})
+		f.publish(balance.CacheNews{Holder: h.name(), Model: h.Model, Whole: true, Added: f.cfg.KnownParts(h.name(), h.Model)})
 	}
 }
 
--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -69,7 +69,7 @@
 	messages := 0
 	feed = New(Config{
 		Source: s, Owned: func() []Holder { return []Holder{{ID: "e", Address: "a:1", Model: "m"}} },
-		Apply: state.Cached, Held: state.CachedParts,
+		Apply: state.Cached, KnownParts: state.CachedParts,
 		Publish: func(balance.CacheNews) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -198,7 +198,7 @@
 	})
 	i.feed = cachefeed.New(cachefeed.Config{
 		Source: platform.NewControl(i.relays.to), Owned: i.ownedHolders,
-		Apply: i.state.Cached, Publish: i.reportCache, Held: i.state.CachedParts,
+		Apply: i.state.Cached, Publish: i.reportCache, KnownParts: i.state.CachedParts,
 	})
 	i.followers = map[string]*directory.Follower{}
 	i.follow(platform.KindRecords, i.takeRecords)
