--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -131,8 +131,8 @@
 	return &Feed{cfg: cfg, running: map[Holder]context.CancelFunc{}, resync: make(chan struct{}, 1)}
 }
 
-// TellWhole sends the known parts of all holders again, for peers that have started.
-func (f *Feed) TellWhole() {
+// Resync sends the known parts of all holders again, for peers that have started.
+func (f *Feed) Resync() {
 	select {
 	case f.resync <- struct{}{}:
 	default:
--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -171,7 +171,7 @@
 		}
 		before := published()
 		for range 5 {
-			feed.TellWhole()
+			feed.Resync()
 		}
 		time.Sleep(time.Second)
 		if got := published() - before; got < 1 || got > 2 {
--- a/hosted/caches.go
+++ b/hosted/caches.go
@@ -72,6 +72,6 @@
 
 // SchedulerStarted implements gossip.Handler.
 func (h receiver) SchedulerStarted(string) {
-	h.feed.TellWhole()
+	h.feed.Resync()
 	h.repeatRates()
 }
