--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -23,8 +23,8 @@
 	// longPollTimeout is how long a call waits for events. Calls that wait for less than 200 ms
 	// cost as much as a health check.
 	longPollTimeout = time.Second
-	// minPollInterval is the least time between two calls to one holder. Events are about 100 ms
-	// late in any case.
+	// minPollInterval is the least time between two calls to one holder. Events are about
+	// 100 ms late in any case.
 	minPollInterval = 100 * time.Millisecond
 	// retryDelay is the delay after a failed call.
 	retryDelay = 500 * time.Millisecond
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -25,9 +25,9 @@
 	// back.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = 600 * time.Millisecond
-	// minWatchDuration is the duration below which a watch counts as failed, for example because
-	// the store refuses watches while it answers reads; the next watch is then opened after
-	// a backoff.
+	// minWatchDuration is the duration below which a watch counts as failed, for example
+	// because the store refuses watches while it answers reads; the next watch is then
+	// opened after a backoff.
 	minWatchDuration = 200 * time.Millisecond
 	// hintDelay is the least delay between a hint of a newer revision and the read for it;
 	// a random delay of up to the same length is added. Changes normally reach all
@@ -53,10 +53,12 @@
 	// ReadInterval is the interval between reads of the kind by the fleet as a whole. Reads
 	// complement the watches because a watch may stop delivering events without an error.
 	ReadInterval time.Duration
-	// ReadPosition returns this instance's position, from 0, in the order in which instances read
-	// the kind; nil means 0. An instance reads only if those before it fail to.
+	// ReadPosition returns this instance's position, from 0, in the order in which
+	// instances read the kind; nil means 0. An instance reads only if those before it fail
+	// to.
 	ReadPosition func() int
-	// PublishRead, if not nil, is called after each successful read so that peers can skip theirs.
+	// PublishRead, if not nil, is called after each successful read so that peers can skip
+	// theirs.
 	PublishRead func(kind string)
 	// LapseAfter is the shortest store outage in which entries can expire although their
 	// owners are alive. Entries that disappear around such an outage are kept until their
@@ -65,8 +67,8 @@
 	// Changed is called with the changed objects, in order and never concurrently. The
 	// first call follows the first list, even if that is empty. It must not block.
 	Changed func(changes []Change)
-	// PublishRevision, if not nil, is called with each newer revision that this instance's own reads
-	// and watch bring, except for changes passed to PublishChange.
+	// PublishRevision, if not nil, is called with each newer revision that this instance's
+	// own reads and watch bring, except for changes passed to PublishChange.
 	//
 	// Changes received from a peer are not forwarded, because then each instance would send
 	// each change to all others.
@@ -74,12 +76,12 @@
 	// Watches reports whether this instance watches the kind itself; nil means that it
 	// does. An instance that does not watch relies on ApplyPeerChange and its own reads.
 	Watches func() bool
-	// PublishChange, if not nil, is called with each change that the watch delivers or a scheduled
-	// read finds, and with the revision of the change before it. steady reports that this
-	// instance saw no outage that would make a removal ambiguous.
+	// PublishChange, if not nil, is called with each change that the watch delivers or a
+	// scheduled read finds, and with the revision of the change before it. steady reports
+	// that this instance saw no outage that would make a removal ambiguous.
 	PublishChange func(obj objectapi.Object, before uint64, steady bool)
-	// ReachabilityChanged, if not nil, is called with false when the store becomes unreachable and with
-	// true when it answers again.
+	// ReachabilityChanged, if not nil, is called with false when the store becomes
+	// unreachable and with true when it answers again.
 	ReachabilityChanged func(bool)
 }
 
@@ -184,8 +186,8 @@
 
 func (f *Follower) watches() bool { return f.cfg.Watches == nil || f.cfg.Watches() }
 
-// roleCheckInterval is how often an instance checks whether it has to watch: often enough that the
-// watch of a crashed instance is replaced within the propagation bounds.
+// roleCheckInterval is how often an instance checks whether it has to watch: often enough
+// that the watch of a crashed instance is replaced within the propagation bounds.
 const roleCheckInterval = 100 * time.Millisecond
 
 // waitUntilWatching blocks while other instances watch the kind for this one.
@@ -257,8 +259,8 @@
 	return f.cfg.ReadPosition()
 }
 
-// RecordPeerRead records that another instance read the kind at the given time. The revisions it
-// found are reported separately, by Hint or ApplyPeerChange.
+// RecordPeerRead records that another instance read the kind at the given time. The
+// revisions it found are reported separately, by Hint or ApplyPeerChange.
 func (f *Follower) RecordPeerRead(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/directory/hints.go
+++ b/directory/hints.go
@@ -53,10 +53,10 @@
 	}
 }
 
-// ApplyPeerChange applies a change received from another instance. before is the revision of the
-// kind's previous change; if that is not known here, the kind is read. steady reports that
-// the sender can distinguish a removal from an expiry, so that a removal is applied at once
-// even after an outage here.
+// ApplyPeerChange applies a change received from another instance. before is the revision
+// of the kind's previous change; if that is not known here, the kind is read. steady
+// reports that the sender can distinguish a removal from an expiry, so that a removal is
+// applied at once even after an outage here.
 func (f *Follower) ApplyPeerChange(obj objectapi.Object, before uint64, steady bool) {
 	f.mu.Lock()
 	f.storeAnswered(time.Now())
--- a/monitor/watcher.go
+++ b/monitor/watcher.go
@@ -29,23 +29,23 @@
 	// the bound is left for a poll over a new connection, so that no endpoint is suspected
 	// because of its stream alone.
 	idleDivisor = 2
-	// statePollInterval and statePollJitter give the time between polls while the stream of cache
-	// events shows that the endpoint is alive: up to 1.5 s, so that an engine's notice that
-	// it is leaving takes effect on all instances within three seconds, one of which is for
-	// the exchange between them. The jitter keeps the endpoints of a fleet from being
-	// polled in step.
+	// statePollInterval and statePollJitter give the time between polls while the stream of
+	// cache events shows that the endpoint is alive: up to 1.5 s, so that an engine's
+	// notice that it is leaving takes effect on all instances within three seconds, one of
+	// which is for the exchange between them. The jitter keeps the endpoints of a fleet
+	// from being polled in step.
 	statePollInterval = 1200 * time.Millisecond
 	statePollJitter   = 300 * time.Millisecond
-	// loadReportInterval is the least time between load reports: an owner knows most of the load
-	// from its own grants.
+	// loadReportInterval is the least time between load reports: an owner knows most of the
+	// load from its own grants.
 	loadReportInterval = 4 * time.Second
 	// maxHeartbeatInterval bounds the heartbeat interval requested from engines: a stream must
 	// not count as idle between two heartbeats.
 	maxHeartbeatInterval = time.Second
 	// statusRepeatInterval is how often an unchanged status is published again.
 	statusRepeatInterval = time.Second
-	// minReopenDelay and maxReopenDelay bound the backoff between attempts to open the stream of
-	// cache events.
+	// minReopenDelay and maxReopenDelay bound the backoff between attempts to open the
+	// stream of cache events.
 	minReopenDelay = 100 * time.Millisecond
 	maxReopenDelay = 2 * time.Second
 )
