--- a/directory/lapsed.go
+++ b/directory/expiry.go
@@ -25,8 +25,8 @@
 	source   Source
 }
 
-// note adds a removal.
-func (h *held) note(name string, revision objectapi.Version, by Source) {
+// add adds a removal.
+func (h *held) add(name string, revision objectapi.Version, by Source) {
 	heldTotal.Inc()
 	if h.count++; len(h.names) < maxHeldNames {
 		h.names = append(h.names, name)
@@ -50,23 +50,23 @@
 func (f *Follower) Held() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.lapsed)
+	return len(f.expired)
 }
 
-// mayHaveLapsed reports whether a removal may be an expiry caused by an outage. The caller
+// mayHaveExpired reports whether a removal may be an expiry caused by an outage. The caller
 // holds f.mu.
-func (f *Follower) mayHaveLapsed() bool {
-	return f.cfg.LapseAfter > 0 && f.outages.mayHaveLapsed(time.Now(), f.cfg.LapseAfter)
+func (f *Follower) mayHaveExpired() bool {
+	return f.cfg.LapseAfter > 0 && f.outages.mayHaveExpired(time.Now(), f.cfg.LapseAfter)
 }
 
-// sweep drops lapsed entries that were not renewed in time.
+// sweep drops expired entries that were not renewed in time.
 func (f *Follower) sweep(ctx context.Context) {
 	for clock.Sleep(ctx, sweepInterval) == nil {
 		f.mu.Lock()
 		f.logHeld()
 		changed := false
-		if !f.mayHaveLapsed() {
-			for name := range f.lapsed {
+		if !f.mayHaveExpired() {
+			for name := range f.expired {
 				f.drop(name, f.revision, FromRead)
 				changed = true
 				log.WithField("kind", f.cfg.Kind).WithField("name", name).Info("lapsed entry gone")
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -41,7 +41,7 @@
 	maxForwarded = 50
 	// maxTombstones bounds the tombstones of removed objects.
 	maxTombstones = 4096
-	// sweepInterval is the interval between checks for lapsed entries that can be dropped.
+	// sweepInterval is the interval between checks for expired entries that can be dropped.
 	sweepInterval = 100 * time.Millisecond
 )
 
@@ -68,7 +68,7 @@
 	// first call follows the first list, even if that is empty. It must not block.
 	Changed func(changes []Change)
 	// PublishRevision, if not nil, is called with each newer revision that this instance's
-	// own reads and watch bring, except for changes passed to PublishChange.
+	// own reads and watch deliver, except for changes passed to PublishChange.
 	//
 	// Changes received from a peer are not forwarded, because then each instance would send
 	// each change to all others.
@@ -109,9 +109,9 @@
 	// tombstones maps the name of a removed object to the revision of its removal, so that a
 	// stale read does not restore it.
 	tombstones map[string]objectapi.Version
-	// lapsed holds the entries that are missing in the store but kept for now; held
+	// expired holds the entries that are missing in the store but kept for now; held
 	// collects those of them that have not been logged yet.
-	lapsed  map[string]bool
+	expired map[string]bool
 	held    held
 	outages outages
 	// reachable reports that this instance's last call was answered; lostAt is when calls
@@ -131,7 +131,7 @@
 		hint:       make(chan struct{}, 1),
 		objects:    map[string]objectapi.Object{},
 		tombstones: map[string]objectapi.Version{},
-		lapsed:     map[string]bool{},
+		expired:    map[string]bool{},
 	}
 }
 
@@ -142,8 +142,8 @@
 	f.cfg.LapseAfter = d
 }
 
-// lapses reports whether entries of the kind can expire.
-func (f *Follower) lapses() bool {
+// canExpire reports whether entries of the kind can expire.
+func (f *Follower) canExpire() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cfg.LapseAfter > 0
@@ -153,7 +153,7 @@
 func (f *Follower) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { f.check(ctx) })
-	if f.lapses() {
+	if f.canExpire() {
 		wg.Go(func() { f.sweep(ctx) })
 	}
 	pause := minRetryDelay
@@ -455,7 +455,7 @@
 	}
 	found = slices.Clone(found)
 	slices.SortFunc(found, func(a, b Change) int { return cmp.Compare(a.Version, b.Version) })
-	steady := !f.mayHaveLapsed()
+	steady := !f.mayHaveExpired()
 	for _, c := range found {
 		f.cfg.PublishChange(c.Object, uint64(before), steady)
 		before = max(before, c.Version)
@@ -473,7 +473,7 @@
 		f.publishRevision()
 		return
 	}
-	f.cfg.PublishChange(obj, uint64(before), !f.mayHaveLapsed())
+	f.cfg.PublishChange(obj, uint64(before), !f.mayHaveExpired())
 }
 
 // publishRevision reports the newest known change to peers. The caller holds f.mu.
@@ -499,7 +499,7 @@
 	if obj.Version <= f.tombstones[obj.Name] {
 		return false
 	}
-	delete(f.lapsed, obj.Name)
+	delete(f.expired, obj.Name)
 	if known, ok := f.objects[obj.Name]; ok && obj.Version <= known.Version {
 		return false
 	}
@@ -514,10 +514,10 @@
 	if _, ok := f.objects[name]; !ok {
 		return false
 	}
-	if f.mayHaveLapsed() {
-		if !f.lapsed[name] {
-			f.lapsed[name] = true
-			f.held.note(name, at, by)
+	if f.mayHaveExpired() {
+		if !f.expired[name] {
+			f.expired[name] = true
+			f.held.add(name, at, by)
 		}
 		return false
 	}
@@ -530,7 +530,7 @@
 		f.changes = append(f.changes, Change{objectapi.Object{Kind: f.cfg.Kind, Name: name, Version: at, Deleted: true}, by})
 	}
 	delete(f.objects, name)
-	delete(f.lapsed, name)
+	delete(f.expired, name)
 	f.tombstones[name] = at
 	if len(f.tombstones) > maxTombstones {
 		f.pruneTombstones()
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -226,7 +226,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if got := s.reads - before; got > 0 {
-			t.Errorf("%d reads for 50 changes that the watch brought", got)
+			t.Errorf("%d reads for 50 changes that the watch delivered", got)
 		}
 	})
 }
@@ -251,7 +251,7 @@
 }
 
 // Guards against dropping live endpoints whose entries expired because the store was
-// unreachable for some seconds and they could not renew them. A router that believed the
+// unreachable for some seconds and they could not renew them. A router that applied the
 // empty list would reject every caller although all endpoints serve.
 func TestEntriesExpiredInAnOutageAreKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
