--- a/directory/expiry.go
+++ b/directory/expiry.go
@@ -56,7 +56,7 @@
 // mayHaveExpired reports whether a removal may be an expiry caused by an outage. The caller
 // holds f.mu.
 func (f *Follower) mayHaveExpired() bool {
-	return f.cfg.LapseAfter > 0 && f.outages.mayHaveExpired(time.Now(), f.cfg.LapseAfter)
+	return f.cfg.MinExpiryOutage > 0 && f.outages.mayHaveExpired(time.Now(), f.cfg.MinExpiryOutage)
 }
 
 // sweep drops expired entries that were not renewed in time.
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -99,7 +99,7 @@
 
 func (m *modelMember) config() Config {
 	return Config{
-		Store: memberStore{m.fleet.store, m}, Kind: "endpoints", LapseAfter: 2400 * time.Millisecond, ReadInterval: modelEvery,
+		Store: memberStore{m.fleet.store, m}, Kind: "endpoints", MinExpiryOutage: 2400 * time.Millisecond, ReadInterval: modelEvery,
 		ReadPosition:        func() int { return m.standing().ReadPosition("endpoints") },
 		Watches:             func() bool { s := m.standing(); return s.Scheduler && s.Rank("endpoints") < modelWatchers },
 		Changed:             m.recordRemovals,
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -60,10 +60,10 @@
 	// PublishRead, if not nil, is called after each successful read so that peers can skip
 	// theirs.
 	PublishRead func(kind string)
-	// LapseAfter is the shortest store outage in which entries can expire although their
+	// MinExpiryOutage is the shortest store outage in which entries can expire although their
 	// owners are alive. Entries that disappear around such an outage are kept until their
 	// owners have had time to renew them. 0 means that entries do not expire.
-	LapseAfter time.Duration
+	MinExpiryOutage time.Duration
 	// Changed is called with the changed objects, in order and never concurrently. The
 	// first call follows the first list, even if that is empty. It must not block.
 	Changed func(changes []Change)
@@ -135,18 +135,18 @@
 	}
 }
 
-// SetLapseAfter replaces Config.LapseAfter.
+// SetLapseAfter replaces Config.MinExpiryOutage.
 func (f *Follower) SetLapseAfter(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cfg.LapseAfter = d
+	f.cfg.MinExpiryOutage = d
 }
 
 // canExpire reports whether entries of the kind can expire.
 func (f *Follower) canExpire() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cfg.LapseAfter > 0
+	return f.cfg.MinExpiryOutage > 0
 }
 
 // Run follows the kind until ctx ends.
@@ -393,7 +393,7 @@
 // storeAnswered records that the store answered this instance or a peer. The caller holds
 // f.mu.
 func (f *Follower) storeAnswered(at time.Time) {
-	if f.outages.answered(at, f.cfg.LapseAfter) {
+	if f.outages.answered(at, f.cfg.MinExpiryOutage) {
 		// Calls that failed during the outage may succeed now: try again in turn.
 		f.failures, f.lastTry = 0, time.Now()
 	}
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -158,7 +158,7 @@
 	var mu sync.Mutex
 	now := map[string]bool{}
 	cfg := Config{
-		Store: s, Kind: "endpoints", LapseAfter: 2400 * time.Millisecond,
+		Store: s, Kind: "endpoints", MinExpiryOutage: 2400 * time.Millisecond,
 		ReadInterval: check,
 		Changed: func(changes []Change) {
 			mu.Lock()
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -240,7 +240,7 @@
 	}
 	if kind == platform.KindEndpoints {
 		cfg.ReachabilityChanged = i.node.ReportStore
-		cfg.LapseAfter = lapseAfter(i.bounds.Load())
+		cfg.MinExpiryOutage = lapseAfter(i.bounds.Load())
 	}
 	i.followers[kind] = directory.NewFollower(cfg)
 }
