--- a/directory/follower.go
+++ b/directory/follower.go
@@ -135,8 +135,8 @@
 	}
 }
 
-// SetLapseAfter replaces Config.MinExpiryOutage.
-func (f *Follower) SetLapseAfter(d time.Duration) {
+// SetMinExpiryOutage replaces Config.MinExpiryOutage.
+func (f *Follower) SetMinExpiryOutage(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cfg.MinExpiryOutage = d
--- a/hosted/reload.go
+++ b/hosted/reload.go
@@ -36,7 +36,7 @@
 	i.bounds.Store(b)
 	i.state.SetStaleBound(milliseconds(b.GetWeightsMs()))
 	i.budget.SetLimits(b.GetRetryRatio(), b.GetRetrySlack(), seconds(b.GetRetryWindowSeconds()))
-	i.followers[platform.KindEndpoints].SetLapseAfter(lapseAfter(b))
+	i.followers[platform.KindEndpoints].SetMinExpiryOutage(lapseAfter(b))
 }
 
 // lapseAfter is the shortest outage in which endpoints' entries can lapse: they go after
