--- a/directory/follower.go
+++ b/directory/follower.go
@@ -109,8 +109,9 @@
 	// tombstones maps the name of a removed object to the revision of its removal, so that a
 	// stale read does not restore it.
 	tombstones map[string]objectapi.Version
-	// expired holds the entries that are missing in the store but kept for now; held
-	// collects those of them that have not been logged yet.
+	// expired holds the entries that are missing in the store, possibly because they
+	// expired in an outage, and are kept for now; held collects those of them that have not
+	// been logged yet.
 	expired map[string]bool
 	held    held
 	outages outages
@@ -119,9 +120,9 @@
 	reachable bool
 	lostAt    time.Time
 	// failures counts the failed calls since the last answer or the end of the outage;
-	// lastTry is when the last of them failed, or when the outage ended.
-	failures int
-	lastTry  time.Time
+	// lastAttempt is when the last of them failed, or when the outage ended.
+	failures    int
+	lastAttempt time.Time
 }
 
 // NewFollower returns a follower; call Run to start it.
@@ -248,7 +249,7 @@
 	case f.reachable:
 		return max(f.cfg.ReadInterval+time.Duration(place)*readStagger-time.Since(f.readAt), 0)
 	}
-	return max(probeDelay(place, f.failures, f.cfg.ReadInterval)-time.Since(f.lastTry), 0)
+	return max(probeDelay(place, f.failures, f.cfg.ReadInterval)-time.Since(f.lastAttempt), 0)
 }
 
 // place returns this instance's position in the read order.
@@ -348,14 +349,14 @@
 	readFails.Inc()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lastTry = time.Now()
+	f.lastAttempt = time.Now()
 	f.failures++
-	f.outages.failed(f.lastTry)
+	f.outages.failed(f.lastAttempt)
 	if !f.reachable {
 		return
 	}
 	f.reachable = false
-	f.lostAt = f.lastTry
+	f.lostAt = f.lastAttempt
 	log.WithField("kind", f.cfg.Kind).WithField("why", err.Error()).Warn("store lost")
 	f.notifyReachable(false)
 }
@@ -395,7 +396,7 @@
 func (f *Follower) storeAnswered(at time.Time) {
 	if f.outages.answered(at, f.cfg.MinExpiryOutage) {
 		// Calls that failed during the outage may succeed now: try again in turn.
-		f.failures, f.lastTry = 0, time.Now()
+		f.failures, f.lastAttempt = 0, time.Now()
 	}
 }
 
--- a/directory/readorder.go
+++ b/directory/readorder.go
@@ -42,15 +42,15 @@
 // Rank returns the number of schedulers ordered before this instance for the given name.
 // The order is by a hash that all instances agree on, with schedulers that reach the store
 // first.
-func (s FleetView) Rank(what string) int {
-	if s.Reaches {
-		return rendezvous.Rank(what, s.Self, s.Reaching)
+func (v FleetView) Rank(name string) int {
+	if v.Reaches {
+		return rendezvous.Rank(name, v.Self, v.Reaching)
 	}
-	reaching := len(s.Reaching)
-	if slices.Contains(s.Reaching, s.Self) {
+	reaching := len(v.Reaching)
+	if slices.Contains(v.Reaching, v.Self) {
 		reaching--
 	}
-	return reaching + rendezvous.Rank(what, s.Self, s.Schedulers)
+	return reaching + rendezvous.Rank(name, v.Self, v.Schedulers)
 }
 
 // ReadPosition returns this instance's position among those that read a kind: schedulers that
@@ -61,14 +61,14 @@
 // fleet and the store drops its connection state. With independent timers, the reads of
 // instances that started together would coincide, and a change could stay unnoticed for as
 // many seconds as there are instances.
-func (s FleetView) ReadPosition(kind string) int {
+func (v FleetView) ReadPosition(kind string) int {
 	switch {
-	case s.Scheduler:
-		return s.Rank(kind)
-	case s.Reaches && len(s.Reaching) == 0:
-		return s.Position % standaloneSlots
+	case v.Scheduler:
+		return v.Rank(kind)
+	case v.Reaches && len(v.Reaching) == 0:
+		return v.Position % standaloneSlots
 	}
-	return len(s.Schedulers) + s.Position
+	return len(v.Schedulers) + v.Position
 }
 
 // probeDelay returns how long after its last failed call an instance calls the store again
