--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -198,7 +198,7 @@
 	})
 	i.feed = cachefeed.New(cachefeed.Config{
 		Source: platform.NewControl(i.relays.to), Owned: i.ownedHolders,
-		Take: i.state.Cached, Tell: i.reportCache, Held: i.state.CachedParts,
+		Apply: i.state.Cached, Publish: i.reportCache, KnownParts: i.state.CachedParts,
 	})
 	i.followers = map[string]*directory.Follower{}
 	i.follow(platform.KindRecords, i.takeRecords)
@@ -224,8 +224,8 @@
 // follow sets up the follower of a kind; run starts it.
 func (i *Instance) follow(kind string, changed func([]directory.Change)) {
 	cfg := directory.Config{
-		Store: i.store, Kind: kind, Changed: changed, Seen: i.node.BroadcastRevision,
-		Every: readEvery(kind), Place: func() int { return i.standing().Place(kind) }, Read: i.node.BroadcastRead,
+		Store: i.store, Kind: kind, Changed: changed, PublishRevision: i.node.BroadcastRevision,
+		ReadInterval: readEvery(kind), ReadPosition: func() int { return i.standing().ReadPosition(kind) }, PublishRead: i.node.BroadcastRead,
 	}
 	switch kind {
 	case platform.KindRecords:
@@ -236,11 +236,11 @@
 		// Each change costs each watch a call of the store; a few watch, and tell
 		// the others.
 		cfg.Watches = func() bool { return i.watches(kind) }
-		cfg.Heard = i.broadcastEntry
+		cfg.PublishChange = i.broadcastEntry
 	}
 	if kind == platform.KindEndpoints {
-		cfg.Reached = i.node.ReportStore
-		cfg.LapseAfter = lapseAfter(i.bounds.Load())
+		cfg.ReachabilityChanged = i.node.ReportStore
+		cfg.MinExpiryOutage = lapseAfter(i.bounds.Load())
 	}
 	i.followers[kind] = directory.NewFollower(cfg)
 }
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -167,7 +167,7 @@
 	if !ok {
 		return
 	}
-	f.Take(objectapi.Object{
+	f.ApplyPeerChange(objectapi.Object{
 		Kind: e.GetKind(), Name: e.GetName(), Version: objectapi.Version(e.GetRevision()), Deleted: e.GetDeleted(), Value: e.GetValue(),
 	}, e.GetBefore(), e.GetSteady())
 }
@@ -176,6 +176,6 @@
 func (h receiver) Revision(kind string, revision uint64, readAt time.Time) {
 	if f, ok := h.followers[kind]; ok {
 		f.Hint(revision)
-		f.Checked(readAt)
+		f.RecordPeerRead(readAt)
 	}
 }
