--- a/gossip/admit_test.go
+++ b/gossip/admit_test.go
@@ -8,123 +8,122 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// A machine's time of day jumps back by seconds, and its process starts again. Its
-// new incarnation has a smaller number than the old one; if peers throw away all it
-// says, they count it among the dead and know nothing of the requests it sends.
-func TestRestartUnderAClockSetBackIsHeard(t *testing.T) {
+// Guards against ignoring a peer whose clock was set back by seconds before its process
+// restarted: its new incarnation number is smaller than the old one. If its datagrams were
+// dropped, it would count as dead and the requests that it sends would not be counted.
+func TestAdmitsRestartedPeerWithClockSetBack(t *testing.T) {
 	n := &Node{name: "self", states: map[string]peerState{}}
-	say := func(incarnation uint64, at time.Time) (counts, anew bool) {
+	receive := func(incarnation uint64, at time.Time) (accepted, restarted bool) {
 		a := n.admit(&gossippb.Datagram{Instance: "peer", Incarnation: incarnation}, at)
-		return a.counts, a.anew
+		return a.accepted, a.restarted
 	}
 	start := time.Unix(1000, 0)
-	say(500, start)
-	if counts, _ := say(400, start.Add(100*time.Millisecond)); counts {
-		t.Error("a datagram that was late on the way counts")
+	receive(500, start)
+	if accepted, _ := receive(400, start.Add(100*time.Millisecond)); accepted {
+		t.Error("a delayed datagram of the earlier incarnation was accepted")
 	}
-	if counts, anew := say(400, start.Add(2*time.Second)); !counts || !anew {
-		t.Errorf("after 2 s of silence: counts %v, started anew %v", counts, anew)
+	if accepted, restarted := receive(400, start.Add(2*time.Second)); !accepted || !restarted {
+		t.Errorf("2 s after the last datagram: accepted %v, restarted %v", accepted, restarted)
 	}
-	if counts, anew := say(400, start.Add(2100*time.Millisecond)); !counts || anew {
-		t.Errorf("the next one: counts %v, started anew %v", counts, anew)
+	if accepted, restarted := receive(400, start.Add(2100*time.Millisecond)); !accepted || restarted {
+		t.Errorf("the next datagram: accepted %v, restarted %v", accepted, restarted)
 	}
 }
 
-// Peers tell each other many times a second when they have read the store. Told on as
-// one's own, a read would count from a little later each time, by the delay on the way.
-// It would never grow old, nobody would read any more, and changes that deaf watches
-// miss would stay unseen for good.
-func TestReadsOfOthersAreNotToldOn(t *testing.T) {
+// Guards against forwarding the read times of peers as one's own. Each hop would shift the time
+// by the network delay, so a read would never become old, no instance would read the store any
+// more, and changes missed by the watches would never be seen.
+func TestPeerReadTimesAreNotForwarded(t *testing.T) {
 	n := &Node{revisions: map[string]uint64{"servers": 7}, reads: map[string]time.Time{}}
 	peer := &gossippb.Revision{Kind: "servers", Revision: 7, ReadMsAgo: 500}
 	if ago := time.Since(readTime(peer)); ago < 500*time.Millisecond || ago > 600*time.Millisecond {
-		t.Errorf("a read of 500 ms ago counts as %v ago", ago)
+		t.Errorf("a read 500 ms ago was taken as %v ago", ago)
 	}
 	if got := revisionsOf(n)[0].GetReadMsAgo(); got != -1 {
-		t.Errorf("told that it has read %d ms ago; it has not read at all", got)
+		t.Errorf("announced a read %d ms ago; this instance has not read at all", got)
 	}
 }
 
-// An instance reads a kind of which no change was ever seen. If its read is not told,
-// each of hundreds of instances reads the kind every second, and each call is paid for.
-func TestReadOfAKindWithoutChangesIsTold(t *testing.T) {
+// Guards against not announcing the read of a kind for which no change was ever seen. Each of
+// hundreds of instances would then read the kind every second, and each call is paid for.
+func TestReadOfKindWithoutRevisionIsBroadcast(t *testing.T) {
 	n := &Node{revisions: map[string]uint64{}, reads: map[string]time.Time{}, out: ring.New[item]("gossip_test", 4)}
 	n.BroadcastRead("versions")
 	if got := revisionsOf(n); len(got) != 1 || got[0].GetKind() != "versions" || got[0].GetReadMsAgo() < 0 {
-		t.Errorf("told %v", got)
+		t.Errorf("the next heartbeat carries %v", got)
 	}
 }
 
-// A peer has told of a change, and the change then comes by this instance's own read
-// too. Told at once all the same, the word would go round the fleet as many times as
+// Guards against broadcasting a revision without delay when it was already received from a peer
+// and then also seen by this instance's own read: the fleet would receive it as many times as
 // there are instances.
-func TestRevisionThatAPeerToldGoesAlongOnly(t *testing.T) {
+func TestRevisionReceivedFromPeerIsNotSentAtOnce(t *testing.T) {
 	n := &Node{
 		name: "self", states: map[string]peerState{}, revisions: map[string]uint64{}, reads: map[string]time.Time{},
-		out: ring.New[item]("gossip_test", 4), handler: deafHandler{},
+		out: ring.New[item]("gossip_test", 4), handler: nopHandler{},
 	}
 	n.apply(&gossippb.Datagram{Instance: "peer", Incarnation: 1, Revisions: []*gossippb.Revision{{Kind: "servers", Revision: 7, ReadMsAgo: -1}}})
 	n.BroadcastRevision("servers", 7)
 	if n.out.Len() != 0 {
-		t.Error("a revision that a peer has told is told at once")
+		t.Error("a revision received from a peer is broadcast without delay")
 	}
 	if got := revisionsOf(n); len(got) != 1 || got[0].GetRevision() != 7 {
-		t.Errorf("the next datagram brings %v", got)
+		t.Errorf("the next datagram carries %v", got)
 	}
 	if got := revisionsOf(n); len(got) != 0 {
-		t.Errorf("the one right after it brings %v again", got)
+		t.Errorf("the datagram after it carries %v again", got)
 	}
 	n.BroadcastRevision("servers", 8)
 	if n.out.Len() != 1 {
-		t.Error("a revision that is new to the fleet is not told at once")
+		t.Error("a revision that is new to the fleet is not broadcast without delay")
 	}
 }
 
-// deafHandler takes in nothing.
-type deafHandler struct{}
+// nopHandler ignores all messages.
+type nopHandler struct{}
 
-func (deafHandler) Started(*gossippb.RunStart)         {}
-func (deafHandler) Stage(*gossippb.RunStage)           {}
-func (deafHandler) Notice(string, *gossippb.Notice)    {}
-func (deafHandler) Entry(*gossippb.Entry)              {}
-func (deafHandler) Cache(*gossippb.CacheNews)          {}
-func (deafHandler) QuotaUsed(*gossippb.QuotaUse)       {}
-func (deafHandler) SchedulerStarted(string)            {}
-func (deafHandler) Revision(string, uint64, time.Time) {}
-func (deafHandler) Asked(a *gossippb.Ask) *gossippb.Decision {
+func (nopHandler) Started(*gossippb.RunStart)         {}
+func (nopHandler) Stage(*gossippb.RunStage)           {}
+func (nopHandler) Notice(string, *gossippb.Notice)    {}
+func (nopHandler) Entry(*gossippb.Entry)              {}
+func (nopHandler) Cache(*gossippb.CacheNews)          {}
+func (nopHandler) QuotaUsed(*gossippb.QuotaUse)       {}
+func (nopHandler) SchedulerStarted(string)            {}
+func (nopHandler) Revision(string, uint64, time.Time) {}
+func (nopHandler) Asked(a *gossippb.Ask) *gossippb.Decision {
 	return &gossippb.Decision{Run: a.GetRun(), Endpoint: "chosen"}
 }
 
-// A scheduler dies, and another instance, which runs for hours already, takes its place.
-// It was never told what endpoints have cached. Unless the others tell it then, it has
-// prompts read again that endpoints hold.
-func TestInstanceThatBecomesASchedulerIsNoticed(t *testing.T) {
+// Guards against overlooking that an instance which has been running for hours takes over from
+// a failed scheduler. It has never been sent what endpoints have cached; unless its peers send
+// it then, it has prompts computed again that endpoints hold in their cache.
+func TestAdmitReportsNewScheduler(t *testing.T) {
 	n := &Node{name: "self", states: map[string]peerState{}}
-	say := func(scheduler bool) admission {
+	receive := func(scheduler bool) admission {
 		return n.admit(&gossippb.Datagram{Instance: "peer", Incarnation: 1, Scheduler: scheduler}, time.Unix(1000, 0))
 	}
-	if a := say(false); !a.anew || a.scheduler {
-		t.Errorf("a new instance counts as %+v", a)
+	if a := receive(false); !a.restarted || a.scheduler {
+		t.Errorf("admission of a new instance: %+v", a)
 	}
-	if a := say(true); a.anew || !a.scheduler {
-		t.Errorf("one that becomes a scheduler counts as %+v", a)
+	if a := receive(true); a.restarted || !a.scheduler {
+		t.Errorf("admission of an instance that becomes a scheduler: %+v", a)
 	}
-	if a := say(true); a.scheduler {
-		t.Errorf("one that goes on as a scheduler counts as %+v", a)
+	if a := receive(true); a.scheduler {
+		t.Errorf("admission of an instance that remains a scheduler: %+v", a)
 	}
 }
 
-// revisionsOf returns the revisions that the next heartbeat brings.
-func revisionsOf(n *Node) []*gossippb.Revision { return n.datagrams(nil, true)[0].GetRevisions() }
+// revisionsOf returns the revisions that the next heartbeat carries.
+func revisionsOf(n *Node) []*gossippb.Revision { return n.pack(nil, true)[0].GetRevisions() }
 
-// Guards against a scheduler that has stepped down and is asked for as long as it
-// answers: its heartbeats go to schedulers only, and what it decides it knows little of.
-func TestAnswerSaysThatItsSenderHasSteppedDown(t *testing.T) {
+// Guards against asking a former scheduler for as long as it answers: its heartbeats go to
+// schedulers only, and it decides on outdated information.
+func TestDecisionReportsThatSenderIsNoLongerScheduler(t *testing.T) {
 	n := &Node{name: "self", states: map[string]peerState{}}
 	now := time.Unix(1000, 0)
 	n.admit(&gossippb.Datagram{Instance: "peer", Incarnation: 1, Scheduler: true}, now)
 	n.admit(&gossippb.Datagram{Instance: "peer", Incarnation: 1, Decisions: []*gossippb.Decision{{Run: 1}}}, now)
 	if n.states["peer"].scheduler {
-		t.Error("it still counts as a scheduler")
+		t.Error("the peer still counts as a scheduler")
 	}
 }
--- a/gossip/ask.go
+++ b/gossip/ask.go
@@ -16,47 +16,47 @@
 	answeredTotal = metrics.GetOrCreateCounter("sardinedock_gossip_asks_answered_total")
 )
 
-// asks are the questions that wait for a scheduler's decision, by run.
+// asks holds the requests to schedulers whose decisions are pending, by run.
 type asks struct {
 	mu      sync.Mutex
-	waiting map[uint64]chan *gossippb.Decision
+	pending map[uint64]chan *gossippb.Decision
 }
 
 func (a *asks) open(run uint64) <-chan *gossippb.Decision {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.waiting == nil {
-		a.waiting = map[uint64]chan *gossippb.Decision{}
+	if a.pending == nil {
+		a.pending = map[uint64]chan *gossippb.Decision{}
 	}
 	c := make(chan *gossippb.Decision, 1)
-	a.waiting[run] = c
+	a.pending[run] = c
 	return c
 }
 
 func (a *asks) close(run uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	delete(a.waiting, run)
+	delete(a.pending, run)
 }
 
-// answer hands a decision to who waits for it; one that comes late is dropped.
-func (a *asks) answer(v *gossippb.Decision) {
+// deliver passes a decision to the goroutine waiting for it; a late one is dropped.
+func (a *asks) deliver(v *gossippb.Decision) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	c, ok := a.waiting[v.GetRun()]
+	c, ok := a.pending[v.GetRun()]
 	if !ok {
 		return
 	}
 	select {
 	case c <- v:
 	default:
-		// The datagram came twice.
+		// The datagram was duplicated.
 	}
 }
 
-// Ask asks a scheduler where a request goes. It blocks until the decision comes or ctx
-// ends; the error is then of kind fault.Unavailable. It is sent once: asking the next
-// scheduler is better than asking a silent one again.
+// Ask asks a scheduler which endpoint a request goes to. It blocks until the decision arrives
+// or ctx is done; the error is then of kind fault.Unavailable. The datagram is sent only once:
+// asking the next scheduler is better than asking an unresponsive one again.
 func (n *Node) Ask(ctx context.Context, to Peer, a *gossippb.Ask) (*gossippb.Decision, error) {
 	c := n.asks.open(a.GetRun())
 	defer n.asks.close(a.GetRun())
@@ -67,11 +67,11 @@
 		answeredTotal.Inc()
 		return v, nil
 	case <-ctx.Done():
-		return nil, fault.Wrap(context.Cause(ctx), fault.Unavailable, "look at the scheduler", "no answer of %s", to.Name)
+		return nil, fault.Wrap(context.Cause(ctx), fault.Unavailable, "check that the scheduler is running and reachable", "no answer from scheduler %s", to.Name)
 	}
 }
 
-// answerAsks decides what a peer asks, and answers.
+// answerAsks decides on the requests in a peer's datagram and sends the decisions back.
 func (n *Node) answerAsks(d *gossippb.Datagram, from netip.AddrPort) {
 	if len(d.GetAsks()) == 0 {
 		return
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,8 +1,8 @@
-// Package gossip exchanges messages between instances: runs that begin and end, notices
-// of endpoints, revisions that were seen; and it asks schedulers where requests go. In a
-// small fleet all instances are schedulers; in a larger one a few are, which place the
-// requests of all. It uses datagrams, so that a peer that is cut off or frozen holds nobody
-// up; what is lost costs speed only.
+// Package gossip exchanges UDP datagrams between instances: starts and ends of runs, notices
+// about endpoints, and the newest object revisions seen. It also asks schedulers which endpoint
+// a request goes to. In a small fleet every instance is a scheduler; in a larger one a few
+// schedulers place the requests of all instances. Datagrams are used so that an unreachable or
+// frozen peer blocks no sender; a lost datagram costs performance only, not correctness.
 package gossip
 
 import (
@@ -22,55 +22,55 @@
 )
 
 const (
-	// flushEvery is how long messages are gathered. A choice made on
-	// knowledge of 10 ms ago misses under one request of an instance at 100
-	// requests a second.
-	flushEvery = 10 * time.Millisecond
-	// flushToScheduler is the same where a scheduler gathers too, for 10 ms: it joins the
-	// messages of one request only, so that both together cost little more than flushEvery.
-	flushToScheduler = 2 * time.Millisecond
-	// beatEvery is the time between datagrams of an instance that has nothing
-	// to send; aliveFor is how long a silent peer counts as live.
-	beatEvery = 300 * time.Millisecond
-	aliveFor  = 1100 * time.Millisecond
-	// maxDatagram keeps a datagram below the usual MTU.
-	maxDatagram = 1300
-	// revisionsEvery is the time between two datagrams that bring all revisions
-	// though none has changed. A receiver that missed the change itself waits for
-	// 0.1 s before it reads, so it loses as much again; brought in each datagram they
-	// were half of its bytes.
-	revisionsEvery = 100 * time.Millisecond
-	// outRing bounds what waits to be sent. The oldest is given up first.
-	outRing = 4096
+	// flushInterval is how long messages are batched. Placing requests on information that is
+	// 10 ms old misses less than one request of an instance that serves 100 requests/s.
+	flushInterval = 10 * time.Millisecond
+	// flushIntervalToScheduler is the batching time where the receiving scheduler batches for
+	// flushInterval again. It only joins the messages of one request, so that both delays
+	// together are little more than flushInterval.
+	flushIntervalToScheduler = 2 * time.Millisecond
+	// heartbeatInterval is the time between heartbeats of an instance that has nothing else to
+	// send; livenessTimeout is how long after its last datagram a peer still counts as alive.
+	heartbeatInterval = 300 * time.Millisecond
+	livenessTimeout   = 1100 * time.Millisecond
+	// maxDatagramBytes keeps a datagram below the usual MTU.
+	maxDatagramBytes = 1300
+	// revisionsInterval is the time between two datagrams that carry all revisions although none
+	// has changed. A receiver that missed the change waits 0.1 s before it reads the store
+	// itself, so this delays it by as much again. Revisions in every datagram were half of all
+	// bytes sent.
+	revisionsInterval = 100 * time.Millisecond
+	// outQueueSize bounds the send queue. When it is full, the oldest message is dropped.
+	outQueueSize = 4096
 )
 
 var (
-	sentTotal     = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_sent_total")
-	receivedTotal = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_received_total")
-	relayedTotal  = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_relayed_total")
-	badTotal      = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_bad_total")
-	failsTotal    = metrics.GetOrCreateCounter("sardinedock_gossip_send_failures_total")
+	sentTotal         = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_sent_total")
+	receivedTotal     = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_received_total")
+	relayedTotal      = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_relayed_total")
+	malformedTotal    = metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_bad_total")
+	sendFailuresTotal = metrics.GetOrCreateCounter("sardinedock_gossip_send_failures_total")
 )
 
-// Handler receives messages of peers, by one goroutine, in the order of arrival.
-// It must not block.
+// Handler is called with the messages received from peers, from one goroutine and in the
+// order of arrival. It must not block.
 type Handler interface {
 	Started(*gossippb.RunStart)
 	Stage(*gossippb.RunStage)
 	Notice(from string, n *gossippb.Notice)
-	// Entry receives a change that a peer's watch has brought.
+	// Entry is called with a change that a peer received from its watch.
 	Entry(e *gossippb.Entry)
-	// Cache receives what an endpoint or a store says of its cache.
+	// Cache is called with a report on the cache of an endpoint or a store.
 	Cache(n *gossippb.CacheNews)
-	// SchedulerStarted is called for a scheduler that was not known, has started anew or
-	// has become one: it knows nothing of what is cached where.
+	// SchedulerStarted is called for a scheduler that was unknown, has restarted or has just
+	// taken the role: it does not know yet what is cached where.
 	SchedulerStarted(name string)
-	// Asked decides where a peer's request goes.
+	// Asked decides which endpoint a peer's request goes to.
 	Asked(a *gossippb.Ask) *gossippb.Decision
-	// QuotaUsed receives what an instance let pass of a quota.
+	// QuotaUsed is called with the amount of a quota that another instance has used.
 	QuotaUsed(u *gossippb.QuotaUse)
-	// Revision receives the newest revision of a kind that a peer has seen, and of
-	// when that peer has read the kind last; zero if it has not.
+	// Revision is called with the newest revision of a kind that a peer has seen, and the time
+	// when that peer last read the kind from the store; zero if it has not.
 	Revision(kind string, revision uint64, readAt time.Time)
 }
 
@@ -79,12 +79,12 @@
 	Name       string
 	Address    netip.AddrPort
 	DataCentre string
-	// LinkMbps is the bandwidth of its network link; 0 where that is not known.
+	// LinkMbps is the bandwidth of the instance's network link; 0 if unknown.
 	LinkMbps float64
 }
 
-// Node is the duty that sends and receives. Any goroutine may call its methods;
-// none blocks.
+// Node sends and receives gossip. Its methods are safe for concurrent use; only Run and Ask
+// block.
 type Node struct {
 	name        string
 	dataCentre  string
@@ -93,82 +93,82 @@
 	handler     Handler
 	linkMbps    float64
 	out         *ring.Ring[item]
-	relays      *ring.Ring[relayed]
+	relayQueue  *ring.Ring[relayed]
 	asks        asks
-	// number of the last datagram; only send uses it.
+	// number of the last datagram; used by the send goroutine only.
 	number uint64
 
 	mu    sync.Mutex
 	peers []Peer
-	// order has all instances, this one too, as inOrder sorts them.
-	order   []Peer
-	roles   roles
-	vacancy vacancy
-	states  map[string]peerState
-	// listedAt is since when each peer is listed.
+	// order lists all instances including this one, sorted by schedulerOrder.
+	order     []Peer
+	roles     roles
+	candidacy candidacy
+	states    map[string]peerState
+	// listedAt holds the time since which each peer has been listed.
 	listedAt  map[string]time.Time
 	revisions map[string]uint64
-	// reads has for each kind when this instance has read it last.
+	// reads holds, for each kind, the time when this instance last read it from the store.
 	reads map[string]time.Time
-	// revisionsDue is when the next datagram has to bring the revisions.
+	// revisionsDue is the time from which the next datagram carries the revisions.
 	revisionsDue time.Time
 	leaving      bool
 	storeLost    bool
 }
 
-// item is one thing to send; at most one of the messages is set.
+// item is one queued message; at most one of the message fields is set.
 type item struct {
-	start  *gossippb.RunStart
-	stage  *gossippb.RunStage
-	notice *gossippb.Notice
-	entry  *gossippb.Entry
-	cache  *gossippb.CacheNews
-	use    *gossippb.QuotaUse
-	// via names the scheduler that has placed the run.
-	via string
-	// now asks for a datagram at once.
-	now bool
+	start    *gossippb.RunStart
+	stage    *gossippb.RunStage
+	notice   *gossippb.Notice
+	entry    *gossippb.Entry
+	cache    *gossippb.CacheNews
+	quotaUse *gossippb.QuotaUse
+	// scheduler is the name of the scheduler that placed the run; empty for this instance.
+	scheduler string
+	// urgent requests that the batch is sent without delay.
+	urgent bool
 }
 
-// isNews reports whether all instances have to know of it, and not only schedulers.
-func (i item) isNews() bool { return i.notice != nil || i.entry != nil }
+// isBroadcast reports whether the message is for all instances and not only for schedulers.
+func (i item) isBroadcast() bool { return i.notice != nil || i.entry != nil }
 
-// isBeat reports whether it only asks for a heartbeat at once, which brings what this
-// instance says of itself.
-func (i item) isBeat() bool {
-	return i.start == nil && i.stage == nil && i.cache == nil && i.use == nil && !i.isNews()
+// isHeartbeatOnly reports whether the item carries no message and only requests an immediate
+// heartbeat, which carries this instance's own state.
+func (i item) isHeartbeatOnly() bool {
+	return i.start == nil && i.stage == nil && i.cache == nil && i.quotaUse == nil && !i.isBroadcast()
 }
 
-// New binds self's address. incarnation must rise with every start.
+// New binds the UDP address of self. incarnation must increase with every start.
 func New(self Peer, incarnation uint64, h Handler) (*Node, error) {
 	bind := net.UDPAddrFromAddrPort(self.Address)
 	conn, err := net.ListenUDP("udp4", bind)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Unavailable, "free the port, or name another one", "listen for datagrams")
+		return nil, fault.Wrap(err, fault.Unavailable, "free the UDP port, or configure another one", "listen for gossip datagrams")
 	}
 	return &Node{
 		name: self.Name, dataCentre: self.DataCentre, linkMbps: self.LinkMbps,
 		incarnation: incarnation, conn: conn, handler: h,
-		out:       ring.New[item]("gossip_out", outRing),
-		relays:    ring.New[relayed]("gossip_relay", relayRing),
-		states:    map[string]peerState{},
-		revisions: map[string]uint64{},
-		reads:     map[string]time.Time{},
-		roles:     roles{small: true, self: true, live: 1},
+		out:        ring.New[item]("gossip_out", outQueueSize),
+		relayQueue: ring.New[relayed]("gossip_relay", relayQueueSize),
+		states:     map[string]peerState{},
+		revisions:  map[string]uint64{},
+		reads:      map[string]time.Time{},
+		roles:      roles{smallFleet: true, self: true, live: 1},
 	}, nil
 }
 
-// Run sends and receives until ctx ends.
+// Run sends and receives until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { n.receive(ctx) })
-	wg.Go(func() { n.passOn(ctx) })
+	wg.Go(func() { n.forward(ctx) })
 	n.send(ctx)
 	_ = n.conn.Close()
 	wg.Wait()
 }
 
-// SetPeers replaces the instances that messages are sent to.
+// SetPeers replaces the list of instances that messages are sent to.
 func (n *Node) SetPeers(peers []Peer) {
 	n.setPeers(peers)
 	n.updateRoles(time.Now())
@@ -187,16 +187,17 @@
 			all = append(all, p)
 		}
 	}
-	n.order = inOrder(all)
-	// Instances are replaced under new names; what is known of old ones would
+	n.order = schedulerOrder(all)
+	// Replaced instances come back under new names; the states of the old names would
+	// accumulate without limit.
 	// grow for ever.
 	now := time.Now()
-	n.noteListed(now, listed)
-	maps.DeleteFunc(n.states, func(name string, h peerState) bool { return !listed[name] && now.Sub(h.at) > aliveFor })
+	n.recordListed(now, listed)
+	maps.DeleteFunc(n.states, func(name string, state peerState) bool { return !listed[name] && now.Sub(state.at) > livenessTimeout })
 }
 
-// noteListed keeps since when each peer is listed; the mutex is held.
-func (n *Node) noteListed(now time.Time, listed map[string]bool) {
+// recordListed updates listedAt for the given peers. n.mu must be held.
+func (n *Node) recordListed(now time.Time, listed map[string]bool) {
 	next := make(map[string]time.Time, len(listed))
 	for name := range listed {
 		next[name] = now
@@ -207,30 +208,30 @@
 	n.listedAt = next
 }
 
-// ReportStart reports to the schedulers that a request was sent that this instance has placed.
+// ReportStart reports to the schedulers that a request placed by this instance was sent.
 func (n *Node) ReportStart(s *gossippb.RunStart) { n.out.Push(item{start: s}) }
 
-// ReportStage reports how far a run has come. placedBy names the scheduler that has placed
-// it; it is empty where this instance has.
+// ReportStage reports the stage that a run has reached. placedBy is the name of the scheduler
+// that placed it; empty if this instance did.
 func (n *Node) ReportStage(s *gossippb.RunStage, placedBy string) {
-	n.out.Push(item{stage: s, via: placedBy})
+	n.out.Push(item{stage: s, scheduler: placedBy})
 }
 
-// BroadcastNotice sends all instances a notice of an endpoint, at once.
-func (n *Node) BroadcastNotice(s *gossippb.Notice) { n.out.Push(item{notice: s, now: true}) }
+// BroadcastNotice sends a notice about an endpoint to all instances without delay.
+func (n *Node) BroadcastNotice(s *gossippb.Notice) { n.out.Push(item{notice: s, urgent: true}) }
 
-// BroadcastRevision sends all instances the newest revision seen of a kind, at once where
-// it is new.
+// BroadcastRevision sends the newest revision seen of a kind to all instances, without delay
+// if it is newer than any known here.
 func (n *Node) BroadcastRevision(kind string, revision uint64) {
-	if n.knows(kind, revision) {
-		n.out.Push(item{now: true})
+	if n.recordRevision(kind, revision) {
+		n.out.Push(item{urgent: true})
 	}
 }
 
-// knows notes a revision and reports whether it is the newest known here. One that a
-// peer has told goes along with the next datagram, so that it also reaches those whom
-// the peer's own datagram did not.
-func (n *Node) knows(kind string, revision uint64) (newest bool) {
+// recordRevision records a revision and reports whether it is newer than any known here. A
+// revision received from a peer is included in the next datagram, so that it also reaches
+// instances that the peer's own datagram did not reach.
+func (n *Node) recordRevision(kind string, revision uint64) (newest bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if revision <= n.revisions[kind] {
@@ -241,87 +242,87 @@
 	return true
 }
 
-// BroadcastRead says at once that this instance has read a kind from the store, so that
-// the others need not do the same.
+// BroadcastRead announces without delay that this instance has read a kind from the store, so
+// that the others need not read it too.
 func (n *Node) BroadcastRead(kind string) {
 	n.mu.Lock()
 	n.reads[kind] = time.Now()
-	// Of a kind without objects no revision is known; its reads have to be sent too, or
-	// every instance reads it in its turn.
+	// A kind without objects has no known revision. Its reads have to be sent too, or every
+	// instance reads the kind itself.
 	n.revisions[kind] = max(n.revisions[kind], 0)
 	n.revisionsDue = time.Time{}
 	n.mu.Unlock()
-	n.out.Push(item{now: true})
+	n.out.Push(item{urgent: true})
 }
 
-// BroadcastEntry sends all instances a change that this instance's watch has brought, at once.
+// BroadcastEntry sends a change received from this instance's watch to all instances without
+// delay.
 func (n *Node) BroadcastEntry(e *gossippb.Entry) {
-	n.knows(e.GetKind(), e.GetRevision())
-	n.out.Push(item{entry: e, now: true})
+	n.recordRevision(e.GetKind(), e.GetRevision())
+	n.out.Push(item{entry: e, urgent: true})
 }
 
-// ReportCache reports what an endpoint or a store says of its cache. It has to fit
-// into a datagram.
+// ReportCache sends a report on the cache of an endpoint or a store to the schedulers. It has
+// to fit into one datagram.
 func (n *Node) ReportCache(c *gossippb.CacheNews) { n.out.Push(item{cache: c}) }
 
-// ReportQuotaUse reports to the schedulers what was let pass of a quota.
-func (n *Node) ReportQuotaUse(u *gossippb.QuotaUse) { n.out.Push(item{use: u}) }
+// ReportQuotaUse reports to the schedulers how much of a quota this instance has used.
+func (n *Node) ReportQuotaUse(u *gossippb.QuotaUse) { n.out.Push(item{quotaUse: u}) }
 
-// ReportStore says whether this instance reaches the platform's store.
+// ReportStore records whether this instance reaches the platform's store, and announces it.
 func (n *Node) ReportStore(reached bool) {
 	n.mu.Lock()
 	n.storeLost = !reached
 	n.mu.Unlock()
-	n.out.Push(item{now: true})
+	n.out.Push(item{urgent: true})
 }
 
-// ReachesStore reports what ReportStore has said last.
+// ReachesStore returns the value last passed to ReportStore.
 func (n *Node) ReachesStore() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return !n.storeLost
 }
 
-// BroadcastLeaving says that this instance ends.
+// BroadcastLeaving announces that this instance is shutting down.
 func (n *Node) BroadcastLeaving() {
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	n.out.Push(item{now: true})
+	n.out.Push(item{urgent: true})
 }
 
-// Staying reports whether a peer is alive that does not end. Where none is,
-// firstLeaving is when the first of those that were told to end since a time was; zero if
-// none was heard of.
+// Staying reports whether any live peer is not shutting down. If there is none, firstLeaving
+// is the earliest time after since at which a peer announced its shutdown; zero if none did.
 func (n *Node) Staying(now, since time.Time) (staying bool, firstLeaving time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range n.states {
-		if h.alive(now) {
+	for _, state := range n.states {
+		if state.alive(now) {
 			return true, time.Time{}
 		}
-		if h.leaving && h.leavingSince.After(since) && (firstLeaving.IsZero() || h.leavingSince.Before(firstLeaving)) {
-			firstLeaving = h.leavingSince
+		if state.leaving && state.leavingSince.After(since) && (firstLeaving.IsZero() || state.leavingSince.Before(firstLeaving)) {
+			firstLeaving = state.leavingSince
 		}
 	}
 	return false, firstLeaving
 }
 
-// send gathers messages and sends them.
+// send batches queued messages, sends them, and sends heartbeats.
 func (n *Node) send(ctx context.Context) {
-	look := time.NewTicker(roleEvery)
-	defer look.Stop()
-	var beaten time.Time
+	roleTicker := time.NewTicker(roleCheckInterval)
+	defer roleTicker.Stop()
+	var lastHeartbeat time.Time
 	announced := n.IsScheduler()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case now := <-look.C:
+		case now := <-roleTicker.C:
 			n.updateRoles(now)
-			if role := n.IsScheduler(); now.Sub(beaten) >= beatEvery || role != announced {
-				n.beat(n.number)
-				beaten, announced = now, role
+			if role := n.IsScheduler(); now.Sub(lastHeartbeat) >= heartbeatInterval || role != announced {
+				n.sendHeartbeat(n.number)
+				lastHeartbeat, announced = now, role
 			}
 		case i := <-n.out.C():
 			n.route(n.gather(ctx, i))
@@ -329,11 +330,11 @@
 	}
 }
 
-// gather waits a moment for more, unless the first thing has to go at once.
+// gather collects further messages for a short time, unless the first one is urgent.
 func (n *Node) gather(ctx context.Context, first item) []item {
 	batch := []item{first}
-	if !first.now {
-		_ = clock.Sleep(ctx, n.flushEvery())
+	if !first.urgent {
+		_ = clock.Sleep(ctx, n.flushInterval())
 	}
 	for {
 		select {
@@ -345,11 +346,11 @@
 	}
 }
 
-// flushEvery is how long this instance gathers messages. Where a scheduler gathers
-// too, it does so briefly.
-func (n *Node) flushEvery() time.Duration {
+// flushInterval returns how long this instance batches messages: only briefly if a scheduler
+// batches them again.
+func (n *Node) flushInterval() time.Duration {
 	if n.IsScheduler() {
-		return flushEvery
+		return flushInterval
 	}
-	return flushToScheduler
+	return flushIntervalToScheduler
 }
--- a/gossip/pack.go
+++ b/gossip/pack.go
@@ -8,10 +8,10 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// datagrams packs a batch; an empty one gives a heartbeat. The first one brings the
-// revisions where they are due and asked for.
-func (n *Node) datagrams(batch []item, revisions bool) []*gossippb.Datagram {
-	current := n.empty()
+// pack packs a batch into datagrams; an empty batch gives a heartbeat. If revisions is set, the
+// first datagram carries the revisions when they are due.
+func (n *Node) pack(batch []item, revisions bool) []*gossippb.Datagram {
+	current := n.newDatagram()
 	if revisions {
 		n.addRevisions(current)
 	}
@@ -19,8 +19,8 @@
 	size := proto.Size(current)
 	for _, i := range batch {
 		add := 4 + itemSize(i)
-		if size+add > maxDatagram && size > 0 {
-			current = n.empty()
+		if size+add > maxDatagramBytes && size > 0 {
+			current = n.newDatagram()
 			list = append(list, current)
 			size = proto.Size(current)
 		}
@@ -36,8 +36,8 @@
 			current.Entries = append(current.Entries, i.entry)
 		case i.cache != nil:
 			current.Caches = append(current.Caches, i.cache)
-		case i.use != nil:
-			current.QuotaUses = append(current.QuotaUses, i.use)
+		case i.quotaUse != nil:
+			current.QuotaUses = append(current.QuotaUses, i.quotaUse)
 		}
 	}
 	return list
@@ -55,14 +55,14 @@
 		return proto.Size(i.entry)
 	case i.cache != nil:
 		return proto.Size(i.cache)
-	case i.use != nil:
-		return proto.Size(i.use)
+	case i.quotaUse != nil:
+		return proto.Size(i.quotaUse)
 	}
 	return 0
 }
 
-// empty returns a datagram that says how this instance is.
-func (n *Node) empty() *gossippb.Datagram {
+// newDatagram returns a datagram that carries only this instance's own state.
+func (n *Node) newDatagram() *gossippb.Datagram {
 	d := &gossippb.Datagram{Instance: n.name, Incarnation: n.incarnation}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,8 +73,8 @@
 	return d
 }
 
-// addRevisions adds the newest revisions known, and when this instance has read each
-// kind, where they are due.
+// addRevisions adds the newest known revisions, and the time since this instance last read
+// each kind, if they are due.
 func (n *Node) addRevisions(d *gossippb.Datagram) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -82,14 +82,15 @@
 	if now.Before(n.revisionsDue) {
 		return
 	}
-	n.revisionsDue = now.Add(revisionsEvery)
+	n.revisionsDue = now.Add(revisionsInterval)
 	for kind, revision := range n.revisions {
-		d.Revisions = append(d.Revisions, &gossippb.Revision{Kind: kind, Revision: revision, ReadMsAgo: n.readAgo(kind, now)})
+		d.Revisions = append(d.Revisions, &gossippb.Revision{Kind: kind, Revision: revision, ReadMsAgo: n.readAgeMs(kind, now)})
 	}
 }
 
-// readAgo is how long ago a kind was read, in ms; the mutex is held.
-func (n *Node) readAgo(kind string, now time.Time) int64 {
+// readAgeMs returns how many milliseconds ago this instance read a kind, or -1 if it has not.
+// n.mu must be held.
+func (n *Node) readAgeMs(kind string, now time.Time) int64 {
 	at, ok := n.reads[kind]
 	if !ok {
 		return -1
--- a/gossip/receive.go
+++ b/gossip/receive.go
@@ -11,23 +11,23 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// peerState is what was last received of a peer.
+// peerState is the state of a peer according to its last datagram.
 type peerState struct {
 	incarnation uint64
 	at          time.Time
 	leaving     bool
-	// leavingSince is when the peer first said that it ends.
+	// leavingSince is when the peer first announced its shutdown.
 	leavingSince time.Time
 	storeLost    bool
 	scheduler    bool
-	// live is how many instances the peer, a scheduler, has heard of.
+	// live is the number of live instances that the peer reported as a scheduler.
 	live int
 }
 
-// alive reports whether a peer counts as live.
-func (h peerState) alive(now time.Time) bool { return !h.leaving && now.Sub(h.at) < aliveFor }
+// alive reports whether a peer counts as alive and is not shutting down.
+func (s peerState) alive(now time.Time) bool { return !s.leaving && now.Sub(s.at) < livenessTimeout }
 
-// receive takes in datagrams until ctx ends.
+// receive reads datagrams and applies them until ctx is done.
 func (n *Node) receive(ctx context.Context) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -36,12 +36,12 @@
 			return
 		}
 		if err != nil {
-			failsTotal.Inc()
+			sendFailuresTotal.Inc()
 			continue
 		}
 		var d gossippb.Datagram
 		if proto.Unmarshal(buf[:size], &d) != nil || d.GetInstance() == "" {
-			badTotal.Inc()
+			malformedTotal.Inc()
 			continue
 		}
 		receivedTotal.Inc()
@@ -50,25 +50,25 @@
 		}
 		if d.GetRelayTo() != gossippb.Audience_RECEIVER {
 			relayedTotal.Inc()
-			n.relay(&d, buf[:size])
+			n.enqueueRelay(&d, buf[:size])
 		}
 		n.answerAsks(&d, from)
 		for _, v := range d.GetDecisions() {
-			n.asks.answer(v)
+			n.asks.deliver(v)
 		}
 		n.apply(&d)
 		n.applyRelayed(&d)
 	}
 }
 
-// applyRelayed applies what a relay passes on. This instance's own messages come back with
-// the others'; taken in, the start of a run that has ended meanwhile would count for
-// ever.
+// applyRelayed applies the datagrams that a relay has forwarded. This instance's own messages
+// come back among them and are skipped: the start of a run that has ended meanwhile would
+// otherwise be counted for ever.
 func (n *Node) applyRelayed(d *gossippb.Datagram) {
 	for _, data := range d.GetRelayed() {
 		var inner gossippb.Datagram
 		if proto.Unmarshal(data, &inner) != nil || inner.GetInstance() == "" {
-			badTotal.Inc()
+			malformedTotal.Inc()
 			continue
 		}
 		if inner.GetInstance() != n.name {
@@ -77,69 +77,70 @@
 	}
 }
 
-// admission is what becomes of a datagram.
+// admission is the result of checking a datagram's sender.
 type admission struct {
-	// counts says that it is taken in, anew that its sender has started anew.
-	counts, anew bool
-	// scheduler says that its sender has just become a scheduler, or started as one.
+	// accepted is set if the datagram is to be applied, restarted if its sender is new or has
+	// restarted.
+	accepted, restarted bool
+	// scheduler is set if the sender has just become a scheduler, or restarted as one.
 	scheduler bool
 }
 
-// admit notes that a datagram came, and reports whether it counts and what is new of its
-// sender. One of an earlier incarnation is thrown away while the
-// later one is heard of: it was late on the way. Once that one has fallen silent,
-// the sender has started again with its clock set back, and would otherwise be
-// unheard for the life of its process.
+// admit records that a datagram was received, and returns whether it is accepted and what has
+// changed about its sender. A datagram of an earlier incarnation was delayed in the network and
+// is dropped while the later incarnation is alive. Once that one has timed out, the sender must
+// have restarted with its clock set back; otherwise it would be ignored for the life of its
+// process.
 func (n *Node) admit(d *gossippb.Datagram, now time.Time) admission {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h := n.states[d.GetInstance()]
-	if d.GetIncarnation() < h.incarnation && now.Sub(h.at) < aliveFor {
+	prev := n.states[d.GetInstance()]
+	if d.GetIncarnation() < prev.incarnation && now.Sub(prev.at) < livenessTimeout {
 		return admission{}
 	}
-	anew := d.GetIncarnation() != h.incarnation
+	restarted := d.GetIncarnation() != prev.incarnation
 	next := peerState{
 		incarnation: d.GetIncarnation(), at: now, leaving: d.GetLeaving(), storeLost: d.GetStoreLost(),
 		scheduler: d.GetScheduler(), live: int(d.GetLive()),
 	}
 	if next.leaving {
 		next.leavingSince = now
-		if h.leaving && !anew {
-			next.leavingSince = h.leavingSince
+		if prev.leaving && !restarted {
+			next.leavingSince = prev.leavingSince
 		}
 	}
-	if len(d.GetAsks())+len(d.GetDecisions()) > 0 && !anew {
-		// Asks and decisions say nothing else of their sender.
-		next = h
+	if len(d.GetAsks())+len(d.GetDecisions()) > 0 && !restarted {
+		// Datagrams with asks or decisions carry no other state of their sender.
+		next = prev
 		next.at = now
 		if len(d.GetDecisions()) > 0 {
-			// One that has stepped down may be asked for as long as it answers: its
-			// heartbeats go to schedulers only.
+			// A former scheduler would otherwise still be asked for as long as it answers, because
+			// its heartbeats go to schedulers only.
 			next.scheduler = d.GetScheduler()
 		}
 	}
 	n.states[d.GetInstance()] = next
-	return admission{counts: true, anew: anew, scheduler: next.scheduler && (anew || !h.scheduler)}
+	return admission{accepted: true, restarted: restarted, scheduler: next.scheduler && (restarted || !prev.scheduler)}
 }
 
-// welcome lets a peer that has started know that this instance is a scheduler, so that it
-// need not wait for the next heartbeat.
-func (n *Node) welcome(name string) {
+// announceTo sends this instance's state to a peer that has started, if this instance is a
+// scheduler, so that the peer need not wait for the next heartbeat.
+func (n *Node) announceTo(name string) {
 	if !n.IsScheduler() {
 		return
 	}
-	for _, p := range n.everybody() {
+	for _, p := range n.allPeers() {
 		if p.Name == name {
-			n.write(encode(n.empty()), p.Address)
+			n.write(encode(n.newDatagram()), p.Address)
 			return
 		}
 	}
 }
 
-// readTime returns when a peer has read a kind last, by its own report. It is not told
-// on: each time it would count from a little later, by the delay on the way, and with
-// peers that write to each other many times a second a read would never grow old; in the
-// end nobody would read.
+// readTime returns when a peer last read a kind from the store, by its own report. It is not
+// forwarded: each hop would shift the time by the network delay, and between peers that
+// exchange many datagrams a second a read would never become old, so that in the end no
+// instance would read the store.
 func readTime(r *gossippb.Revision) time.Time {
 	if r.GetReadMsAgo() < 0 {
 		return time.Time{}
@@ -147,19 +148,18 @@
 	return time.Now().Add(-time.Duration(r.GetReadMsAgo()) * time.Millisecond)
 }
 
-// apply takes in a datagram.
+// apply applies a datagram's sender state and messages.
 func (n *Node) apply(d *gossippb.Datagram) {
 	a := n.admit(d, time.Now())
-	if !a.counts {
+	if !a.accepted {
 		return
 	}
-	if a.anew || a.scheduler {
-		// Where a scheduler is not yet counted, this instance would take on what that
-		// one does.
+	if a.restarted || a.scheduler {
+		// If a scheduler were not yet counted, this instance could take over its role.
 		n.updateRoles(time.Now())
 	}
-	if a.anew {
-		n.welcome(d.GetInstance())
+	if a.restarted {
+		n.announceTo(d.GetInstance())
 	}
 	if a.scheduler {
 		n.handler.SchedulerStarted(d.GetInstance())
@@ -168,11 +168,11 @@
 		n.handler.Cache(c)
 	}
 	for _, e := range d.GetEntries() {
-		n.knows(e.GetKind(), e.GetRevision())
+		n.recordRevision(e.GetKind(), e.GetRevision())
 		n.handler.Entry(e)
 	}
 	for _, r := range d.GetRevisions() {
-		n.knows(r.GetKind(), r.GetRevision())
+		n.recordRevision(r.GetKind(), r.GetRevision())
 		n.handler.Revision(r.GetKind(), r.GetRevision(), readTime(r))
 	}
 	for _, s := range d.GetStarts() {
--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -11,65 +11,66 @@
 )
 
 const (
-	// SmallFleet is the largest fleet in which every instance is a scheduler: each
-	// places its own requests, and all send to each other one by one. There, what an
-	// instance hears is less than what it does for its callers.
+	// SmallFleet is the largest number of instances at which each is a scheduler: it places its
+	// own requests, and all send to each other directly. At this size an instance spends less on
+	// the messages it receives than on its callers' requests.
 	SmallFleet = 16
-	// schedulerCount is how many instances of a larger fleet are schedulers. With
-	// five, two may be lost at once, and each of the others carries two thirds more. Each
-	// further one receives the reports on all requests once more.
+	// schedulerCount is the number of schedulers in a larger fleet. With five, two can fail at
+	// once, and each remaining one carries two thirds more load. Each additional scheduler
+	// receives the reports on all requests once more.
 	schedulerCount = 5
-	// leastWithStore is how many schedulers have to reach the store: one may be lost, and
+	// minSchedulersWithStore is how many schedulers have to reach the store: one may fail, and
 	// another one still receives changes.
-	leastWithStore = 2
-	// takeoverStep is how much later the next instance in order takes a vacant place:
-	// the message of the one before it, sent at once, has come by then.
+	minSchedulersWithStore = 2
+	// takeoverStep is how much longer each next instance in the order waits before it takes a
+	// vacant scheduler position: the announcement of the one before it, which is sent without
+	// delay, has arrived by then.
 	takeoverStep = 150 * time.Millisecond
-	// relayFor is how long after it was heard of a scheduler passes on what is for its
-	// data centre: one heartbeat and some room.
-	relayFor = 500 * time.Millisecond
-	// reportFor is how long after it was heard of a scheduler is still sent reports: longer
-	// than a busy or suspended machine stands still as a rule.
-	reportFor = 5 * time.Second
-	// roleEvery is how often an instance looks whether it has to be a scheduler. A
-	// scheduler that has died is missed after aliveFor, ten times as long.
-	roleEvery = 100 * time.Millisecond
+	// relayTimeout is how long after its last datagram a scheduler is still used as the relay for
+	// its data centre: one heartbeat interval and some margin.
+	relayTimeout = 500 * time.Millisecond
+	// reportTimeout is how long after its last datagram a scheduler is still sent reports: longer
+	// than the usual pause of a busy or suspended machine.
+	reportTimeout = 5 * time.Second
+	// roleCheckInterval is how often an instance checks whether it has to be a scheduler. A
+	// failed scheduler is only noticed after livenessTimeout, which is ten times as long.
+	roleCheckInterval = 100 * time.Millisecond
 )
 
-// roles says which instances are schedulers, as far as known here. It is replaced,
-// never changed.
+// roles is this instance's view of which instances are schedulers. It is replaced as a whole
+// and never modified.
 //
-// Load: hundreds of instances, a thousand requests a second, three reports each. Harm
-// prevented: if each instance received every report, they would spend more processor
-// time on reports than on requests. Sent to a few schedulers, which place the requests
-// of all, what the others receive does not grow with the fleet.
+// With hundreds of instances, a thousand requests a second and three reports per request, the
+// instances would spend more processor time on reports than on requests if each received all
+// of them. Reports therefore go to a few schedulers, which place the requests of all
+// instances; what the other instances receive does not grow with the fleet.
 type roles struct {
-	// small says that the fleet is one in which all are schedulers.
-	small bool
-	// self says that this instance is a scheduler.
+	// smallFleet is set if the fleet is so small that all instances are schedulers.
+	smallFleet bool
+	// self is set if this instance is a scheduler.
 	self bool
-	// others are the schedulers that were heard of lately, in order.
+	// others are the other schedulers that are alive, in schedulerOrder.
 	others []Peer
-	// receivers are those schedulers and the ones that have fallen silent a moment ago:
-	// all that reports on runs go to.
-	//
-	// Failure: a machine stands still for a second or two. Not sent the ends of the runs
-	// whose starts it has received, it counts them for half a minute once it goes on, and
-	// keeps work from endpoints that idle.
+	// receivers are those schedulers and the ones that stopped sending less than reportTimeout
+	// ago. Reports on runs go to all of them: a machine that was paused for a second or two and
+	// has not been sent the ends of runs whose starts it has received would count those runs
+	// for half a minute after it resumes, and keep work from idle endpoints.
 	receivers []Peer
-	// near are the peers of this data centre, and those of others that have no live
-	// scheduler; via has a scheduler of each other data centre.
-	near, via []Peer
-	// position of this instance in the order.
+	// direct are the peers that this instance sends to itself: those of its data centre, and
+	// those of data centres without a live scheduler. forwarders has one scheduler of each
+	// other data centre, which forwards to the instances there.
+	direct, forwarders []Peer
+	// position is this instance's index in schedulerOrder.
 	position int
-	// live is how many instances are alive, by a scheduler's count.
+	// live is the number of live instances, as counted by a scheduler.
 	live int
 }
 
-// inOrder sorts the instances by how well they serve as schedulers: the widest link
-// first, and of equal ones, one of each data centre after the other, so that the loss of
-// a data centre leaves others. All instances that have the same list agree on it.
-func inOrder(list []Peer) []Peer {
+// schedulerOrder sorts the instances by how suitable they are as schedulers: those with the
+// widest link first and, among equal links, alternating between data centres, so that the loss
+// of a data centre leaves schedulers elsewhere. All instances with the same list compute the
+// same order.
+func schedulerOrder(list []Peer) []Peer {
 	ordered := slices.Clone(list)
 	slices.SortFunc(ordered, func(a, b Peer) int {
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.DataCentre, b.DataCentre),
@@ -92,78 +93,79 @@
 	return ordered
 }
 
-// vacancy decides whether an instance becomes a scheduler, or stays one.
-type vacancy struct {
-	// since is when as many schedulers as now were first seen; zero while no place is
-	// vacant.
+// candidacy decides whether this instance becomes a scheduler, or remains one.
+type candidacy struct {
+	// since is when the current number of live schedulers was first seen; zero while no
+	// scheduler position is vacant.
 	since      time.Time
 	scheduling int
 }
 
-// field is what an instance sees of the schedulers when it decides on its own role.
-type field struct {
-	// ahead says of each instance before it in the order whether it is a live scheduler.
+// schedulerView is what an instance knows of the schedulers when it decides on its own role.
+type schedulerView struct {
+	// ahead holds, for each instance before this one in the order, whether it is a live
+	// scheduler.
 	ahead []bool
-	// behind is how many live schedulers come after it.
+	// behind is the number of live schedulers after this instance in the order.
 	behind int
-	// withStore is how many of the live schedulers reach the platform's store, hasStore
-	// whether this instance does.
+	// withStore is the number of live schedulers that reach the platform's store; hasStore is
+	// set if this instance reaches it.
 	withStore int
 	hasStore  bool
-	// was says that it is a scheduler now.
-	was bool
+	// isScheduler is set if this instance is a scheduler now.
+	isScheduler bool
 }
 
-// serves reports whether an instance is to be a scheduler.
+// shouldSchedule reports whether this instance is to be a scheduler.
 //
-// Failure: schedulers die, or are cut off from a part of the fleet, which then has to
-// find others without being told. Each instance of that part sees the same places
-// vacant. The next ones in the order take them one after the other, so that a hundred
-// instances do not all become schedulers at once; one that is dead costs takeoverStep.
+// When schedulers fail, or are cut off from a part of the fleet, the remaining instances have to
+// replace them without coordination, and each of them sees the same positions vacant. The next
+// instances in the order take them one after the other, so that a hundred instances do not all
+// become schedulers at once; each dead instance in between costs takeoverStep.
 //
-// Failure: the store turns all schedulers away and serves others. Nobody would hear of
-// changes for the fleet, nor roll out weights; so some of those that it serves become
-// schedulers too.
-func (v *vacancy) serves(now time.Time, f field) bool {
-	// missing are those right before this one that could take the place.
+// When the store rejects all schedulers but serves other instances, no scheduler would receive
+// changes for the fleet or roll out weights. Some of the instances that it serves then become
+// schedulers in addition.
+func (c *candidacy) shouldSchedule(now time.Time, view schedulerView) bool {
+	// missing counts the instances directly before this one that could take the position.
 	scheduling, missing := 0, 0
-	for _, s := range f.ahead {
+	for _, s := range view.ahead {
 		if missing++; s {
 			scheduling++
 			missing = 0
 		}
 	}
-	needed := f.hasStore && f.withStore < leastWithStore
+	needed := view.hasStore && view.withStore < minSchedulersWithStore
 	if scheduling >= schedulerCount && !needed {
-		v.since = time.Time{}
+		c.since = time.Time{}
 		return false
 	}
-	if f.was {
+	if view.isScheduler {
 		return true
 	}
-	all := scheduling + f.behind
-	if all >= schedulerCount && len(f.ahead) >= schedulerCount && !needed {
-		v.since = time.Time{}
+	all := scheduling + view.behind
+	if all >= schedulerCount && len(view.ahead) >= schedulerCount && !needed {
+		c.since = time.Time{}
 		return false
 	}
-	if v.since.IsZero() || v.scheduling != all {
-		// Others are taking the places; the wait begins anew with each of them.
-		v.since, v.scheduling = now, all
+	if c.since.IsZero() || c.scheduling != all {
+		// Other instances are taking the positions; the wait restarts with each of them.
+		c.since, c.scheduling = now, all
 	}
-	return now.Sub(v.since) >= time.Duration(missing)*takeoverStep
+	return now.Sub(c.since) >= time.Duration(missing)*takeoverStep
 }
 
-// updateRoles looks anew who is a scheduler.
+// updateRoles recomputes which instances are schedulers.
 func (n *Node) updateRoles(now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	old := n.roles
-	next := roles{small: len(n.order) <= SmallFleet, live: 1}
+	next := roles{smallFleet: len(n.order) <= SmallFleet, live: 1}
 	scheduling := func(name string) bool {
-		h, ok := n.states[name]
-		return ok && h.scheduler && h.alive(now)
+		state, ok := n.states[name]
+		return ok && state.scheduler && state.alive(now)
 	}
-	f := field{hasStore: !n.storeLost, was: old.self && !old.small}
+	view := schedulerView{hasStore: !n.storeLost, isScheduler: old.self && !old.smallFleet}
 	found := false
 	for i, p := range n.order {
 		if p.Name == n.name {
@@ -171,29 +173,29 @@
 			continue
 		}
 		s := scheduling(p.Name)
-		if s || next.small && n.states[p.Name].alive(now) {
+		if s || next.smallFleet && n.states[p.Name].alive(now) {
 			next.others = append(next.others, p)
 		}
-		if h := n.states[p.Name]; h.scheduler && !h.leaving && now.Sub(h.at) < reportFor {
+		if state := n.states[p.Name]; state.scheduler && !state.leaving && now.Sub(state.at) < reportTimeout {
 			next.receivers = append(next.receivers, p)
 		}
 		if s && !n.states[p.Name].storeLost {
-			f.withStore++
+			view.withStore++
 		}
 		if !found {
-			f.ahead = append(f.ahead, s)
+			view.ahead = append(view.ahead, s)
 		} else if s {
-			f.behind++
+			view.behind++
 		}
 	}
 	switch {
-	case next.small:
+	case next.smallFleet:
 		next.self = true
 	case n.leaving:
 	default:
-		next.self = n.vacancy.serves(now, f)
+		next.self = n.candidacy.shouldSchedule(now, view)
 	}
-	next.near, next.via = n.split(now, next.others)
+	next.direct, next.forwarders = n.splitPeers(now, next.others)
 	next.live = n.liveCount(now, next.self)
 	n.roles = next
 	if next.self != old.self {
@@ -201,19 +203,19 @@
 	}
 }
 
-// split divides the peers into those that are sent to one by one, and a scheduler for each
-// other data centre that has some; the mutex is held.
+// splitPeers returns the peers that this instance sends to directly, and one scheduler for each
+// other data centre that has any. n.mu must be held.
 //
-// Load: a rollout over thousands of endpoints, which hundreds of instances have to know.
-// Harm prevented: sent to each of them, the same bytes cross between data centres a
-// hundred times, and one instance's link carries all.
+// A rollout over thousands of endpoints has to be announced to hundreds of instances. Sent to
+// each of them directly, the same bytes would cross between data centres a hundred times and
+// load one instance's link with all of it.
 //
-// Failure: a scheduler dies, and what it was to pass on is lost. It is passed over once
-// it has missed a heartbeat, before it counts as dead.
-func (n *Node) split(now time.Time, schedulers []Peer) (near, via []Peer) {
+// When a scheduler dies, the messages it should have forwarded are lost. It is therefore no
+// longer used once it has missed a heartbeat, before it counts as dead.
+func (n *Node) splitPeers(now time.Time, schedulers []Peer) (direct, forwarders []Peer) {
 	chosen := map[string]Peer{}
 	for _, p := range schedulers {
-		if now.Sub(n.states[p.Name].at) > relayFor {
+		if now.Sub(n.states[p.Name].at) > relayTimeout {
 			continue
 		}
 		best, ok := chosen[p.DataCentre]
@@ -222,24 +224,25 @@
 		}
 	}
 	for _, p := range chosen {
-		via = append(via, p)
+		forwarders = append(forwarders, p)
 	}
 	for _, p := range n.peers {
 		if _, ok := chosen[p.DataCentre]; !ok {
-			near = append(near, p)
+			direct = append(direct, p)
 		}
 	}
-	return near, via
+	return direct, forwarders
 }
 
-// liveCount is how many instances are alive: counted by a scheduler, which hears all of
-// them, and else as the schedulers say; the mutex is held.
+// liveCount returns the number of live instances: a scheduler, which receives the heartbeats of
+// all instances, counts them itself; another instance uses the schedulers' count. n.mu must be
+// held.
 func (n *Node) liveCount(now time.Time, scheduler bool) int {
 	counted, reported := 1, 0
-	for _, h := range n.states {
-		if h.alive(now) {
+	for _, state := range n.states {
+		if state.alive(now) {
 			counted++
-			reported = max(reported, h.live)
+			reported = max(reported, state.live)
 		}
 	}
 	if scheduler {
@@ -248,43 +251,44 @@
 	return max(reported, counted)
 }
 
-// rolesNow returns the roles as last looked at.
-func (n *Node) rolesNow() roles {
+// currentRoles returns the roles as of the last check.
+func (n *Node) currentRoles() roles {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.roles
 }
 
-// Live returns the number of instances that were heard of lately by this one or by a
-// scheduler, this one included.
-func (n *Node) Live() int { return max(n.rolesNow().live, 1) }
+// Live returns the number of live instances as seen by this one or a scheduler, this one
+// included.
+func (n *Node) Live() int { return max(n.currentRoles().live, 1) }
 
-// Reach returns how many of the listed instances were heard of lately, and how many are
-// listed, this one included in both; none are before the first SetPeers. An instance that ends counts while it is heard of: it
-// still answers callers.
-func (n *Node) Reach() (heard, listed int) {
+// Reach returns how many of the listed instances are reachable, and how many are listed; both
+// include this one, and both are 0 before the first SetPeers. An instance that is shutting down
+// counts as long as its datagrams arrive: it still answers callers.
+func (n *Node) Reach() (reachable, listed int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.heardLately(time.Now()), len(n.order)
+	return n.reachableCount(time.Now()), len(n.order)
 }
 
-// heardLately is how many of the listed instances were heard of lately, this one included;
-// the mutex is held.
-func (n *Node) heardLately(now time.Time) (heard int) {
+// reachableCount returns how many of the listed instances have sent a datagram within
+// livenessTimeout, this one included. n.mu must be held.
+func (n *Node) reachableCount(now time.Time) (reachable int) {
 	for _, p := range n.order {
-		if p.Name == n.name || now.Sub(n.states[p.Name].at) < aliveFor {
-			heard++
+		if p.Name == n.name || now.Sub(n.states[p.Name].at) < livenessTimeout {
+			reachable++
 		}
 	}
-	return heard
+	return reachable
 }
 
-// Lost returns the listed instances that were not heard of for d, where most of the fleet
-// is heard of. A smaller part can't tell the others' end from its own separation.
+// Lost returns the listed instances that have sent no datagram for d. It returns none unless most
+// of the fleet is reachable: the smaller part of a partitioned fleet can't distinguish the end of
+// the other instances from its own separation.
 func (n *Node) Lost(now time.Time, d time.Duration) []string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if 2*n.heardLately(now) <= len(n.order) {
+	if 2*n.reachableCount(now) <= len(n.order) {
 		return nil
 	}
 	var lost []string
@@ -296,19 +300,18 @@
 	return lost
 }
 
-// IsScheduler reports whether this instance places requests, its own and others'.
-func (n *Node) IsScheduler() bool { return n.rolesNow().self }
+// IsScheduler reports whether this instance places requests, its own and those of others.
+func (n *Node) IsScheduler() bool { return n.currentRoles().self }
 
-// Schedulers returns the names of the live schedulers, this instance's too where it is
-// one.
+// Schedulers returns the names of the live schedulers, including this instance if it is one.
 func (n *Node) Schedulers() []string {
 	return n.schedulers(func(peerState) bool { return true })
 }
 
-// SchedulersWithStore returns the names of the live schedulers that reach the
-// platform's store, and this instance's in any case where it is one.
+// SchedulersWithStore returns the names of the live schedulers that reach the platform's store,
+// and always this instance's if it is a scheduler.
 func (n *Node) SchedulersWithStore() []string {
-	return n.schedulers(func(h peerState) bool { return !h.storeLost })
+	return n.schedulers(func(state peerState) bool { return !state.storeLost })
 }
 
 func (n *Node) schedulers(counts func(peerState) bool) []string {
@@ -326,16 +329,15 @@
 	return names
 }
 
-// Position is this instance's place in the order in which instances become schedulers.
-func (n *Node) Position() int { return n.rolesNow().position }
+// Position returns this instance's index in the order in which instances become schedulers.
+func (n *Node) Position() int { return n.currentRoles().position }
 
-// SchedulersFor returns the schedulers to ask for what a key names, the first choice
-// first; none where this instance is a scheduler itself, or knows of none. All instances
-// ask the same one for the same key, so that what two of them need at the same moment
-// is decided by one.
+// SchedulersFor returns the schedulers to ask about a key, in order of preference; none if this
+// instance is a scheduler itself or knows of no scheduler. All instances ask the same scheduler
+// for the same key, so that simultaneous requests for it are decided in one place.
 func (n *Node) SchedulersFor(key uint64) []Peer {
-	r := n.rolesNow()
-	if r.self || r.small {
+	r := n.currentRoles()
+	if r.self || r.smallFleet {
 		return nil
 	}
 	list := slices.Clone(r.others)
--- a/gossip/roles_test.go
+++ b/gossip/roles_test.go
@@ -15,21 +15,20 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// A fleet is three wide-linked instances in each of five data centres and many narrow
-// ones. With narrow links, schedulers would fill them with what they tell the others, and
-// their own callers' answers would wait; all of them in one data centre, its loss would
-// leave the fleet without any.
-func TestSchedulersHaveWideLinksInAllDataCentres(t *testing.T) {
-	order := inOrder(largeFleet(5, 39))
+// Guards against choosing schedulers with narrow links or in one data centre only. Their
+// messages to the others would fill narrow links and delay the answers to their own callers,
+// and the loss of a single data centre would leave the fleet without schedulers.
+func TestSchedulerOrderPrefersWideLinksInAllDataCentres(t *testing.T) {
+	order := schedulerOrder(largeFleet(5, 39))
 	seen := map[string]bool{}
 	for _, p := range order[:schedulerCount] {
 		if p.LinkMbps != 200 {
-			t.Errorf("%s is among the first with %v Mbit/s", p.Name, p.LinkMbps)
+			t.Errorf("%s is among the first instances with a link of %v Mbit/s", p.Name, p.LinkMbps)
 		}
 		seen[p.DataCentre] = true
 	}
 	if len(seen) != 5 {
-		t.Errorf("the first ones are in %d data centres, want 5", len(seen))
+		t.Errorf("the first instances are in %d data centres, want 5", len(seen))
 	}
 }
 
@@ -47,24 +46,25 @@
 	return list
 }
 
-// fleetModel is instances that decide on their roles in virtual time. What a scheduler
-// says of itself reaches those that it reaches at the next look.
+// fleetModel is a set of instances that decide on their roles in virtual time. The state of a
+// scheduler reaches all instances of its partition before their next check.
 type fleetModel struct {
 	nodes []*Node
 	dead  map[string]bool
-	// apart separates the instances into parts that do not hear each other.
-	apart func(name string) int
-	now   time.Time
-	most  int
+	// partition maps an instance to its network partition; instances of different partitions do
+	// not receive each other's datagrams.
+	partition     func(name string) int
+	now           time.Time
+	maxSchedulers int
 }
 
 func newFleetModel(list []Peer) *fleetModel {
-	m := &fleetModel{dead: map[string]bool{}, apart: func(string) int { return 0 }, now: time.Unix(1000, 0)}
+	m := &fleetModel{dead: map[string]bool{}, partition: func(string) int { return 0 }, now: time.Unix(1000, 0)}
 	for _, p := range list {
 		n := &Node{
 			name: p.Name, dataCentre: p.DataCentre, linkMbps: p.LinkMbps, incarnation: 1,
 			states: map[string]peerState{}, revisions: map[string]uint64{}, reads: map[string]time.Time{},
-			out: ring.New[item]("gossip_test", 4), handler: deafHandler{},
+			out: ring.New[item]("gossip_test", 4), handler: nopHandler{},
 		}
 		n.SetPeers(list)
 		m.nodes = append(m.nodes, n)
@@ -72,10 +72,10 @@
 	return m
 }
 
-// run plays d, and notes the most schedulers that there were at a time.
+// run advances the model by d and records the largest number of simultaneous schedulers.
 func (m *fleetModel) run(d time.Duration) {
-	m.most = 0
-	for until := m.now.Add(d); m.now.Before(until); m.now = m.now.Add(roleEvery) {
+	m.maxSchedulers = 0
+	for until := m.now.Add(d); m.now.Before(until); m.now = m.now.Add(roleCheckInterval) {
 		for _, n := range m.nodes {
 			if !m.dead[n.name] {
 				n.updateRoles(m.now)
@@ -85,45 +85,45 @@
 			if m.dead[from.name] || !from.IsScheduler() {
 				continue
 			}
-			d := from.empty()
+			d := from.newDatagram()
 			for _, to := range m.nodes {
-				if to != from && !m.dead[to.name] && m.apart(to.name) == m.apart(from.name) {
+				if to != from && !m.dead[to.name] && m.partition(to.name) == m.partition(from.name) {
 					to.admit(d, m.now)
 				}
 			}
 		}
-		m.most = max(m.most, len(m.schedulers(0))+len(m.schedulers(1)))
+		m.maxSchedulers = max(m.maxSchedulers, len(m.schedulers(0))+len(m.schedulers(1)))
 	}
 }
 
-// schedulers returns the live ones of a part.
+// schedulers returns the names of the live schedulers of a partition.
 func (m *fleetModel) schedulers(part int) []string {
 	var names []string
 	for _, n := range m.nodes {
-		if !m.dead[n.name] && m.apart(n.name) == part && n.IsScheduler() {
+		if !m.dead[n.name] && m.partition(n.name) == part && n.IsScheduler() {
 			names = append(names, n.name)
 		}
 	}
 	return names
 }
 
-// All instances of a large fleet start in the same moment, and later all schedulers die
-// at once. Nobody may have to be asked for others to take their places, and they may not
-// be all the rest: each would be told the words of all requests, which is what a large
-// fleet does not bear. Callers' requests are placed on little knowledge meanwhile.
-func TestVacantPlacesAreTakenByFew(t *testing.T) {
+// Guards against too few or too many schedulers after all instances of a large fleet start at
+// the same moment, and after all schedulers fail at once. Others have to take over without
+// coordination, but only a few: each scheduler receives the reports on all requests, which a
+// large fleet can't afford on every instance.
+func TestVacantSchedulerPositionsAreFilledOnce(t *testing.T) {
 	m := newFleetModel(largeFleet(5, 39))
 	m.run(2 * time.Second)
 	first := m.schedulers(0)
-	if len(first) != schedulerCount || m.most > schedulerCount {
-		t.Fatalf("%d schedulers after the start, %d at the most; want %d", len(first), m.most, schedulerCount)
+	if len(first) != schedulerCount || m.maxSchedulers > schedulerCount {
+		t.Fatalf("%d schedulers after the start, at most %d at a time; want %d", len(first), m.maxSchedulers, schedulerCount)
 	}
 	for _, name := range first {
 		m.dead[name] = true
 	}
-	m.run(aliveFor + 2*time.Second)
-	if next := m.schedulers(0); len(next) != schedulerCount || m.most > schedulerCount {
-		t.Fatalf("%d schedulers after the loss of all, %d at the most; want %d", len(next), m.most, schedulerCount)
+	m.run(livenessTimeout + 2*time.Second)
+	if next := m.schedulers(0); len(next) != schedulerCount || m.maxSchedulers > schedulerCount {
+		t.Fatalf("%d schedulers after the loss of all, at most %d at a time; want %d", len(next), m.maxSchedulers, schedulerCount)
 	}
 	for _, name := range first {
 		m.dead[name] = false
@@ -134,12 +134,12 @@
 	}
 }
 
-// A data centre is cut off from the others. Both sides go on having callers, so both need
-// schedulers of their own, and once the cut is over, no more than usual.
-func TestEachPartOfACutFleetHasSchedulers(t *testing.T) {
+// Guards against a partition without schedulers when a data centre is cut off from the others:
+// both sides still have callers. Once the partition heals, no surplus schedulers may remain.
+func TestEachPartitionHasSchedulers(t *testing.T) {
 	m := newFleetModel(largeFleet(5, 39))
 	m.run(2 * time.Second)
-	m.apart = func(name string) int {
+	m.partition = func(name string) int {
 		if name[:3] == "dc0" {
 			return 1
 		}
@@ -147,19 +147,19 @@
 	}
 	m.run(8 * time.Second)
 	if a, b := len(m.schedulers(0)), len(m.schedulers(1)); a != schedulerCount || b != schedulerCount {
-		t.Errorf("%d and %d schedulers on the two sides of the cut, want %d on each", a, b, schedulerCount)
+		t.Errorf("%d and %d schedulers in the two partitions, want %d in each", a, b, schedulerCount)
 	}
-	m.apart = func(string) int { return 0 }
+	m.partition = func(string) int { return 0 }
 	m.run(2 * time.Second)
 	if n := len(m.schedulers(0)); n != schedulerCount {
-		t.Errorf("%d schedulers after the cut, want %d", n, schedulerCount)
+		t.Errorf("%d schedulers after the partition healed, want %d", n, schedulerCount)
 	}
 }
 
-// Half of the fleet has not heard of the machines that were added last, which come first
-// in the order. Each instance still needs schedulers that it knows the address of, and
-// the two halves may not make more than both would have alone.
-func TestFleetsWithDifferentListsHaveFewSchedulers(t *testing.T) {
+// Guards against missing or surplus schedulers while half of the fleet does not know yet of
+// the newest machines, which come first in the order. Each instance needs schedulers whose
+// address it knows, and the two halves may not have more than both would have alone.
+func TestDifferentPeerListsHaveFewSchedulers(t *testing.T) {
 	list := largeFleet(5, 12)
 	m := newFleetModel(list)
 	var older []Peer
@@ -184,20 +184,20 @@
 	}
 }
 
-// The store turns away the machines of all schedulers, and serves the others. Without any
-// scheduler that reaches it, nobody hears of changes for the fleet or rolls out weights;
-// with all others as schedulers, each would hear the words of all requests.
-func TestSchedulersAreAddedWhereTheStoreServes(t *testing.T) {
+// Guards against a fleet that misses all changes and weight rollouts because the store rejects
+// the machines of all schedulers but serves others; and against all others becoming schedulers
+// then, each of which would receive the reports on all requests.
+func TestSchedulersAreAddedWhereStoreIsReachable(t *testing.T) {
 	m := newFleetModel(largeFleet(5, 39))
 	m.run(2 * time.Second)
-	turnAway := func(away bool) {
+	setStoreLost := func(lost bool) {
 		for _, n := range m.nodes {
 			if n.IsScheduler() {
-				n.storeLost = away
+				n.storeLost = lost
 			}
 		}
 	}
-	turnAway(true)
+	setStoreLost(true)
 	m.run(2 * time.Second)
 	withStore := 0
 	for _, n := range m.nodes {
@@ -205,19 +205,19 @@
 			withStore++
 		}
 	}
-	if withStore < leastWithStore || m.most > schedulerCount+leastWithStore {
-		t.Errorf("%d schedulers reach the store, want %d; %d in all", withStore, leastWithStore, m.most)
+	if withStore < minSchedulersWithStore || m.maxSchedulers > schedulerCount+minSchedulersWithStore {
+		t.Errorf("%d schedulers reach the store, want %d; at most %d schedulers at a time", withStore, minSchedulersWithStore, m.maxSchedulers)
 	}
-	turnAway(false)
+	setStoreLost(false)
 	m.run(2 * time.Second)
 	if n := len(m.schedulers(0)); n != schedulerCount {
-		t.Errorf("%d schedulers once the store serves all, want %d", n, schedulerCount)
+		t.Errorf("%d schedulers once the store serves all instances, want %d", n, schedulerCount)
 	}
 }
 
-// Instances are killed and come back in any order. Whoever lives, there have to be
-// schedulers among them soon, and not many more than needed.
-func TestAnyLiveInstancesHaveSchedulers(t *testing.T) {
+// Instances fail and come back in any order. The live ones soon have to have schedulers among
+// them, and not many more than needed.
+func TestLiveInstancesHaveSchedulersAfterFailures(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := largeFleet(rapid.IntRange(1, 5).Draw(t, "data centres"), rapid.IntRange(4, 12).Draw(t, "each"))
 		if len(list) <= SmallFleet {
@@ -233,8 +233,8 @@
 					live++
 				}
 			}
-			// Each dead instance before a live one costs a step.
-			m.run(aliveFor + time.Duration(len(list))*(takeoverStep+roleEvery))
+			// Each dead instance before a live one in the order costs one takeoverStep.
+			m.run(livenessTimeout + time.Duration(len(list))*(takeoverStep+roleCheckInterval))
 			if n := len(m.schedulers(0)); n != min(schedulerCount, live) {
 				t.Fatalf("%d schedulers among %d live instances", n, live)
 			}
@@ -242,33 +242,33 @@
 	})
 }
 
-// A request is asked of a scheduler that is frozen: its process neither answers nor
-// resets anything. Its caller must not wait for it longer than the ask allows.
-func TestAskOfASilentSchedulerEnds(t *testing.T) {
-	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
+// Guards against a caller that waits longer than its context allows for a frozen scheduler,
+// whose process neither answers nor resets anything.
+func TestAskOfUnresponsiveSchedulerTimesOut(t *testing.T) {
+	unresponsive, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = silent.Close() }()
+	defer func() { _ = unresponsive.Close() }()
 	asker, answerer := startNode(t, "asker"), startNode(t, "answerer")
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	if _, err := asker.Ask(ctx, Peer{Name: "silent", Address: addressOf(silent.LocalAddr())}, &gossippb.Ask{Run: 1}); err == nil {
-		t.Error("a decision came from nowhere")
+	if _, err := asker.Ask(ctx, Peer{Name: "unresponsive", Address: addressOf(unresponsive.LocalAddr())}, &gossippb.Ask{Run: 1}); err == nil {
+		t.Error("Ask returned a decision from an unresponsive scheduler")
 	}
 	to := Peer{Name: "answerer", Address: addressOf(answerer.conn.LocalAddr())}
 	v, err := asker.Ask(t.Context(), to, &gossippb.Ask{Run: 2})
 	if err != nil || v.GetRun() != 2 || v.GetEndpoint() != "chosen" {
 		t.Errorf("decision %v, %v", v, err)
 	}
-	if len(asker.asks.waiting) != 0 {
-		t.Errorf("%d asks are still waited for", len(asker.asks.waiting))
+	if len(asker.asks.pending) != 0 {
+		t.Errorf("%d asks are still pending", len(asker.asks.pending))
 	}
 }
 
 func startNode(t *testing.T, name string) *Node {
 	t.Helper()
-	n, err := New(Peer{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:0"), DataCentre: "dc"}, 1, deafHandler{})
+	n, err := New(Peer{Name: name, Address: netip.MustParseAddrPort("127.0.0.1:0"), DataCentre: "dc"}, 1, nopHandler{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -278,37 +278,37 @@
 
 func addressOf(a net.Addr) netip.AddrPort { return a.(*net.UDPAddr).AddrPort() }
 
-// Guards against news that cross between data centres once for each instance, and against
-// a data centre that hears nothing since the scheduler that passes them on has died.
-func TestNewsCrossBetweenDataCentresOnce(t *testing.T) {
+// Guards against broadcasts that cross between data centres once for each instance, and
+// against a data centre that receives no broadcasts after its forwarding scheduler has died.
+func TestBroadcastsCrossBetweenDataCentresOnce(t *testing.T) {
 	const dataCentres, each = 5, 39
 	m := newFleetModel(largeFleet(dataCentres, each))
 	m.run(2 * time.Second)
 	n := m.node(m.schedulers(0)[0])
-	if len(n.roles.near) != each-1 || len(n.roles.via) != dataCentres-1 {
-		t.Fatalf("it tells %d instances itself and %d others pass it on; want %d and %d", len(n.roles.near), len(n.roles.via), each-1, dataCentres-1)
+	if len(n.roles.direct) != each-1 || len(n.roles.forwarders) != dataCentres-1 {
+		t.Fatalf("sends to %d instances directly and to %d forwarders; want %d and %d", len(n.roles.direct), len(n.roles.forwarders), each-1, dataCentres-1)
 	}
-	dead := n.roles.via[0]
+	dead := n.roles.forwarders[0]
 	m.dead[dead.Name] = true
-	m.run(relayFor + 2*roleEvery)
-	for _, p := range n.roles.via {
+	m.run(relayTimeout + 2*roleCheckInterval)
+	for _, p := range n.roles.forwarders {
 		if p.Name == dead.Name {
-			t.Errorf("%s, which is dead, passes on", p.Name)
+			t.Errorf("%s, which is dead, is used as a forwarder", p.Name)
 		}
 	}
 	reached := 0
-	for _, p := range n.roles.near {
+	for _, p := range n.roles.direct {
 		if p.DataCentre == dead.DataCentre {
 			reached++
 		}
 	}
-	for _, p := range n.roles.via {
+	for _, p := range n.roles.forwarders {
 		if p.DataCentre == dead.DataCentre {
 			reached = each
 		}
 	}
 	if reached < each {
-		t.Errorf("%d of %d instances of its data centre are told", reached, each)
+		t.Errorf("%d of %d instances of its data centre are reached", reached, each)
 	}
 }
 
@@ -321,27 +321,27 @@
 	return nil
 }
 
-// Guards against entries of machines that were replaced, which would hold back their part
-// of every quota for ever, and against a separated part of the fleet that takes all others
-// for gone.
-func TestInstancesLostForGoodAreToldFromACut(t *testing.T) {
+// Guards against keeping replaced machines, whose share of every quota would be held back for
+// ever, and against a separated part of the fleet that takes all other instances for lost.
+func TestLostInstancesAreDistinguishedFromPartition(t *testing.T) {
 	m := newFleetModel(largeFleet(3, 8))
 	m.run(2 * time.Second)
-	gone := m.nodes[len(m.nodes)-1].name
-	m.dead[gone] = true
+	killed := m.nodes[len(m.nodes)-1].name
+	m.dead[killed] = true
 	m.run(10 * time.Second)
 	n := m.node(m.schedulers(0)[0])
-	n.reachAll(m)
+	n.markLiveReachable(m)
 	if lost := n.Lost(time.Now().Add(time.Minute), 30*time.Second); lost != nil {
-		t.Errorf("hears of nobody and takes %d instances for lost", len(lost))
+		t.Errorf("an instance that receives nothing reports %d instances as lost", len(lost))
 	}
-	if lost := n.Lost(m.now, 5*time.Second); len(lost) != 1 || lost[0] != gone {
-		t.Errorf("lost are %v, want %s", lost, gone)
+	if lost := n.Lost(m.now, 5*time.Second); len(lost) != 1 || lost[0] != killed {
+		t.Errorf("lost instances are %v, want %s", lost, killed)
 	}
 }
 
-// reachAll notes that all live instances were heard of just now, and all listed long ago.
-func (n *Node) reachAll(m *fleetModel) {
+// markLiveReachable records a datagram from every live instance now, and every instance as
+// listed long ago.
+func (n *Node) markLiveReachable(m *fleetModel) {
 	for _, o := range m.nodes {
 		n.listedAt[o.name] = m.now.Add(-time.Hour)
 		if !m.dead[o.name] {
@@ -350,21 +350,21 @@
 	}
 }
 
-// Guards against a scheduler that stands still for a moment and is not sent the ends of runs
-// meanwhile: it would count them for half a minute after it goes on.
-func TestSilentSchedulerIsStillSentReports(t *testing.T) {
+// Guards against a scheduler that pauses for a moment and is not sent the ends of runs
+// meanwhile: it would count those runs for half a minute after it resumes.
+func TestPausedSchedulerIsStillSentReports(t *testing.T) {
 	m := newFleetModel(largeFleet(3, 8))
 	m.run(2 * time.Second)
 	names := m.schedulers(0)
-	n, still := m.node(names[0]), names[1]
-	m.dead[still] = true
-	m.run(aliveFor + 500*time.Millisecond)
-	if !has(n.roles.receivers, still) || has(n.roles.others, still) {
-		t.Errorf("silent for 1.6 s: sent reports %v, counted as live %v; want true, false", has(n.roles.receivers, still), has(n.roles.others, still))
-	}
-	m.run(reportFor)
-	if has(n.roles.receivers, still) {
-		t.Error("it is sent reports for good")
+	n, paused := m.node(names[0]), names[1]
+	m.dead[paused] = true
+	m.run(livenessTimeout + 500*time.Millisecond)
+	if !has(n.roles.receivers, paused) || has(n.roles.others, paused) {
+		t.Errorf("paused for 1.6 s: sent reports %v, counted as live %v; want true, false", has(n.roles.receivers, paused), has(n.roles.others, paused))
+	}
+	m.run(reportTimeout)
+	if has(n.roles.receivers, paused) {
+		t.Error("the paused scheduler is still sent reports after reportTimeout")
 	}
 }
 
--- a/gossip/send.go
+++ b/gossip/send.go
@@ -16,33 +16,34 @@
 )
 
 const (
-	// relayBeats is how long a scheduler gathers the heartbeats that it passes on, of
-	// which three may be lost before an instance counts as dead.
-	relayBeats = 100 * time.Millisecond
-	// relaySoon is the same for what has to go at once: the entries of a rollout come
-	// in bursts, from several watches.
-	relaySoon = 2 * time.Millisecond
-	// maxRelayed keeps a datagram that brings others below the usual MTU.
-	maxRelayed = 1400
-	// relayedOverhead is what encoding adds to a relayed datagram.
+	// relayHeartbeatDelay is how long a scheduler batches the heartbeats that it forwards. Three
+	// of them may be lost before an instance counts as dead.
+	relayHeartbeatDelay = 100 * time.Millisecond
+	// relayUrgentDelay is the same for urgent messages: the entries of a rollout arrive in
+	// bursts, from several watches.
+	relayUrgentDelay = 2 * time.Millisecond
+	// maxRelayedBytes keeps a datagram that contains forwarded ones below the usual MTU.
+	maxRelayedBytes = 1400
+	// relayedOverhead is the encoding overhead of a forwarded datagram.
 	relayedOverhead = 3
-	// relayRing bounds what waits to be passed on. The oldest is given up first.
-	relayRing = 4096
+	// relayQueueSize bounds the queue of datagrams to forward. When it is full, the oldest one is
+	// dropped.
+	relayQueueSize = 4096
 )
 
-// relayed is a datagram to pass on.
+// relayed is a datagram to forward.
 type relayed struct {
-	data []byte
-	to   gossippb.Audience
-	// soon says that it brings what should not wait.
-	soon bool
+	data     []byte
+	audience gossippb.Audience
+	// urgent is set if the datagram carries messages that should not be delayed.
+	urgent bool
 }
 
-// relay takes in a datagram that is to be passed on. Reports on runs join those of this
-// instance, in the order in which they came: the end of a run that another instance has
-// sent would else overtake its start, which this one tells, and the run would count at
-// the other schedulers until it is swept.
-func (n *Node) relay(d *gossippb.Datagram, data []byte) {
+// enqueueRelay queues a received datagram for forwarding. Reports on runs join those of this
+// instance, in the order of arrival: the end of a run reported by another instance could
+// otherwise overtake its start, which this instance reports, and the other schedulers would
+// count the run until it is swept.
+func (n *Node) enqueueRelay(d *gossippb.Datagram, data []byte) {
 	if d.GetRelayTo() == gossippb.Audience_SCHEDULERS && !isHeartbeat(d) {
 		for _, s := range d.GetStarts() {
 			n.out.Push(item{start: s})
@@ -54,66 +55,66 @@
 			n.out.Push(item{cache: c})
 		}
 		for _, u := range d.GetQuotaUses() {
-			n.out.Push(item{use: u})
+			n.out.Push(item{quotaUse: u})
 		}
 		return
 	}
 	for _, inner := range d.GetRelayed() {
-		n.relays.Push(relayed{inner, d.GetRelayTo(), true})
+		n.relayQueue.Push(relayed{inner, d.GetRelayTo(), true})
 	}
 	if len(d.GetRelayed()) == 0 {
-		n.relays.Push(relayed{bytes.Clone(data), d.GetRelayTo(), isUrgent(d)})
+		n.relayQueue.Push(relayed{bytes.Clone(data), d.GetRelayTo(), isUrgent(d)})
 	}
 }
 
-// route sends a batch to those whom it concerns.
+// route sends each message of a batch to the instances that need it.
 func (n *Node) route(batch []item) {
-	r := n.rolesNow()
-	if r.small {
-		n.sendTo(n.everybody(), gossippb.Audience_RECEIVER, batch)
+	r := n.currentRoles()
+	if r.smallFleet {
+		n.sendTo(n.allPeers(), gossippb.Audience_RECEIVER, batch)
 		return
 	}
 	var all []item
 	reports := map[string][]item{}
-	beat := false
+	sendHeartbeat := false
 	for _, i := range batch {
 		switch {
-		case i.isNews():
+		case i.isBroadcast():
 			all = append(all, i)
-		case i.isBeat():
-			beat = true
+		case i.isHeartbeatOnly():
+			sendHeartbeat = true
 		default:
-			reports[i.via] = append(reports[i.via], i)
+			reports[i.scheduler] = append(reports[i.scheduler], i)
 		}
 	}
-	if beat && len(all) == 0 {
-		n.beat(n.number)
+	if sendHeartbeat && len(all) == 0 {
+		n.sendHeartbeat(n.number)
 	}
 	if len(all) > 0 {
 		n.broadcast(r, all)
 	}
-	for via, list := range reports {
-		n.report(r, via, list)
+	for scheduler, list := range reports {
+		n.report(r, scheduler, list)
 	}
 }
 
-// broadcast sends what all instances have to know. A scheduler sends it to those of its data
-// centre one by one, and to one scheduler of each other data centre, which passes it on;
-// another instance has a scheduler do so.
+// broadcast sends messages that are for all instances. A scheduler sends them directly to the
+// instances of its data centre, and to one scheduler of each other data centre, which forwards
+// them; any other instance has a scheduler do so.
 func (n *Node) broadcast(r roles, batch []item) {
 	if r.self || len(r.others) == 0 {
-		for _, d := range n.datagrams(batch, true) {
-			n.sendDatagram(d, r.near, gossippb.Audience_RECEIVER)
-			n.sendDatagram(d, r.via, gossippb.Audience_DATA_CENTRE)
+		for _, d := range n.pack(batch, true) {
+			n.sendDatagram(d, r.direct, gossippb.Audience_RECEIVER)
+			n.sendDatagram(d, r.forwarders, gossippb.Audience_DATA_CENTRE)
 		}
 		return
 	}
-	n.sendTo([]Peer{n.usual(r.others)}, gossippb.Audience_EVERYBODY, batch)
+	n.sendTo([]Peer{n.defaultScheduler(r.others)}, gossippb.Audience_EVERYBODY, batch)
 }
 
-// report sends the schedulers what concerns runs and caches. All reports on one run go through
-// the scheduler that has placed it, so that its end does not overtake its start.
-func (n *Node) report(r roles, via string, batch []item) {
+// report sends reports on runs and caches to the schedulers. All reports on one run go through
+// the scheduler that placed it, so that its end does not overtake its start.
+func (n *Node) report(r roles, scheduler string, batch []item) {
 	if r.self {
 		n.sendPacked(r.receivers, gossippb.Audience_RECEIVER, batch, false)
 		return
@@ -125,40 +126,41 @@
 	if len(schedulers) == 0 {
 		return
 	}
-	to := n.usual(schedulers)
+	to := n.defaultScheduler(schedulers)
 	for _, p := range schedulers {
-		if p.Name == via {
+		if p.Name == scheduler {
 			to = p
 		}
 	}
 	n.sendPacked([]Peer{to}, gossippb.Audience_SCHEDULERS, batch, false)
 }
 
-// usual is the one of the schedulers through which this instance sends what has no other
-// way; there has to be one.
-func (n *Node) usual(schedulers []Peer) Peer {
+// defaultScheduler returns the scheduler through which this instance sends messages that are
+// not tied to a particular one. schedulers must not be empty.
+func (n *Node) defaultScheduler(schedulers []Peer) Peer {
 	return schedulers[rendezvous.Score("usual", n.name)%uint64(len(schedulers))]
 }
 
-// beat says that this instance is alive. Another one than a scheduler goes through all
-// of them in turn, so that no single one's end makes its senders look dead. While it
-// knows of none, it goes to those first in the order.
-func (n *Node) beat(number uint64) {
-	r := n.rolesNow()
+// sendHeartbeat announces that this instance is alive. An instance that is not a scheduler
+// sends to the schedulers in turn, so that the failure of a single one does not make its
+// senders appear dead. While it knows of no scheduler, it sends to the first instances in
+// schedulerOrder.
+func (n *Node) sendHeartbeat(number uint64) {
+	r := n.currentRoles()
 	switch {
-	case r.small || r.self:
-		n.sendTo(n.everybody(), gossippb.Audience_RECEIVER, nil)
+	case r.smallFleet || r.self:
+		n.sendTo(n.allPeers(), gossippb.Audience_RECEIVER, nil)
 	case len(r.others) > 0:
 		to := r.others[number%uint64(len(r.others))]
 		n.sendTo([]Peer{to}, gossippb.Audience_SCHEDULERS, nil)
 	default:
-		n.sendTo(n.likely(number), gossippb.Audience_RECEIVER, nil)
+		n.sendTo(n.likelySchedulers(number), gossippb.Audience_RECEIVER, nil)
 	}
 }
 
-// likely are the instances that are schedulers if they live: the first ones in order,
-// and the next ones the longer none of them answers.
-func (n *Node) likely(number uint64) []Peer {
+// likelySchedulers returns the instances that are schedulers if they are alive: the first ones in
+// schedulerOrder, and further ones the longer none of them responds.
+func (n *Node) likelySchedulers(number uint64) []Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	from := int(number%4) * schedulerCount
@@ -168,26 +170,25 @@
 	return n.order[from:min(from+schedulerCount, len(n.order))]
 }
 
-// everybody returns all peers.
-func (n *Node) everybody() []Peer {
+// allPeers returns all peers.
+func (n *Node) allPeers() []Peer {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peers
 }
 
-// sendTo packs a batch and sends it to each of the peers, with the revisions where they
-// are due.
+// sendTo packs a batch and sends it to each of the peers, with the revisions if they are due.
 func (n *Node) sendTo(peers []Peer, relayTo gossippb.Audience, batch []item) {
 	n.sendPacked(peers, relayTo, batch, true)
 }
 
-// sendPacked is sendTo with or without revisions. Reports on runs go without: sent to the
-// schedulers alone, the revisions would count as sent to all.
+// sendPacked is sendTo with or without revisions. Reports on runs are sent without: the
+// revisions would reach the schedulers only, but count as sent to all instances.
 func (n *Node) sendPacked(peers []Peer, relayTo gossippb.Audience, batch []item, revisions bool) {
 	if len(peers) == 0 {
 		return
 	}
-	for _, d := range n.datagrams(batch, revisions) {
+	for _, d := range n.pack(batch, revisions) {
 		n.sendDatagram(d, peers, relayTo)
 	}
 }
@@ -207,40 +208,40 @@
 	}
 }
 
-// isHeartbeat reports whether a datagram says nothing of runs or endpoints.
+// isHeartbeat reports whether a datagram carries no messages about runs, endpoints or caches.
 func isHeartbeat(d *gossippb.Datagram) bool {
 	return len(d.GetStarts())+len(d.GetStages())+len(d.GetNotices())+len(d.GetEntries())+len(d.GetCaches())+len(d.GetQuotaUses()) == 0
 }
 
-// isUrgent reports whether a datagram brings what others wait for.
+// isUrgent reports whether a datagram carries messages that should not be delayed.
 func isUrgent(d *gossippb.Datagram) bool { return len(d.GetNotices())+len(d.GetEntries()) > 0 }
 
-// passOn gathers what others have asked to pass on, and sends it to those whom it is for.
+// forward batches the datagrams that peers have asked to be forwarded, and sends them to their
+// audiences.
 //
-// Load: hundreds of instances that each send three heartbeats a second,
-// and a rollout that several watches report. Harm prevented: passed on one by one, each
-// scheduler is woken thousands of times a second, which costs it more than serving its
-// callers.
-func (n *Node) passOn(ctx context.Context) {
+// Hundreds of instances send three heartbeats a second each, and several watches report the same
+// rollout. Without batching, each scheduler would be woken thousands of times a second, which
+// costs it more than serving its callers.
+func (n *Node) forward(ctx context.Context) {
 	for {
 		var batch []relayed
 		select {
 		case <-ctx.Done():
 			return
-		case r := <-n.relays.C():
+		case r := <-n.relayQueue.C():
 			batch = n.gatherRelayed(ctx, r)
 		}
-		r := n.rolesNow()
-		n.sendRelayed(r.near, gossippb.Audience_RECEIVER, batch, gossippb.Audience_EVERYBODY, gossippb.Audience_DATA_CENTRE)
-		n.sendRelayed(r.via, gossippb.Audience_DATA_CENTRE, batch, gossippb.Audience_EVERYBODY)
+		r := n.currentRoles()
+		n.sendRelayed(r.direct, gossippb.Audience_RECEIVER, batch, gossippb.Audience_EVERYBODY, gossippb.Audience_DATA_CENTRE)
+		n.sendRelayed(r.forwarders, gossippb.Audience_DATA_CENTRE, batch, gossippb.Audience_EVERYBODY)
 		n.sendRelayed(r.others, gossippb.Audience_RECEIVER, batch, gossippb.Audience_SCHEDULERS)
 	}
 }
 
-// sendRelayed sends to the peers what of a batch is for one of the audiences, and has them
-// pass it on to relayTo.
+// sendRelayed sends the peers those datagrams of a batch that are for one of the audiences, and
+// has them forward the datagrams to relayTo.
 func (n *Node) sendRelayed(peers []Peer, relayTo gossippb.Audience, batch []relayed, audiences ...gossippb.Audience) {
-	batch = slices.DeleteFunc(slices.Clone(batch), func(r relayed) bool { return !slices.Contains(audiences, r.to) })
+	batch = slices.DeleteFunc(slices.Clone(batch), func(r relayed) bool { return !slices.Contains(audiences, r.audience) })
 	if len(batch) == 0 || len(peers) == 0 {
 		return
 	}
@@ -253,38 +254,38 @@
 	}
 }
 
-// gatherRelayed waits a moment for more.
+// gatherRelayed collects further datagrams for a short time.
 func (n *Node) gatherRelayed(ctx context.Context, first relayed) []relayed {
 	batch := []relayed{first}
-	timer := time.NewTimer(relayBeats)
+	timer := time.NewTimer(relayHeartbeatDelay)
 	defer timer.Stop()
-	for soon := first.soon; !soon; {
+	for urgent := first.urgent; !urgent; {
 		select {
-		case r := <-n.relays.C():
+		case r := <-n.relayQueue.C():
 			batch = append(batch, r)
-			soon = r.soon
+			urgent = r.urgent
 		case <-timer.C:
 			return batch
 		case <-ctx.Done():
 			return batch
 		}
 	}
-	_ = clock.Sleep(ctx, relaySoon)
-	for n.relays.Len() > 0 {
-		batch = append(batch, <-n.relays.C())
+	_ = clock.Sleep(ctx, relayUrgentDelay)
+	for n.relayQueue.Len() > 0 {
+		batch = append(batch, <-n.relayQueue.C())
 	}
 	return batch
 }
 
-// packRelayed puts datagrams of others into as few as will do.
+// packRelayed packs datagrams to forward into as few datagrams as possible.
 func (n *Node) packRelayed(batch []relayed) []*gossippb.Datagram {
-	current := n.empty()
+	current := n.newDatagram()
 	list := []*gossippb.Datagram{current}
 	size := proto.Size(current)
 	for _, r := range batch {
 		add := len(r.data) + relayedOverhead
-		if size+add > maxRelayed && len(current.GetRelayed()) > 0 {
-			current = n.empty()
+		if size+add > maxRelayedBytes && len(current.GetRelayed()) > 0 {
+			current = n.newDatagram()
 			list = append(list, current)
 			size = proto.Size(current)
 		}
@@ -297,14 +298,14 @@
 func encode(d *gossippb.Datagram) []byte {
 	data, err := proto.Marshal(d)
 	if err != nil {
-		log.WithError(err).Error("encode a datagram")
+		log.WithError(err).Error("encode gossip datagram")
 	}
 	return data
 }
 
 func (n *Node) write(data []byte, to netip.AddrPort) {
 	if _, err := n.conn.WriteToUDPAddrPort(data, to); err != nil {
-		failsTotal.Inc()
+		sendFailuresTotal.Inc()
 		return
 	}
 	sentTotal.Inc()
--- a/gossip/send_test.go
+++ b/gossip/send_test.go
@@ -11,44 +11,44 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// tally counts what an instance is told.
-type tally struct {
-	deafHandler
+// countingHandler counts the notices and run stages that an instance receives.
+type countingHandler struct {
+	nopHandler
 	mu      sync.Mutex
 	notices map[string]int
 	stages  map[uint64]int
 }
 
-func (c *tally) Notice(_ string, n *gossippb.Notice) {
+func (c *countingHandler) Notice(_ string, n *gossippb.Notice) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.notices[n.GetEndpoint()]++
 }
 
-func (c *tally) Stage(s *gossippb.RunStage) {
+func (c *countingHandler) Stage(s *gossippb.RunStage) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.stages[s.GetRun()]++
 }
 
-func (c *tally) noticed(endpoint string) int {
+func (c *countingHandler) noticeCount(endpoint string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.notices[endpoint]
 }
 
-func (c *tally) staged(run uint64) int {
+func (c *countingHandler) stageCount(run uint64) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.stages[run]
 }
 
-// loopbackFleet is instances that tell each other on loopback.
+// loopbackFleet is a set of instances that exchange datagrams on the loopback interface.
 type loopbackFleet struct {
-	t       *testing.T
-	nodes   []*Node
-	tallies []*tally
-	stops   []context.CancelFunc
+	t        *testing.T
+	nodes    []*Node
+	handlers []*countingHandler
+	stops    []context.CancelFunc
 }
 
 func newLoopbackFleet(t *testing.T, size int) *loopbackFleet {
@@ -56,7 +56,7 @@
 	f := &loopbackFleet{t: t}
 	var peers []Peer
 	for k := range size {
-		c := &tally{notices: map[string]int{}, stages: map[uint64]int{}}
+		c := &countingHandler{notices: map[string]int{}, stages: map[uint64]int{}}
 		self := Peer{Name: fmt.Sprint("instance-", k), Address: netip.MustParseAddrPort("127.0.0.1:0"), DataCentre: fmt.Sprint("dc-", k%3)}
 		n, err := New(self, 1, c)
 		if err != nil {
@@ -64,7 +64,7 @@
 		}
 		self.Address = addressOf(n.conn.LocalAddr())
 		peers = append(peers, self)
-		f.nodes, f.tallies = append(f.nodes, n), append(f.tallies, c)
+		f.nodes, f.handlers = append(f.nodes, n), append(f.handlers, c)
 	}
 	for _, n := range f.nodes {
 		n.SetPeers(peers)
@@ -75,10 +75,10 @@
 	return f
 }
 
-// settled waits until all live instances know as many schedulers.
+// settled waits until all live instances know schedulerCount schedulers.
 func (f *loopbackFleet) settled(dead map[int]bool) {
 	f.t.Helper()
-	f.eventually("all know the schedulers", func() bool {
+	f.eventually("all instances know the schedulers", func() bool {
 		for k, n := range f.nodes {
 			if !dead[k] && len(n.Schedulers()) != schedulerCount {
 				return false
@@ -98,11 +98,11 @@
 	f.t.Fatalf("not within 10 s: %s", what)
 }
 
-// In a large fleet what one instance has to say goes by way of others. An endpoint's
-// crash has to become known to everybody, and the stage of a run to all schedulers,
-// whoever tells it and though a scheduler has just died; told twice, a run's end would
-// be taken off what runs there a second time.
-func TestEverybodyIsToldOnce(t *testing.T) {
+// Guards against lost and duplicated messages in a large fleet, where they are forwarded by
+// schedulers. A notice about an endpoint has to reach all instances, and a run's stage all
+// schedulers, whichever instance sends it and although a scheduler has just died. A run's end
+// that is received twice would be subtracted twice from the load of its endpoint.
+func TestMessagesReachEachInstanceOnce(t *testing.T) {
 	f := newLoopbackFleet(t, SmallFleet+4)
 	dead := map[int]bool{}
 	f.settled(dead)
@@ -114,7 +114,7 @@
 			break
 		}
 	}
-	f.eventually("the dead scheduler is missed", func() bool {
+	f.eventually("the dead scheduler is no longer counted", func() bool {
 		for k, n := range f.nodes {
 			if !dead[k] && n.Live() != len(f.nodes)-1 {
 				return false
@@ -126,8 +126,8 @@
 	f.sendAll("after", 2000, dead)
 }
 
-// sendAll has each instance tell a notice and the stage of a run, and checks who heard
-// of them.
+// sendAll has each live instance send a notice and a run stage, and checks that every
+// recipient receives each of them exactly once.
 func (f *loopbackFleet) sendAll(when string, firstRun uint64, dead map[int]bool) {
 	f.t.Helper()
 	for k, n := range f.nodes {
@@ -137,28 +137,28 @@
 		endpoint, run := fmt.Sprint(when, "-", k), firstRun+uint64(k)
 		n.BroadcastNotice(&gossippb.Notice{Endpoint: endpoint, AvoidMs: 1})
 		n.ReportStage(&gossippb.RunStage{Run: run}, "")
-		f.eventually(endpoint+" told", func() bool { return f.heardBy(k, endpoint, run, dead) })
+		f.eventually(endpoint+" delivered", func() bool { return f.delivered(k, endpoint, run, dead) })
 	}
-	// A word that comes a second time comes soon after the first.
-	time.Sleep(2 * relayBeats)
+	// A duplicate arrives shortly after the first copy.
+	time.Sleep(2 * relayHeartbeatDelay)
 	for k := range f.nodes {
 		endpoint, run := fmt.Sprint(when, "-", k), firstRun+uint64(k)
-		for other, c := range f.tallies {
-			if c.noticed(endpoint) > 1 || c.staged(run) > 1 {
-				f.t.Errorf("instance %d was told %s %d times, its run %d times", other, endpoint, c.noticed(endpoint), c.staged(run))
+		for other, c := range f.handlers {
+			if c.noticeCount(endpoint) > 1 || c.stageCount(run) > 1 {
+				f.t.Errorf("instance %d received notice %s %d times, its run stage %d times", other, endpoint, c.noticeCount(endpoint), c.stageCount(run))
 			}
 		}
 	}
 }
 
-// heardBy reports whether all others have heard of a notice, and all other schedulers of
-// a run.
-func (f *loopbackFleet) heardBy(teller int, endpoint string, run uint64, dead map[int]bool) bool {
+// delivered reports whether all other live instances have received the sender's notice, and
+// all other schedulers its run stage.
+func (f *loopbackFleet) delivered(sender int, endpoint string, run uint64, dead map[int]bool) bool {
 	for k, n := range f.nodes {
-		if k == teller || dead[k] {
+		if k == sender || dead[k] {
 			continue
 		}
-		if f.tallies[k].noticed(endpoint) == 0 || n.IsScheduler() && f.tallies[k].staged(run) == 0 {
+		if f.handlers[k].noticeCount(endpoint) == 0 || n.IsScheduler() && f.handlers[k].stageCount(run) == 0 {
 			return false
 		}
 	}
