--- a/fault/fault_test.go
+++ b/fault/fault_test.go
@@ -16,9 +16,9 @@
 	}
 }
 
-// The outermost kind decides: code that turns an unavailable store into a true
-// refusal must not be undone by the cause's own kind.
-func TestOuterKindWins(t *testing.T) {
+// Guards against using the cause's kind instead of the outermost one: code that turns an
+// unavailable store into a definite refusal would be overridden by the cause.
+func TestOutermostKindIsUsed(t *testing.T) {
 	err := Wrap(New(Unavailable, "inner", "store away"), Overloaded, "outer", "refused")
 	if !Is(err, Overloaded) {
 		t.Errorf("kind is %s, want %s", KindOf(err), Overloaded)
--- a/invariant/invariant.go
+++ b/invariant/invariant.go
@@ -1,5 +1,5 @@
-// Package invariant asserts what must always hold, in production too. A broken
-// invariant is counted, kept for the state dump, and fatal in tests.
+// Package invariant checks conditions that must always hold, in production too. A violation is
+// counted and kept for the state dump; in tests it panics.
 package invariant
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/apex/log"
 )
 
-// maxKept bounds the texts that the state dump shows.
-const maxKept = 32
+// maxViolations bounds the number of violations in the state dump.
+const maxViolations = 32
 
-// Violation is one broken invariant.
+// Violation describes an invariant that did not hold.
 type Violation struct {
 	Name   string `json:"name"`
 	Detail string `json:"detail"`
@@ -22,13 +22,13 @@
 }
 
 var (
-	mu   sync.Mutex
-	kept []Violation
+	mu         sync.Mutex
+	violations []Violation
 )
 
-// Check reports a violation of the named invariant unless ok. The detail is
-// formatted only then. It returns ok, so that the caller can take a safe way
-// out. In a test binary it panics, so that no run passes over a violation.
+// Check records a violation of the named invariant unless ok. The detail is formatted only in
+// that case. It returns ok, so that the caller can take a safe path. In a test binary it panics,
+// so that no test passes despite a violation.
 func Check(ok bool, name, format string, args ...any) bool {
 	if ok {
 		return true
@@ -38,31 +38,31 @@
 		panic("invariant " + v.Name + ": " + v.Detail)
 	}
 	metrics.GetOrCreateCounter(fmt.Sprintf("sardinedock_invariant_violations_total{name=%q}", name)).Inc()
-	if keep(v) {
+	if record(v) {
 		log.WithField("invariant", name).Error(v.Detail)
 	}
 	return false
 }
 
-// keep remembers the violation; it reports whether it is the first of its name.
-func keep(v Violation) bool {
+// record stores the violation and reports whether it is the first of its name.
+func record(v Violation) bool {
 	mu.Lock()
 	defer mu.Unlock()
-	for i := range kept {
-		if kept[i].Name == v.Name {
-			kept[i].Count++
+	for i := range violations {
+		if violations[i].Name == v.Name {
+			violations[i].Count++
 			return false
 		}
 	}
-	if len(kept) < maxKept {
-		kept = append(kept, v)
+	if len(violations) < maxViolations {
+		violations = append(violations, v)
 	}
 	return true
 }
 
-// Violations returns what was broken since the process started.
+// Violations returns the violations since the process started.
 func Violations() []Violation {
 	mu.Lock()
 	defer mu.Unlock()
-	return append([]Violation(nil), kept...)
+	return append([]Violation(nil), violations...)
 }
--- a/invariant/invariant_test.go
+++ b/invariant/invariant_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// A check that only counted would let a test run pass over a broken promise;
-// under test it has to stop the run.
-func TestViolationIsFatalUnderTest(t *testing.T) {
+// Guards against a Check that only counts a violation in a test binary, so that the test
+// passes despite it.
+func TestViolationPanicsInTests(t *testing.T) {
 	defer func() {
 		if recover() == nil {
-			t.Fatal("a violation did not panic under test")
+			t.Fatal("a violation did not panic in a test")
 		}
 	}()
 	Check(false, "sample", "value %d", 7)
 }
 
-func TestHoldingInvariantPasses(t *testing.T) {
+func TestCheckReturnsTrueIfInvariantHolds(t *testing.T) {
 	if !Check(true, "sample", "not formatted") {
-		t.Fatal("a holding invariant was reported as broken")
+		t.Fatal("Check reported a violation of an invariant that holds")
 	}
 }
