--- a/outcome/state.go
+++ b/outcome/state.go
@@ -1,7 +1,7 @@
-// Package outcome keeps the account of one request from its arrival to its end
-// and derives from it the one word that the caller is told. No code chooses
-// the word: it follows from what was sent and from what endpoints said, so a
-// request that may have run can't be reported as not run.
+// Package outcome tracks the state of one request from its arrival to its end, and derives from
+// it the outcome that is reported to the caller: not-run, complete or unknown. No other code
+// chooses the outcome: it follows from what was sent and from what endpoints answered, so that
+// a request that may have run can't be reported as not run.
 package outcome
 
 import (
@@ -17,23 +17,23 @@
 // The states. Done and Failed are final.
 const (
 	Received State = iota
-	// Admitted requests hold a grant.
+	// Admitted requests have been granted capacity.
 	Admitted
-	// Claimed requests hold the claim of their idempotency key.
+	// Claimed requests hold the claim on their idempotency key.
 	Claimed
-	// Sent requests have, or may have, bytes at an endpoint.
+	// Sent requests have been, or may have been, partly or wholly sent to an endpoint.
 	Sent
-	// Answering requests have received the start of an answer.
+	// Answering requests have received the beginning of an answer.
 	Answering
-	// Done requests have received their whole answer.
+	// Done requests have received their complete answer.
 	Done
-	// Failed requests ended otherwise.
+	// Failed requests ended in any other way.
 	Failed
 )
 
 var stateNames = [...]string{"received", "admitted", "claimed", "sent", "answering", "done", "failed"}
 
-// String names the state as logs and dumps show it.
+// String returns the name of the state for logs and dumps.
 func (s State) String() string {
 	if s < 0 || int(s) >= len(stateNames) {
 		return fmt.Sprintf("state(%d)", int(s))
@@ -41,60 +41,60 @@
 	return stateNames[s]
 }
 
-// Verdict is the word on a request. Its field is not exported and its zero
-// value is unknown, so no other package can make the word not-run or complete.
-type Verdict struct{ word word }
+// Verdict is the outcome of a request. Its field is unexported and its zero value is unknown, so
+// that no other package can construct the outcomes not-run or complete.
+type Verdict struct{ result result }
 
-type word int
+type result int
 
 const (
-	wordUnknown word = iota
-	wordNotRun
-	wordComplete
+	resultUnknown result = iota
+	resultNotRun
+	resultComplete
 )
 
-// String is the value of the outcome header.
+// String returns the value of the outcome header.
 func (v Verdict) String() string {
-	switch v.word {
-	case wordNotRun:
+	switch v.result {
+	case resultNotRun:
 		return "not-run"
-	case wordComplete:
+	case resultComplete:
 		return "complete"
 	}
 	return "unknown"
 }
 
 // NotRun reports whether the request certainly did not run.
-func (v Verdict) NotRun() bool { return v.word == wordNotRun }
+func (v Verdict) NotRun() bool { return v.result == resultNotRun }
 
-// Complete reports whether the whole answer arrived.
-func (v Verdict) Complete() bool { return v.word == wordComplete }
+// Complete reports whether the complete answer was received.
+func (v Verdict) Complete() bool { return v.result == resultComplete }
 
-// Request is the account of one request. One goroutine may use it.
+// Request tracks one request. It is not safe for concurrent use.
 type Request struct {
-	state State
-	once  bool
-	// keyed is set while an earlier attempt under the same idempotency key may
-	// have run for all that is known here.
-	keyed bool
-	// sends that were opened; open ones may have run, answered ones did.
+	state         State
+	nonIdempotent bool
+	// keyPending is set while an earlier attempt under the same idempotency key may have run
+	// without this instance knowing.
+	keyPending bool
+	// sends is the number of sends that were started.
 	sends int
-	// open counts the sends of which nobody has said that they did not start.
-	open int
+	// mayHaveRun is the number of sends that may have run: all except those known not to have
+	// been started by the endpoint.
+	mayHaveRun int
 }
 
-// New returns the account of a request that has just arrived. A request that
-// is non-idempotent is given once: it is never sent while an earlier send may
-// have run.
-func New(once bool) *Request { return &Request{once: once} }
+// New returns the state of a request that has just arrived. nonIdempotent is set for a request
+// that must never be sent while an earlier send may have run.
+func New(nonIdempotent bool) *Request { return &Request{nonIdempotent: nonIdempotent} }
 
-// State returns the stage.
+// State returns the stage that the request has reached.
 func (r *Request) State() State { return r.state }
 
 // Idempotent reports whether the request may run more than once.
-func (r *Request) Idempotent() bool { return !r.once }
+func (r *Request) Idempotent() bool { return !r.nonIdempotent }
 
-// Admit notes that a grant is held; a request that is sent again is granted
+// Admit records that the request was granted capacity. A request that is sent again is admitted
 // again and keeps its later state.
 func (r *Request) Admit() {
 	if r.check(!r.final(), "admit") {
@@ -102,63 +102,62 @@
 	}
 }
 
-// Claim notes that the idempotency key's claim is held.
+// Claim records that the claim on the idempotency key is held.
 func (r *Request) Claim() {
 	if r.check(r.state == Admitted, "claim") {
 		r.state = Claimed
 	}
 }
 
-// Keyed notes that the request carries an idempotency key. To its caller all
-// attempts under the key are one request, and another instance may have run an
-// earlier one: until KeyFree the word is unknown even if nothing was sent.
-func (r *Request) Keyed() { r.keyed = true }
+// Keyed records that the request carries an idempotency key. To its caller all attempts under the
+// key are one request, and another instance may have run an earlier one: until KeyFree is called
+// the outcome is unknown even if nothing was sent.
+func (r *Request) Keyed() { r.keyPending = true }
 
-// KeyFree notes that the record of claims says that no attempt under the key ran
-// or will, or that the key belongs to a request for something else.
-func (r *Request) KeyFree() { r.keyed = false }
+// KeyFree records that, according to the stored claims, no attempt under the key has run or will
+// run, or that the key belongs to a different request.
+func (r *Request) KeyFree() { r.keyPending = false }
 
-// NeedsRefusal reports whether the word is unknown only because of the key: as
-// soon as the record says that no other attempt ran, it is not-run.
-func (r *Request) NeedsRefusal() bool { return r.keyed && r.Unrun() }
+// NeedsRefusal reports whether the outcome is unknown only because of the key. It becomes not-run
+// as soon as a refusal is stored that keeps the other attempts from running.
+func (r *Request) NeedsRefusal() bool { return r.keyPending && r.Unrun() }
 
-// Recorded ends the account of a request whose idempotency key another attempt
-// holds: what became of that attempt is what became of the request. It is
-// unknown unless the attempt's whole answer is on record.
+// Recorded ends a request whose idempotency key is held by another attempt: that attempt's
+// outcome is the request's outcome. It is unknown unless the attempt's complete answer is stored.
 func (r *Request) Recorded(answered bool) {
 	if !r.check(r.sends == 0 && !r.final(), "recorded") {
 		return
 	}
 	r.sends++
-	r.open++
+	r.mayHaveRun++
 	r.state = Failed
 	if answered {
 		r.state = Done
 	}
 }
 
-// Unrun reports whether nothing that was sent from here can have run.
-func (r *Request) Unrun() bool { return r.state != Done && r.open == 0 }
+// Unrun reports whether nothing that this instance has sent can have run.
+func (r *Request) Unrun() bool { return r.state != Done && r.mayHaveRun == 0 }
 
-// MaySend reports whether the request may be sent now: always before the first
-// send, after that only if it is idempotent or no send can have started it.
+// MaySend reports whether the request may be sent now: always before the first send, and after
+// that only if it is idempotent or no earlier send can have run.
 func (r *Request) MaySend() bool {
-	return !r.final() && r.state >= Admitted && (!r.once || r.open == 0)
+	return !r.final() && r.state >= Admitted && (!r.nonIdempotent || r.mayHaveRun == 0)
 }
 
-// Send opens the account of one send. It must be called before the first byte
-// leaves. It returns nil where MaySend is false; nothing may be sent then.
+// Send records the start of a send. It must be called before the first byte is written. It
+// returns nil if MaySend is false; nothing may be sent then.
 func (r *Request) Send() *Send {
 	if !r.check(r.MaySend(), "send") {
 		return nil
 	}
 	r.sends++
-	r.open++
+	r.mayHaveRun++
 	r.state = max(r.state, Sent)
 	return &Send{request: r}
 }
 
-// Finish ends the account; every later call of Verdict gives the same word.
+// Finish ends the request; every later call of Verdict returns the same outcome.
 func (r *Request) Finish() Verdict {
 	if !r.final() {
 		r.state = Failed
@@ -166,62 +165,62 @@
 	return r.Verdict()
 }
 
-// Verdict is the word that holds now.
+// Verdict returns the outcome as of now.
 func (r *Request) Verdict() Verdict {
 	if r.state == Done {
-		return Verdict{wordComplete}
+		return Verdict{resultComplete}
 	}
-	if r.open == 0 && !r.keyed {
-		return Verdict{wordNotRun}
+	if r.mayHaveRun == 0 && !r.keyPending {
+		return Verdict{resultNotRun}
 	}
-	return Verdict{wordUnknown}
+	return Verdict{resultUnknown}
 }
 
 func (r *Request) final() bool { return r.state == Done || r.state == Failed }
 
 func (r *Request) check(ok bool, step string) bool {
-	return invariant.Check(ok, "outcome_state", "%s in state %s with %d of %d sends open", step, r.state, r.open, r.sends)
+	return invariant.Check(ok, "outcome_state", "%s in state %s with %d of %d sends that may have run", step, r.state, r.mayHaveRun, r.sends)
 }
 
-// Send is one send of a request to one endpoint.
+// Send is one attempt to send a request to an endpoint.
 type Send struct {
-	request *Request
-	closed  bool
-	began   bool
+	request   *Request
+	ended     bool
+	answering bool
 }
 
-// NotStarted closes the send: no byte of it left this process, or the endpoint
-// itself said that it did not start it. A send that has begun to answer cannot
-// be closed so.
+// NotStarted ends a send of which no byte has left this process, or which the endpoint reported
+// as not started. For a send whose answer has begun it reports an invariant violation and
+// changes nothing.
 func (s *Send) NotStarted() {
 	r := s.request
-	if s.closed || !r.check(!s.began && !r.final(), "not started") {
+	if s.ended || !r.check(!s.answering && !r.final(), "not started") {
 		return
 	}
-	s.closed = true
-	r.open--
+	s.ended = true
+	r.mayHaveRun--
 }
 
-// Failed closes the send by the error that the endpoint's client gave: of kind
-// fault.Unavailable when no byte left, fault.Overloaded when the endpoint
-// refused to start it. After any other error the request may have run.
+// Failed ends the send with the error of the endpoint's client: fault.Unavailable if no byte
+// was sent, fault.Overloaded if the endpoint refused to start the request. After any other error
+// the request may have run.
 func (s *Send) Failed(err error) {
 	if kind := fault.KindOf(err); kind == fault.Unavailable || kind == fault.Overloaded {
 		s.NotStarted()
 	}
 }
 
-// Answering notes that the endpoint's answer began.
+// Answering records that the endpoint's answer has begun.
 func (s *Send) Answering() {
-	if s.request.check(!s.closed && !s.request.final(), "answering") {
-		s.began = true
+	if s.request.check(!s.ended && !s.request.final(), "answering") {
+		s.answering = true
 		s.request.state = Answering
 	}
 }
 
-// Done notes that the whole answer arrived.
+// Done records that the complete answer was received.
 func (s *Send) Done() {
-	if s.request.check(s.began && !s.request.final(), "done") {
+	if s.request.check(s.answering && !s.request.final(), "done") {
 		s.request.state = Done
 	}
 }
--- a/outcome/state_test.go
+++ b/outcome/state_test.go
@@ -9,136 +9,136 @@
 	"github.com/sardinedock/sardinedock/outcome"
 )
 
-// world is what really happened to a request, kept apart from its account.
-type world struct {
-	request *outcome.Request
-	once    bool
-	open    []*liveSend
-	// mayHaveRun counts sends that reached an endpoint which did not refuse.
+// model tracks independently what actually happened to a request.
+type model struct {
+	request       *outcome.Request
+	nonIdempotent bool
+	sends         []*liveSend
+	// mayHaveRun counts the sends that reached an endpoint which did not refuse them.
 	mayHaveRun int
-	// keyed is set while nobody knows of earlier attempts.
-	keyed bool
-	whole bool
-	ended bool
+	// keyed is set while earlier attempts under the key may have run.
+	keyed    bool
+	complete bool
+	ended    bool
 }
 
 type liveSend struct {
 	send *outcome.Send
-	// refused is what the endpoint said, if it said anything.
-	refused bool
-	began   bool
+	// refused is set once the endpoint has refused the send.
+	refused   bool
+	answering bool
 }
 
-func (w *world) pick(t *rapid.T) *liveSend {
-	if len(w.open) == 0 {
-		t.Skip("no send is open")
+func (m *model) pick(t *rapid.T) *liveSend {
+	if len(m.sends) == 0 {
+		t.Skip("no send yet")
 	}
-	return w.open[rapid.IntRange(0, len(w.open)-1).Draw(t, "send")]
+	return m.sends[rapid.IntRange(0, len(m.sends)-1).Draw(t, "send")]
 }
 
-// A request is sent, refused, sent again, breaks, answers, in any order. A
-// caller who reads "not-run" orders the pallets again, so that word must never
-// stand beside a send that may have run, whatever the order of events.
-func TestNotRunIsNeverFalse(t *testing.T) {
+// Guards against reporting "not-run" for a request of which any send may have run, whatever the
+// order of sends, refusals, failures and answers: a caller who reads "not-run" places the same
+// order again.
+func TestNotRunIsNotReportedIfSendMayHaveRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{once: rapid.Bool().Draw(t, "once")}
-		w.request = outcome.New(w.once)
-		w.request.Admit()
+		m := &model{nonIdempotent: rapid.Bool().Draw(t, "once")}
+		m.request = outcome.New(m.nonIdempotent)
+		m.request.Admit()
 		t.Repeat(map[string]func(*rapid.T){
-			"send":    w.sendOne,
-			"fail":    w.fail,
-			"refuse":  w.refuse,
-			"answer":  w.answer,
-			"done":    w.done,
-			"finish":  w.finish,
-			"":        w.verify,
-			"readmit": w.admitAgain,
-			"keyed":   func(*rapid.T) { w.request.Keyed(); w.keyed = true },
-			"free":    func(*rapid.T) { w.request.KeyFree(); w.keyed = false },
+			"send":    m.sendOne,
+			"fail":    m.fail,
+			"refuse":  m.refuse,
+			"answer":  m.answer,
+			"done":    m.done,
+			"finish":  m.finish,
+			"":        m.verify,
+			"readmit": m.admitAgain,
+			"keyed":   func(*rapid.T) { m.request.Keyed(); m.keyed = true },
+			"free":    func(*rapid.T) { m.request.KeyFree(); m.keyed = false },
 		})
 	})
 }
 
-func (w *world) admitAgain(t *rapid.T) {
-	if !w.request.MaySend() || w.mayHaveRun > 0 {
-		t.Skip("not admitted again")
+func (m *model) admitAgain(t *rapid.T) {
+	if !m.request.MaySend() || m.mayHaveRun > 0 {
+		t.Skip("may not be admitted again")
 	}
-	w.request.Admit()
+	m.request.Admit()
 }
 
-func (w *world) sendOne(t *rapid.T) {
-	if !w.request.MaySend() {
+func (m *model) sendOne(t *rapid.T) {
+	if !m.request.MaySend() {
 		t.Skip("may not be sent")
 	}
-	if w.once && w.mayHaveRun > 0 {
+	if m.nonIdempotent && m.mayHaveRun > 0 {
 		t.Fatal("a non-idempotent request may be sent although it may have run")
 	}
-	w.open = append(w.open, &liveSend{send: w.request.Send()})
-	w.mayHaveRun++
+	m.sends = append(m.sends, &liveSend{send: m.request.Send()})
+	m.mayHaveRun++
 }
 
-func (w *world) fail(t *rapid.T) {
-	s := w.pick(t)
+func (m *model) fail(t *rapid.T) {
+	s := m.pick(t)
 	kind := rapid.SampledFrom([]fault.Kind{fault.Broken, fault.Unknown, fault.NotFound, fault.Internal}).Draw(t, "kind")
 	s.send.Failed(fault.New(kind, "none", "the connection broke"))
 }
 
-func (w *world) refuse(t *rapid.T) {
-	s := w.pick(t)
-	if s.refused || s.began || w.ended {
-		t.Skip("has spoken before")
+func (m *model) refuse(t *rapid.T) {
+	s := m.pick(t)
+	if s.refused || s.answering || m.ended {
+		t.Skip("already refused, answered or ended")
 	}
 	kind := rapid.SampledFrom([]fault.Kind{fault.Unavailable, fault.Overloaded}).Draw(t, "kind")
 	s.send.Failed(fault.New(kind, "none", "not started"))
 	s.refused = true
-	w.mayHaveRun--
+	m.mayHaveRun--
 }
 
-func (w *world) answer(t *rapid.T) {
-	s := w.pick(t)
-	if s.refused || w.ended {
-		t.Skip("refused")
+func (m *model) answer(t *rapid.T) {
+	s := m.pick(t)
+	if s.refused || m.ended {
+		t.Skip("refused or ended")
 	}
 	s.send.Answering()
-	s.began = true
+	s.answering = true
 }
 
-func (w *world) done(t *rapid.T) {
-	s := w.pick(t)
-	if !s.began || w.ended {
-		t.Skip("has not begun")
+func (m *model) done(t *rapid.T) {
+	s := m.pick(t)
+	if !s.answering || m.ended {
+		t.Skip("no answer has begun")
 	}
 	s.send.Done()
-	w.whole, w.ended = true, true
+	m.complete, m.ended = true, true
 }
 
-func (w *world) finish(*rapid.T) {
-	w.request.Finish()
-	w.ended = true
+func (m *model) finish(*rapid.T) {
+	m.request.Finish()
+	m.ended = true
 }
 
-func (w *world) verify(t *rapid.T) {
-	v := w.request.Verdict()
-	if v.NotRun() && (w.mayHaveRun > 0 || w.keyed) {
-		t.Fatalf("said not-run with %d sends that may have run, keyed %v", w.mayHaveRun, w.keyed)
+func (m *model) verify(t *rapid.T) {
+	v := m.request.Verdict()
+	if v.NotRun() && (m.mayHaveRun > 0 || m.keyed) {
+		t.Fatalf("verdict is not-run with %d sends that may have run, keyed %v", m.mayHaveRun, m.keyed)
 	}
-	if v.Complete() != w.whole {
-		t.Fatalf("said %s, whole answer: %v", v, w.whole)
+	if v.Complete() != m.complete {
+		t.Fatalf("verdict is %s, complete answer received: %v", v, m.complete)
 	}
-	if w.mayHaveRun == 0 && !w.keyed && !v.NotRun() {
-		t.Fatalf("said %s of a request that certainly did not run", v)
+	if m.mayHaveRun == 0 && !m.keyed && !v.NotRun() {
+		t.Fatalf("verdict is %s for a request that certainly did not run", v)
 	}
 }
 
 func TestZeroVerdictIsUnknown(t *testing.T) {
 	if got := (outcome.Verdict{}).String(); got != "unknown" {
-		t.Fatalf("zero verdict says %q", got)
+		t.Fatalf("zero verdict is %q, want unknown", got)
 	}
 }
 
-// An answer has begun and a late error of an earlier attempt is booked on the
-// wrong send. The account must not be talked out of what it has seen.
-func TestBegunSendCannotBeTakenBack(t *testing.T) {
+// Guards against a late error of an earlier attempt that is applied to the wrong send, whose
+// answer has already begun. The request must not be reported as not run.
+func TestAnsweredSendCannotBecomeNotStarted(t *testing.T) {
 	r := outcome.New(false)
 	r.Admit()
 	s := r.Send()
@@ -148,20 +148,19 @@
 		s.NotStarted()
 	}()
 	if r.Verdict().NotRun() {
-		t.Fatal("a request that answered is said not to have run")
+		t.Fatal("the verdict of a request whose answer has begun is not-run")
 	}
 }
 
-// A caller sends its key a second time while the first request may still run
-// at another instance. That this instance sent nothing does not make it true
-// that nothing ran.
-func TestKeyHeldElsewhereIsNeverNotRun(t *testing.T) {
+// Guards against reporting "not-run" for a resent key while the first request may still run at
+// another instance: that this instance sent nothing does not mean that nothing ran.
+func TestKeyHeldByOtherAttemptIsNeverNotRun(t *testing.T) {
 	for answered, want := range map[bool]string{false: "unknown", true: "complete"} {
 		r := outcome.New(true)
 		r.Admit()
 		r.Recorded(answered)
 		if got := r.Finish().String(); got != want || r.MaySend() {
-			t.Fatalf("answered %v: said %s, may send %v", answered, got, r.MaySend())
+			t.Fatalf("answered %v: verdict %s, may send %v", answered, got, r.MaySend())
 		}
 	}
 }
