--- a/outcome/claim/bench_test.go
+++ b/outcome/claim/bench_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkShard measures one commit of one claim into a shard of a given
-// size: the decoding, the change and the encoding.
+// BenchmarkShard measures committing one claim to a shard of a given size: decoding it, adding
+// the claim and encoding it.
 func BenchmarkShard(b *testing.B) {
 	for _, entries := range []int{100, 1000} {
 		b.Run(fmt.Sprint(entries, "claims"), func(b *testing.B) {
--- a/outcome/claim/book.go
+++ b/outcome/claim/book.go
@@ -11,96 +11,94 @@
 	"github.com/sardinedock/sardinedock/ring"
 )
 
-// Book is this instance's access to all claims. Any goroutine may use it.
+// Book gives this instance access to all claims. It is safe for concurrent use.
 type Book struct {
 	shards [Shards]*shard
 	stop   context.CancelFunc
 	wg     sync.WaitGroup
-	// unwritten counts what was told and is not in the store yet.
+	// unwritten counts the queued Finish and Release operations that are not in the store yet.
 	unwritten atomic.Int64
 }
 
-// Open starts the duties of the shards; Close ends them.
+// Open starts one goroutine for each shard; Close ends them.
 func Open(store objectapi.Store, c clock.Clock) *Book {
 	ctx, stop := context.WithCancel(context.Background())
 	b := &Book{stop: stop}
 	for n := range b.shards {
-		s := &shard{store: store, clock: c, name: shardName(n), ring: ring.New[*op]("claims", ringSize)}
+		s := &shard{store: store, clock: c, name: shardName(n), ring: ring.New[*op]("claims", queueSize)}
 		b.shards[n] = s
 		b.wg.Go(func() { s.run(ctx) })
 	}
 	return b
 }
 
-// Look reads what is known of a key. It blocks until the store answers or ctx
-// ends; the error is then of kind fault.Unavailable.
+// Look reads the stored state of a key. It blocks until the store answers or ctx is done; the
+// error is then of kind fault.Unavailable.
 func (b *Book) Look(ctx context.Context, r Request) (Found, error) {
-	return b.ask(newOp(ctx, opLook, r))
+	return b.do(newOp(ctx, opLookup, r))
 }
 
-// Take claims the key for the attempt. It blocks until the claim is in the
-// store. Where Found.Taken is not set and there is no error, the attempt holds
-// the claim and is the only one that may send. After an error it holds none
-// and must not send.
+// Take claims the key for the attempt. It blocks until the claim is in the store. If there is no
+// error and neither Found.Taken nor Found.Refused is set, the attempt holds the claim and is the
+// only one that may send. After an error it holds no claim and must not send.
 func (b *Book) Take(ctx context.Context, r Request) (Found, error) {
-	return b.ask(newOp(ctx, opTake, r))
+	return b.do(newOp(ctx, opTake, r))
 }
 
-// Refuse puts on record that the request did not run, before its caller is told
-// so. It binds all attempts that have looked at the key so far: none of them
-// gets the claim any more. Where another attempt holds the key, Found.Taken is
-// set and nothing is recorded. An attempt that has sent, and of which it is not
-// certain that it did not run, must not call it. It blocks as Take does.
+// Refuse records that the request did not run, before this is reported to its caller. It applies
+// to all attempts that have looked up the key so far: none of them can take the claim any more.
+// If another attempt holds the key, Found.Taken is set and nothing is recorded. An attempt must
+// not call it after it has sent, unless it is certain that the request did not run. It blocks as
+// Take does.
 func (b *Book) Refuse(ctx context.Context, r Request) (Found, error) {
-	return b.ask(newOp(ctx, opRefuse, r))
+	return b.do(newOp(ctx, opRefuse, r))
 }
 
-func (b *Book) ask(o *op) (Found, error) {
+func (b *Book) do(o *op) (Found, error) {
 	if !b.shards[o.request.Key.shard()].ring.Offer(o) {
 		return Found{}, fault.New(fault.Overloaded, "ask again later", "too many claims wait for the object API")
 	}
 	return o.wait()
 }
 
-// Finish records the whole answer of the attempt. It does not block. Until the
-// record is written, or if it never is, a resend reads that nobody knows.
+// Finish records the complete answer of the attempt. It does not block. Until the record is
+// written, or if it never is, a resent request finds an unknown outcome.
 func (b *Book) Finish(r Request, a Answer) {
-	b.tell(&op{kind: opFinish, request: r, answer: a})
+	b.enqueue(&op{kind: opFinish, request: r, answer: a})
 }
 
-// Release gives the claim back. Only the attempt that holds it may call it, if
-// it has certainly not run and will never send. It does not block.
+// Release releases the claim. Only the attempt that holds it may call it, if the request has
+// certainly not run and the attempt will never send it. It does not block.
 func (b *Book) Release(r Request) {
-	b.tell(&op{kind: opRelease, request: r})
+	b.enqueue(&op{kind: opRelease, request: r})
 }
 
-// tell hands over what nobody waits for. A full ring drops it: the key then
-// reads unknown.
-func (b *Book) tell(o *op) {
+// enqueue queues an operation without a waiting caller. It is dropped if the queue is full; the
+// outcome of the key then remains unknown.
+func (b *Book) enqueue(o *op) {
 	b.unwritten.Add(1)
-	o.told = func() { b.unwritten.Add(-1) }
+	o.onDone = func() { b.unwritten.Add(-1) }
 	if !b.shards[o.request.Key.shard()].ring.Offer(o) {
-		o.told()
+		o.onDone()
 	}
 }
 
-// Close ends the duties once all that was told is written, or ctx ends.
+// Close ends the shards' goroutines once all queued operations are written, or ctx is done.
 func (b *Book) Close(ctx context.Context) {
 	for b.unwritten.Load() > 0 && ctx.Err() == nil {
-		_ = clock.Sleep(ctx, firstPause)
+		_ = clock.Sleep(ctx, initialBackoff)
 	}
 	b.stop()
 	b.wg.Wait()
 }
 
-// Kill ends the duties at once, as a crash does: what is not written yet is
-// lost.
+// Kill ends the shards' goroutines at once, as a crash does: what is not written yet is lost.
 func (b *Book) Kill() {
 	b.stop()
 	b.wg.Wait()
 }
 
-// bookDump is the book's part of the state dump.
+// bookDump is the claims' part of the state dump.
 type bookDump struct {
 	Unwritten int64 `json:"unwritten"`
 	Commits   int64 `json:"commits"`
@@ -109,13 +107,13 @@
 	Lost      int64 `json:"lost_replies"`
 }
 
-// Dump returns counts of this process.
+// Dump returns counters of this process for the state dump.
 func (b *Book) Dump() any {
 	return bookDump{
 		Unwritten: b.unwritten.Load(),
 		Commits:   int64(commits.Get()),
 		Entries:   int64(committed.Get()),
 		Conflicts: int64(conflicts.Get()),
-		Lost:      int64(lost.Get()),
+		Lost:      int64(lostReplies.Get()),
 	}
 }
--- a/outcome/claim/claim.go
+++ b/outcome/claim/claim.go
@@ -1,10 +1,10 @@
-// Package claim keeps, in the object API, which idempotency keys of not
-// idempotent requests are taken and what became of the requests.
+// Package claim records in the object API which idempotency keys of non-idempotent requests are
+// claimed, and the outcome of those requests.
 //
-// A request is sent only by the attempt that the claim of its key names. A
-// claim is never given to another attempt: a holder that is paused or thought
-// dead may still send, so only the holder itself can give its claim back, and
-// only as long as it has sent nothing.
+// A request is sent only by the attempt that the claim on its key names. A claim is never
+// transferred to another attempt: a holder that is paused or presumed dead may still send.
+// Therefore only the holder itself can release its claim, and only if the request has certainly
+// not run.
 package claim
 
 import (
@@ -17,39 +17,38 @@
 	"github.com/sardinedock/sardinedock/schema/claimspb"
 )
 
-// Kind is the object API's kind of the shards.
+// Kind is the object kind of the shards in the object API.
 const Kind = "claims"
 
-// Shards is the number of shard objects: one for each value of a hash's first
-// byte. Each write carries a whole shard, so many small ones keep the bytes and
-// the conflicts low. It must never change while claims are kept: programs that
-// disagree about a key's shard would both claim it.
+// Shards is the number of shard objects: one for each value of a hash's first byte. Each write
+// carries a whole shard, so many small shards keep written bytes and conflicts low. The number
+// must never change while claims are stored: programs that disagree about a key's shard could
+// both claim it.
 const Shards = 256
 
-// Retention is how long a claim is kept after its request's own timeout. A
-// caller that sends a key again later than that asks for a new run.
+// Retention is how long a claim is kept after its request's own timeout. A caller that sends a
+// key again later than that runs the request a second time.
 const Retention = 10 * time.Minute
 
-// MaxBodyBytes is the largest answer that is kept for resends.
+// MaxBodyBytes is the size of the largest answer body that is kept for resent requests.
 const MaxBodyBytes = 4 << 10
 
 const (
-	// maxShardBytes bounds a shard below the object API's largest value, with
-	// room for its encoding on the wire.
+	// maxShardBytes bounds a shard below the object API's largest value, with room for its
+	// encoding on the wire.
 	maxShardBytes = 700 << 10
-	// schemaVersion of the shards that this program writes.
+	// schemaVersion is the schema version of the shards that this program writes.
 	schemaVersion = 1
 )
 
-// Hash is a SHA-256 sum cut to 16 bytes. Organisations choose keys and bodies,
-// so the hash must not let one of them meet another's on purpose.
+// Hash is a SHA-256 sum truncated to 16 bytes. Organisations choose keys and bodies, so that the
+// hash must be cryptographic: none may be able to cause a collision with another's.
 type Hash [16]byte
 
-// NewKey returns the hash that an organisation's idempotency key is kept
-// under.
+// NewKey returns the hash under which an organisation's idempotency key is stored.
 func NewKey(organisation, key string) Hash { return sum(organisation, key) }
 
-// NewBody returns the hash of what a request asks for.
+// NewBody returns the hash of a request's method, path and body.
 func NewBody(method, path string, body []byte) Hash { return sum(method, path, string(body)) }
 
 func sum(parts ...string) Hash {
@@ -67,40 +66,40 @@
 
 func shardName(n int) string { return fmt.Sprintf("shard-%02x", n) }
 
-// Request is what an attempt claims.
+// Request identifies an attempt and the key that it claims.
 type Request struct {
 	Key, Body Hash
-	// Attempt is an id that no other attempt has, of this process or another.
+	// Attempt is an id that is unique among all attempts of all processes.
 	Attempt string
-	// Timeout bounds the request; the claim outlives it by Retention.
+	// Timeout bounds the request; the claim is kept for Retention after it.
 	Timeout time.Duration
-	// Seen is Found.Seen of the attempt's look. A refusal that was put on
-	// record after it binds the attempt.
+	// Seen is the Found.Seen of the attempt's lookup. A refusal that was stored after that
+	// version prevents the attempt from taking the claim.
 	Seen objectapi.Version
 }
 
-// Answer is a whole answer as it is kept.
+// Answer is a complete answer as it is stored.
 type Answer struct {
 	Status      int
 	ContentType string
-	// Body is kept if it is small and Kept is set.
+	// Body is stored if Kept is set and it has at most MaxBodyBytes.
 	Body     []byte
 	Kept     bool
 	Endpoint string
 }
 
-// Found is what the record says of a key.
+// Found is the stored state of a key.
 type Found struct {
 	// Taken is set if another attempt holds the key.
 	Taken bool
-	// SameBody is set if that attempt asked for the same.
+	// SameBody is set if that attempt's request had the same method, path and body.
 	SameBody bool
-	// Answer is what became of it; nil while nobody knows.
+	// Answer is that attempt's answer; nil while its outcome is unknown.
 	Answer *Answer
-	// Refused is set if another attempt was told, after this one's look, that
-	// the request did not run: this one must not run it either.
+	// Refused is set if another attempt reported the request as not run after this attempt's
+	// lookup: this attempt must not send it either.
 	Refused bool
-	// Seen is the version of the record that a look saw.
+	// Seen is the version of the shard that a lookup read.
 	Seen objectapi.Version
 }
 
--- a/outcome/claim/claim_test.go
+++ b/outcome/claim/claim_test.go
@@ -22,7 +22,7 @@
 	timeout = time.Minute
 )
 
-// request is an attempt for a key; all share one body.
+// request returns an attempt for a key; all attempts have the same body.
 func request(key, attempt string) claim.Request {
 	return claim.Request{
 		Key:     claim.NewKey("accra", key),
@@ -32,7 +32,7 @@
 	}
 }
 
-// open returns another instance's book on the store.
+// open returns the Book of another instance on the same store.
 func open(t testing.TB, s objectapi.Store) *claim.Book {
 	b := claim.Open(s, clock.System{})
 	t.Cleanup(b.Kill)
@@ -61,9 +61,9 @@
 	return f
 }
 
-// A caller sends a confirmation, loses patience and sends it again to another
-// instance. Only one of the two may reach the ordering app.
-func TestOneOfTwoInstancesHolds(t *testing.T) {
+// Guards against two instances that both send a confirmation because its caller timed out and
+// sent it again to the second one.
+func TestOnlyOneInstanceHoldsClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		a, b := open(t, s), open(t, s)
@@ -80,9 +80,9 @@
 	})
 }
 
-// A key is used again for another order. Answering with the first order's
-// confirmation would let the caller believe that the second one is on its way.
-func TestReusedKeyIsTold(t *testing.T) {
+// Guards against answering a request whose key was used before for another order with that
+// order's confirmation: the caller would believe that the second order was placed.
+func TestReusedKeyIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		a := open(t, s)
@@ -90,7 +90,7 @@
 		r := request("k", "2")
 		r.Body = claim.NewBody("POST", "/ship", []byte("ship 8"))
 		if f := mustBeTaken(t, a, r); f.SameBody {
-			t.Fatal("another body passes for the same")
+			t.Fatal("a different body was taken for the same")
 		}
 		other := request("k", "3")
 		other.Key = claim.NewKey("tema", "k")
@@ -98,10 +98,10 @@
 	})
 }
 
-// The store's reply is lost after the claim has taken effect. The attempt id
-// that is read back shows whose claim it is; taking it for another's would
-// refuse a request that nobody ran.
-func TestLostReplyIsSettled(t *testing.T) {
+// Guards against refusing a request that no instance runs, because the store's reply to its
+// claim was lost and the claim is taken for another attempt's. The stored attempt id shows
+// whose it is.
+func TestLostReplyIsResolvedByReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		a, b := open(t, s), open(t, s)
@@ -111,9 +111,10 @@
 	})
 }
 
-// The store's reply is lost and the instance dies before it can read back.
-// Nobody can say whether it has sent; the key must stay taken for good.
-func TestLostReplyAndDeadInstance(t *testing.T) {
+// Guards against releasing a claim whose store reply was lost and whose instance died before it
+// could read it back. It can't be known whether the instance has sent, so the key has to remain
+// taken for the whole retention.
+func TestClaimOfDeadInstanceStaysTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		a, b := open(t, s), open(t, s)
@@ -129,9 +130,10 @@
 	})
 }
 
-// The store is down for longer than the request may wait. It is refused unsent,
-// and once the store is back its key is free.
-func TestOutageRefusesAndLeavesNothing(t *testing.T) {
+// Guards against a request that outlasts its deadline while the store is down, and against a
+// claim left behind by it: it is refused without being sent, and its key is free once the store
+// is back.
+func TestStoreOutageRefusesAndLeavesNoClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		a, b := open(t, s), open(t, s)
@@ -149,8 +151,8 @@
 	})
 }
 
-// The store is down for a moment that the request can wait for.
-func TestShortOutageIsWaitedFor(t *testing.T) {
+// Guards against refusing a request because of a store outage that is shorter than its wait.
+func TestRequestWaitsForShortOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		a := open(t, s)
@@ -160,15 +162,15 @@
 	})
 }
 
-// The reply is lost, then the store goes down, and the caller is refused. The
-// claim stands in the store although its attempt will never send. It is given
-// back when the store returns, so that a resend runs.
-func TestAbandonedClaimIsGivenBack(t *testing.T) {
+// Guards against a claim that remains in the store although its attempt will never send: the
+// reply to its write was lost, then the store went down and the caller was refused. The claim
+// has to be released when the store returns, so that a resent request can run.
+func TestAbandonedClaimIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &lateStore{Store: &objecttest.Store{}}
+		s := &faultyStore{Store: &objecttest.Store{}}
 		a, b := open(t, s), open(t, s)
 		s.downAfterPut = true
-		s.fate = []fate{lostAfter}
+		s.writeOutcome = []writeOutcome{lostAfter}
 		if _, err := take(a, request("k", "1")); !fault.Is(err, fault.Unavailable) {
 			t.Fatalf("got %v", err)
 		}
@@ -178,13 +180,13 @@
 	})
 }
 
-// A write is held up on the way and takes effect after its instance has given
-// up. A claim that rises from the dead must not be left behind.
-func TestLateWriteDoesNotComeBack(t *testing.T) {
+// Guards against a claim left behind by a write that was delayed and takes effect only after its
+// instance has stopped waiting for it.
+func TestDelayedWriteOfAbandonedClaimIsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &lateStore{Store: &objecttest.Store{}, lateness: 3 * time.Second}
+		s := &faultyStore{Store: &objecttest.Store{}, lateBy: 3 * time.Second}
 		a, b := open(t, s), open(t, s)
-		s.fate = []fate{late}
+		s.writeOutcome = []writeOutcome{delayed}
 		s.downAfterPut = true
 		if _, err := take(a, request("k", "1")); !fault.Is(err, fault.Unavailable) {
 			t.Fatalf("got %v", err)
@@ -195,8 +197,8 @@
 	})
 }
 
-// Claims are forgotten after the request's timeout and the retention, not
-// before, or the store would fill up.
+// Guards against claims that are removed before the request's timeout and the retention are
+// over, and against claims that are kept longer and would fill the store.
 func TestRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -209,11 +211,11 @@
 	})
 }
 
-// Many confirmations come while one write is under way. They share the next
-// one; a write each would go over the store's rate.
+// Guards against one store write per claim, which would exceed the store's rate limit: claims
+// that arrive while a write is in progress have to share the next one.
 func TestGroupCommit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &lateStore{Store: &objecttest.Store{}, delay: 50 * time.Millisecond}
+		s := &faultyStore{Store: &objecttest.Store{}, latency: 50 * time.Millisecond}
 		a := open(t, s)
 		const requests = 2000
 		errs := make(chan error, requests)
@@ -237,9 +239,9 @@
 	})
 }
 
-// A shard can't be read: an operator's tool or a newer program wrote it.
-// Writing over it would free keys that are taken.
-func TestForeignShardIsNotTouched(t *testing.T) {
+// Guards against overwriting a shard that can't be decoded because an operator's tool or a newer
+// program wrote it: keys that are taken would become free.
+func TestUndecodableShardIsNotOverwritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		for n := range claim.Shards {
@@ -255,46 +257,47 @@
 	})
 }
 
-// fate is what becomes of one write.
-type fate int
+// writeOutcome is what happens to one write.
+type writeOutcome int
 
 const (
-	good fate = iota
-	// lostBefore writes have no effect, lostAfter writes do; late ones do
-	// after a while. Of all three the writer reads only that nobody knows.
+	applied writeOutcome = iota
+	// The reply of lostBefore, lostAfter and delayed writes is lost, so that the writer can't know
+	// whether they took effect: lostBefore writes do not, lostAfter writes do, and delayed ones do
+	// later.
 	lostBefore
 	lostAfter
-	late
-	refused
+	delayed
+	rejected
 )
 
-// lateStore gives writes a fate.
-type lateStore struct {
+// faultyStore gives each write an outcome.
+type faultyStore struct {
 	*objecttest.Store
-	fate     []fate
-	draw     func() fate
-	delay    time.Duration
-	lateness time.Duration
-	// downAfterPut begins an outage with the next write.
+	writeOutcome []writeOutcome
+	draw         func() writeOutcome
+	latency      time.Duration
+	lateBy       time.Duration
+	// downAfterPut starts an outage after the next write.
 	downAfterPut bool
 }
 
-func (s *lateStore) next() fate {
+func (s *faultyStore) next() writeOutcome {
 	if s.draw != nil {
 		return s.draw()
 	}
-	if len(s.fate) == 0 {
-		return good
+	if len(s.writeOutcome) == 0 {
+		return applied
 	}
-	f := s.fate[0]
-	s.fate = s.fate[1:]
+	f := s.writeOutcome[0]
+	s.writeOutcome = s.writeOutcome[1:]
 	return f
 }
 
-var errLost = fault.New(fault.Unknown, "read back", "reply lost")
+var errReplyLost = fault.New(fault.Unknown, "read back", "reply lost")
 
-func (s *lateStore) Put(ctx context.Context, obj objectapi.Object, expected objectapi.Version) (objectapi.Version, error) {
-	time.Sleep(s.delay)
+func (s *faultyStore) Put(ctx context.Context, obj objectapi.Object, expected objectapi.Version) (objectapi.Version, error) {
+	time.Sleep(s.latency)
 	f := s.next()
 	if s.downAfterPut {
 		s.downAfterPut = false
@@ -302,41 +305,41 @@
 	}
 	switch f {
 	case lostBefore:
-		return 0, errLost
+		return 0, errReplyLost
 	case lostAfter:
 		_, _ = s.Store.Put(ctx, obj, expected)
-		return 0, errLost
-	case late:
-		time.AfterFunc(s.lateness, func() { _, _ = s.Store.Put(context.Background(), obj, expected) })
-		return 0, errLost
-	case refused:
+		return 0, errReplyLost
+	case delayed:
+		time.AfterFunc(s.lateBy, func() { _, _ = s.Store.Put(context.Background(), obj, expected) })
+		return 0, errReplyLost
+	case rejected:
 		return 0, fault.New(fault.RateLimited, "wait", "over the rate")
 	}
 	return s.Store.Put(ctx, obj, expected)
 }
 
-// Several instances claim the same few keys while the store loses replies,
-// delays writes, refuses them and goes away, and instances die. Whatever
-// happens, two attempts that may both send never hold one key.
+// Guards against two attempts that hold the same key and may both send it, while several
+// instances claim the same few keys, instances die, and the store loses replies, delays and
+// refuses writes and has outages.
 func TestNeverTwoHolders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 5, 30).Draw(rt, "steps")
-		fates := rapid.SliceOfN(rapid.SampledFrom([]fate{good, good, good, lostBefore, lostAfter, late, refused}), 40, 40).Draw(rt, "fates")
-		var broken string
-		synctest.Test(t, func(*testing.T) { broken = newContest(fates).run(steps) })
-		if broken != "" {
-			rt.Fatal(broken)
+		outcomes := rapid.SliceOfN(rapid.SampledFrom([]writeOutcome{applied, applied, applied, lostBefore, lostAfter, delayed, rejected}), 40, 40).Draw(rt, "outcomes")
+		var violation string
+		synctest.Test(t, func(*testing.T) { violation = newScenario(outcomes).run(steps) })
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// step is one thing that happens in a contest.
+// step is one event of a scenario.
 type step struct {
-	// what: the instances claim key, one dies, the store goes down, or time
-	// passes.
+	// what is the event: all instances claim key, one instance dies, the store goes down, or
+	// time passes.
 	what     string
 	key      string
-	patience time.Duration
+	duration time.Duration
 	release  bool
 	instance int
 }
@@ -345,7 +348,7 @@
 	return step{
 		what:     rapid.SampledFrom([]string{"take", "take", "kill", "down", "rest"}).Draw(t, "what"),
 		key:      rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key"),
-		patience: time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond,
+		duration: time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond,
 		release:  rapid.Bool().Draw(t, "release"),
 		instance: rapid.IntRange(0, instances-1).Draw(t, "instance"),
 	}
@@ -353,39 +356,39 @@
 
 const instances = 3
 
-type contest struct {
-	store   *lateStore
+type scenario struct {
+	store   *faultyStore
 	books   []*claim.Book
 	holders map[string]string
 	attempt int
 }
 
-func newContest(fates []fate) *contest {
-	c := &contest{holders: map[string]string{}}
-	c.store = &lateStore{Store: &objecttest.Store{}, lateness: 700 * time.Millisecond}
+func newScenario(outcomes []writeOutcome) *scenario {
+	c := &scenario{holders: map[string]string{}}
+	c.store = &faultyStore{Store: &objecttest.Store{}, lateBy: 700 * time.Millisecond}
 	var at atomic.Int64
-	c.store.draw = func() fate { return fates[int(at.Add(1))%len(fates)] }
+	c.store.draw = func() writeOutcome { return outcomes[int(at.Add(1))%len(outcomes)] }
 	for range instances {
 		c.books = append(c.books, claim.Open(c.store, clock.System{}))
 	}
 	return c
 }
 
-func (c *contest) run(steps []step) (broken string) {
+func (c *scenario) run(steps []step) (violation string) {
 	for _, s := range steps {
 		switch s.what {
 		case "take":
-			broken = c.take(s)
+			violation = c.take(s)
 		case "kill":
 			c.books[s.instance].Kill()
 			c.books[s.instance] = claim.Open(c.store, clock.System{})
 		case "down":
 			c.store.SetDown(true)
-			time.AfterFunc(s.patience, func() { c.store.SetDown(false) })
+			time.AfterFunc(s.duration, func() { c.store.SetDown(false) })
 		case "rest":
-			time.Sleep(s.patience)
+			time.Sleep(s.duration)
 		}
-		if broken != "" {
+		if violation != "" {
 			break
 		}
 	}
@@ -393,26 +396,26 @@
 		b.Kill()
 	}
 	time.Sleep(5 * time.Second)
-	return broken
+	return violation
 }
 
-type held struct {
+type takeResult struct {
 	ok      bool
 	attempt string
 	book    *claim.Book
 }
 
-// take lets all instances claim one key at the same time.
-func (c *contest) take(s step) (broken string) {
-	results := make(chan held, len(c.books))
+// take has all instances claim one key at the same time.
+func (c *scenario) take(s step) (violation string) {
+	results := make(chan takeResult, len(c.books))
 	for _, b := range c.books {
 		c.attempt++
 		r := request(s.key, fmt.Sprint("attempt-", c.attempt))
 		go func() {
-			ctx, cancel := context.WithTimeout(context.Background(), s.patience)
+			ctx, cancel := context.WithTimeout(context.Background(), s.duration)
 			defer cancel()
 			f, err := b.Take(ctx, r)
-			results <- held{err == nil && !f.Taken, r.Attempt, b}
+			results <- takeResult{err == nil && !f.Taken, r.Attempt, b}
 		}()
 	}
 	for range c.books {
@@ -421,7 +424,7 @@
 			continue
 		}
 		if other, ok := c.holders[s.key]; ok {
-			broken = fmt.Sprintf("%s and %s both hold key %s", other, h.attempt, s.key)
+			violation = fmt.Sprintf("%s and %s both hold key %s", other, h.attempt, s.key)
 		}
 		c.holders[s.key] = h.attempt
 		if s.release {
@@ -429,5 +432,5 @@
 			h.book.Release(request(s.key, h.attempt))
 		}
 	}
-	return broken
+	return violation
 }
--- a/outcome/claim/fuzz_test.go
+++ b/outcome/claim/fuzz_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Whatever stands in a shard, reading it must not fail in a crash, and what is
-// written back must hold every claim that was read.
+// FuzzShard checks that no stored value makes decoding panic, and that encoding and decoding a
+// shard loses no claim.
 func FuzzShard(f *testing.F) {
 	t := &table{}
 	t, _ = parseTable(nil)
--- a/outcome/claim/load_test.go
+++ b/outcome/claim/load_test.go
@@ -16,27 +16,27 @@
 	"github.com/sardinedock/sardinedock/outcome/claim"
 )
 
-// slowStore answers each call after a way of some milliseconds.
+// slowStore delays each call and each reply by latency.
 type slowStore struct {
 	*objecttest.Store
-	way time.Duration
+	latency time.Duration
 }
 
 func (s *slowStore) Get(ctx context.Context, kind, name string) (objectapi.Object, error) {
-	time.Sleep(s.way)
-	defer time.Sleep(s.way)
+	time.Sleep(s.latency)
+	defer time.Sleep(s.latency)
 	return s.Store.Get(ctx, kind, name)
 }
 
 func (s *slowStore) Put(ctx context.Context, obj objectapi.Object, expected objectapi.Version) (objectapi.Version, error) {
-	time.Sleep(s.way)
-	defer time.Sleep(s.way)
+	time.Sleep(s.latency)
+	defer time.Sleep(s.latency)
 	return s.Store.Put(ctx, obj, expected)
 }
 
-// Non-idempotent requests come to a whole fleet at a steady rate. What they
-// cost the object API must stay near two writes each, or a burst of
-// confirmations would take the rate that the rest of the platform lives on.
+// Guards against claims that cost much more than two writes each in the object API when a whole
+// fleet receives non-idempotent requests at a steady rate: a burst of them would use up the
+// call rate that the rest of the platform depends on.
 func TestStoreLoad(t *testing.T) {
 	for _, c := range []struct{ instances, rate int }{{7, 5}, {7, 100}, {40, 50}, {40, 100}, {40, 200}} {
 		t.Run(fmt.Sprintf("%dinstances_%dps", c.instances, c.rate), func(t *testing.T) {
@@ -47,7 +47,7 @@
 
 func storeLoad(t *testing.T, instances, rate int) {
 	const seconds = 5
-	s := &slowStore{Store: &objecttest.Store{}, way: 2 * time.Millisecond}
+	s := &slowStore{Store: &objecttest.Store{}, latency: 2 * time.Millisecond}
 	books := make([]*claim.Book, instances)
 	for n := range books {
 		books[n] = claim.Open(s, clock.System{})
--- a/outcome/claim/op.go
+++ b/outcome/claim/op.go
@@ -7,30 +7,30 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// opKind is what is asked of a shard.
+// opKind is the kind of an operation on a shard.
 type opKind int
 
 const (
-	opLook opKind = iota
+	opLookup opKind = iota
 	opTake
 	opFinish
 	opRelease
 	opRefuse
 )
 
-// op is one thing asked of a shard.
+// op is one operation on a shard.
 type op struct {
 	kind    opKind
 	request Request
 	answer  Answer
-	// ctx ends the wait of whoever asked; nil for what nobody waits for.
+	// ctx bounds the caller's wait; nil if no caller waits for the result.
 	ctx   context.Context
 	reply chan reply
-	// told, if set, is called once what nobody waits for is written.
-	told func()
-	// settled decides between the reply and the asker's giving up: whoever
-	// sets it first has its way.
-	settled atomic.Bool
+	// onDone, if set, is called once an operation without a waiting caller is finished.
+	onDone func()
+	// resolved decides between the reply and the caller's cancellation: whichever sets it first
+	// takes effect.
+	resolved atomic.Bool
 }
 
 type reply struct {
@@ -42,34 +42,34 @@
 	return &op{kind: kind, request: r, ctx: ctx, reply: make(chan reply, 1)}
 }
 
-// resolve gives the reply; false if the asker has given up.
+// resolve sends the reply; it returns false if the caller has stopped waiting.
 func (o *op) resolve(f Found, err error) bool {
 	if o.reply == nil {
-		if o.told != nil {
-			o.told()
+		if o.onDone != nil {
+			o.onDone()
 		}
 		return true
 	}
-	if o.settled.Swap(true) {
+	if o.resolved.Swap(true) {
 		return false
 	}
 	o.reply <- reply{f, err}
 	return true
 }
 
-// gaveUp reports whether nobody waits for the reply any more.
-func (o *op) gaveUp() bool { return o.ctx != nil && (o.settled.Load() || o.ctx.Err() != nil) }
+// abandoned reports whether the caller has stopped waiting for the reply.
+func (o *op) abandoned() bool { return o.ctx != nil && (o.resolved.Load() || o.ctx.Err() != nil) }
 
-// wait blocks for the reply or the end of ctx. After an error the asker does
-// not hold a claim, whatever the store shows later: a claim that took effect
-// unseen is given back by the shard.
+// wait blocks until the reply arrives or ctx is done. After an error the caller does not hold a
+// claim, whatever the store shows later: the shard releases a claim that takes effect after the
+// caller has stopped waiting.
 func (o *op) wait() (Found, error) {
 	select {
 	case r := <-o.reply:
 		return r.found, r.err
 	case <-o.ctx.Done():
 	}
-	if o.settled.Swap(true) {
+	if o.resolved.Swap(true) {
 		r := <-o.reply
 		return r.found, r.err
 	}
--- a/outcome/claim/shard.go
+++ b/outcome/claim/shard.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// ringSize bounds what waits for one shard. A request that finds it full
-	// is refused unsent.
-	ringSize = 256
-	// firstPause and maxPause bound the waits between calls of a store that
-	// does not answer.
-	firstPause = 20 * time.Millisecond
-	maxPause   = time.Second
-	// freshFor is how long a value that was read is worth the risk of a
-	// conflict, which costs a write more than a read would.
-	freshFor = 100 * time.Millisecond
+	// queueSize bounds the queue of one shard. A request that finds it full is refused without
+	// being sent.
+	queueSize = 256
+	// initialBackoff and maxBackoff bound the waits between calls of a store that does not
+	// respond.
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = time.Second
+	// maxValueAge is how long a value that was read is reused for writing. A conflict, which
+	// costs one write more than reading again, becomes more likely as the value ages.
+	maxValueAge = 100 * time.Millisecond
 )
 
 var (
-	commits   = metrics.GetOrCreateCounter("sardinedock_claim_commits_total")
-	committed = metrics.GetOrCreateCounter("sardinedock_claim_committed_entries_total")
-	conflicts = metrics.GetOrCreateCounter("sardinedock_claim_conflicts_total")
-	lost      = metrics.GetOrCreateCounter("sardinedock_claim_lost_replies_total")
-	givenBack = metrics.GetOrCreateCounter("sardinedock_claims_given_back_total")
-	refusals  = metrics.GetOrCreateCounter("sardinedock_claim_shard_full_total")
+	commits     = metrics.GetOrCreateCounter("sardinedock_claim_commits_total")
+	committed   = metrics.GetOrCreateCounter("sardinedock_claim_committed_entries_total")
+	conflicts   = metrics.GetOrCreateCounter("sardinedock_claim_conflicts_total")
+	lostReplies = metrics.GetOrCreateCounter("sardinedock_claim_lost_replies_total")
+	released    = metrics.GetOrCreateCounter("sardinedock_claims_given_back_total")
+	shardFull   = metrics.GetOrCreateCounter("sardinedock_claim_shard_full_total")
 )
 
-// shard is the duty that reads and writes one shard object. All that waits
-// while a write is under way goes into the next one, so the calls of a busy
-// shard are bounded by the store's own pace and not by the requests.
+// shard reads and writes one shard object. All operations that arrive while a write is in
+// progress share the next one, so that the call rate of a busy shard is bounded by the store's
+// latency and not by the request rate.
 type shard struct {
 	store objectapi.Store
 	clock clock.Clock
@@ -44,20 +44,20 @@
 	ring  *ring.Ring[*op]
 
 	pending []*op
-	// value is what the object held at version and readAt, while known is set.
+	// value is the content of the object at version, as of readAt; valid while known is set.
 	known   bool
 	readAt  time.Time
 	version objectapi.Version
 	value   []byte
-	// doubtful is set after a write whose reply was lost, at doubtAt: it may
-	// still take effect as long as the object stands at that version.
-	doubtful bool
-	doubtAt  objectapi.Version
+	// uncertain is set after a write whose reply was lost, on version uncertainAt: it may still
+	// take effect as long as the object is at that version.
+	uncertain   bool
+	uncertainAt objectapi.Version
 }
 
-// run serves the shard until ctx ends.
+// run processes the shard's operations until ctx is done.
 func (s *shard) run(ctx context.Context) {
-	pause := firstPause
+	backoff := initialBackoff
 	for ctx.Err() == nil {
 		if len(s.pending) == 0 && !s.receive(ctx) {
 			return
@@ -69,15 +69,15 @@
 		}
 		err := s.commit(ctx)
 		if err == nil || fault.Is(err, fault.Conflict) {
-			pause = firstPause
+			backoff = initialBackoff
 			continue
 		}
-		_ = clock.Sleep(ctx, pause)
-		pause = min(2*pause, maxPause)
+		_ = clock.Sleep(ctx, backoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-// receive blocks for something to do.
+// receive blocks until an operation arrives; it returns false if ctx is done.
 func (s *shard) receive(ctx context.Context) bool {
 	select {
 	case o := <-s.ring.C():
@@ -88,18 +88,18 @@
 	}
 }
 
-// add takes in one operation. A look has to see what was written before it
-// came; the others may start from an old value, which costs a conflict.
+// add adds an operation to the pending ones. A lookup has to see everything written before it
+// was requested; the other operations may start from an old value, at the risk of a conflict.
 func (s *shard) add(o *op) {
 	s.pending = append(s.pending, o)
-	if o.kind == opLook || s.clock.Now().Sub(s.readAt) > freshFor {
+	if o.kind == opLookup || s.clock.Now().Sub(s.readAt) > maxValueAge {
 		s.known = false
 	}
 }
 
-// collect takes in what else has come.
+// collect adds all further queued operations, up to queueSize.
 func (s *shard) collect() {
-	for len(s.pending) < ringSize {
+	for len(s.pending) < queueSize {
 		select {
 		case o := <-s.ring.C():
 			s.add(o)
@@ -109,32 +109,32 @@
 	}
 }
 
-// dropAbandoned leaves out what nobody waits for any more. A claim that may
-// have taken effect, or may still, is given back instead: its attempt never
-// sends, and a resend should not read that it may have run.
+// dropAbandoned removes operations whose caller has stopped waiting. A claim that may have taken
+// effect, or still may, is released instead: its attempt never sends, and a resent request should
+// not find that it may have run.
 func (s *shard) dropAbandoned() {
 	kept := s.pending[:0]
 	for _, o := range s.pending {
 		switch {
-		case !o.gaveUp():
+		case !o.abandoned():
 			kept = append(kept, o)
-		case o.kind == opTake && s.doubtful:
+		case o.kind == opTake && s.uncertain:
 			o.resolve(Found{}, fault.New(fault.Unavailable, "ask again later", "no claim could be made in time"))
-			kept = append(kept, giveBack(o))
+			kept = append(kept, releaseOp(o))
 		}
 	}
 	s.pending = kept
 }
 
-func giveBack(o *op) *op {
-	givenBack.Inc()
+func releaseOp(o *op) *op {
+	released.Inc()
 	return &op{kind: opRelease, request: o.request}
 }
 
-// commit reads the shard if it has to, applies what is pending and writes it.
-// What it could not settle stays pending.
+// commit reads the shard if necessary, applies the pending operations and writes the result.
+// Operations that could not be completed remain pending.
 func (s *shard) commit(ctx context.Context) error {
-	old := s.known
+	cached := s.known
 	if err := s.read(ctx); err != nil {
 		return err
 	}
@@ -144,26 +144,26 @@
 		return err
 	}
 	t.expire(s.clock.Now())
-	changed, done := s.apply(t)
-	if old && anyTaken(done) {
-		// The holder may have ended, or given its claim back, since the read.
+	modified, done := s.apply(t)
+	if cached && anyTakenOrRefused(done) {
+		// The holder may have ended, or released its claim, since the read.
 		s.known = false
 		return s.commit(ctx)
 	}
-	if !changed && !(s.doubtful && s.version == s.doubtAt) {
+	if !modified && !(s.uncertain && s.version == s.uncertainAt) {
 		s.resolveAll(done)
 		return nil
 	}
 	return s.write(ctx, t, done)
 }
 
-// result is what an operation comes to once the write has taken effect.
+// result is the result of an operation once the write has taken effect.
 type result struct {
 	found Found
 	err   error
 }
 
-func anyTaken(results []result) bool {
+func anyTakenOrRefused(results []result) bool {
 	for _, r := range results {
 		if r.found.Taken || r.found.Refused {
 			return true
@@ -172,14 +172,14 @@
 	return false
 }
 
-// apply puts the pending operations into the table, in the order of their
-// coming. Ends of earlier attempts count before later looks.
-func (s *shard) apply(t *table) (changed bool, results []result) {
+// apply applies the pending operations to the table in order of arrival. Lookups see the
+// operations of earlier attempts that precede them.
+func (s *shard) apply(t *table) (modified bool, results []result) {
 	now := s.clock.Now()
 	for _, o := range s.pending {
 		var r result
 		switch o.kind {
-		case opLook:
+		case opLookup:
 			if c, ok := t.byKey[o.request.Key]; ok && !c.GetRefused() {
 				r.found = found(c, o.request.Body)
 			}
@@ -188,25 +188,25 @@
 			var added, ok bool
 			r.found, added, ok = t.take(o.request, now)
 			if !ok {
-				refusals.Inc()
+				shardFull.Inc()
 				r.err = errFull(s.name)
 			}
-			changed = changed || added
+			modified = modified || added
 		case opFinish:
-			changed = t.finish(o.request.Key, o.request.Attempt, o.answer) || changed
+			modified = t.finish(o.request.Key, o.request.Attempt, o.answer) || modified
 		case opRefuse:
 			var refused, ok bool
 			r.found, refused, ok = t.refuse(o.request, uint64(s.version), now)
 			if !ok {
 				r.err = errFull(s.name)
 			}
-			changed = changed || refused
+			modified = modified || refused
 		case opRelease:
-			changed = t.release(o.request.Key, o.request.Attempt) || changed
+			modified = t.release(o.request.Key, o.request.Attempt) || modified
 		}
 		results = append(results, r)
 	}
-	return changed, results
+	return modified, results
 }
 
 func errFull(shard string) error {
@@ -222,19 +222,19 @@
 		return err
 	}
 	if obj.Version < s.version {
-		// A read can't take back what this process has seen.
+		// A read must not return an older version than this process has already seen.
 		return fault.New(fault.Unavailable, "check the object API", "shard %s went back to version %d from %d", s.name, obj.Version, s.version)
 	}
 	s.known, s.readAt = true, s.clock.Now()
 	s.version, s.value = obj.Version, obj.Value
-	if s.doubtful && s.version != s.doubtAt {
-		s.doubtful = false
+	if s.uncertain && s.version != s.uncertainAt {
+		s.uncertain = false
 	}
 	return nil
 }
 
-// write makes the table the object's value under the condition that nobody
-// else wrote since the read.
+// write replaces the object's value with the table, on the condition that no one else has
+// written it since the read.
 func (s *shard) write(ctx context.Context, t *table, results []result) error {
 	value, err := t.encode()
 	if err != nil {
@@ -247,35 +247,35 @@
 	version, err := s.store.Put(ctx, obj, s.version)
 	switch {
 	case err == nil:
-		s.version, s.value, s.doubtful = version, value, false
+		s.version, s.value, s.uncertain = version, value, false
 		s.readAt = s.clock.Now()
 		s.resolveAll(results)
 		return nil
 	case fault.Is(err, fault.Conflict):
 		conflicts.Inc()
 	case fault.Is(err, fault.Unknown):
-		// The next read settles it: a claim that took effect shows its attempt.
-		lost.Inc()
-		s.doubtful, s.doubtAt = true, s.version
+		// The next read resolves this: a claim that took effect shows its attempt.
+		lostReplies.Inc()
+		s.uncertain, s.uncertainAt = true, s.version
 	}
 	s.known = false
 	return err
 }
 
-// resolveAll tells the results. A claim whose asker gave up while the write
-// was under way is given back.
+// resolveAll sends the results to the callers. A claim whose caller stopped waiting while the
+// write was in progress is released.
 func (s *shard) resolveAll(results []result) {
 	ops := s.pending
 	s.pending = nil
 	for i, o := range ops {
 		r := results[i]
 		if !o.resolve(r.found, r.err) && o.kind == opTake && !r.found.Taken && r.err == nil {
-			s.pending = append(s.pending, giveBack(o))
+			s.pending = append(s.pending, releaseOp(o))
 		}
 	}
 }
 
-// failAll refuses all that waits for a shard that can't be read or written.
+// failAll fails the operations with waiting callers if the shard can't be decoded or encoded.
 func (s *shard) failAll(err error) {
 	s.known = false
 	kept := s.pending[:0]
--- a/outcome/claim/table.go
+++ b/outcome/claim/table.go
@@ -9,15 +9,15 @@
 	"github.com/sardinedock/sardinedock/schema/claimspb"
 )
 
-// table is the decoded value of one shard. It has no I/O and no clock.
+// table is the decoded value of one shard. It uses no I/O and no clock.
 type table struct {
 	shard *claimspb.Shard
 	byKey map[Hash]*claimspb.Claim
 	size  int
 }
 
-// parseTable decodes a shard. A value that can't be read is an error and must
-// not be overwritten: keys that it holds could then be claimed a second time.
+// parseTable decodes a shard. A value that can't be decoded is an error and must not be
+// overwritten: the keys in it could otherwise be claimed a second time.
 func parseTable(value []byte) (*table, error) {
 	t := &table{shard: &claimspb.Shard{SchemaVersion: schemaVersion}, byKey: map[Hash]*claimspb.Claim{}}
 	if len(value) == 0 {
@@ -39,10 +39,10 @@
 	return t, nil
 }
 
-// entrySize is the room that a claim takes in the encoded shard.
+// entrySize returns the number of bytes that a claim takes in the encoded shard.
 func entrySize(c *claimspb.Claim) int {
-	const frame = 4
-	return proto.Size(c) + frame
+	const fieldOverhead = 4
+	return proto.Size(c) + fieldOverhead
 }
 
 func (t *table) encode() ([]byte, error) {
@@ -50,18 +50,18 @@
 	return value, fault.Wrap(err, fault.Internal, "report it", "encode a shard of claims")
 }
 
-// take adds a claim unless the key is taken. ok is false if there is no room.
+// take adds a claim unless the key is taken or refused. ok is false if there is no room.
 func (t *table) take(r Request, now time.Time) (f Found, added, ok bool) {
-	c, known := t.byKey[r.Key]
+	c, exists := t.byKey[r.Key]
 	switch {
-	case known && c.GetRefused():
+	case exists && c.GetRefused():
 		if uint64(r.Seen) <= c.GetRefusedAt() {
 			return Found{Refused: true}, false, true
 		}
 		t.remove(func(x *claimspb.Claim) bool { return x == c })
-	case known && c.GetAttempt() == r.Attempt:
+	case exists && c.GetAttempt() == r.Attempt:
 		return Found{}, false, true
-	case known:
+	case exists:
 		return found(c, r.Body), false, true
 	}
 	added = t.add(newClaim(r, now))
@@ -77,7 +77,7 @@
 	}
 }
 
-// add adds a claim; false if there is no room.
+// add adds a claim; it returns false if there is no room.
 func (t *table) add(c *claimspb.Claim) bool {
 	if !t.makeRoom(entrySize(c)) {
 		return false
@@ -88,24 +88,22 @@
 	return true
 }
 
-// refuse records, on the object's given version, that the attempt's request did
-// not run, unless another attempt holds the key. ok is false if there is no
-// room.
+// refuse records, for the object's given version, that the attempt's request did not run, unless
+// another attempt holds the key. ok is false if there is no room.
 //
-// It is made for a key that was sent twice at once: one attempt is refused for
-// want of a slot and its caller is told "not run" while the other still waits.
-// If that one then ran, the word would have been false. So it finds the refusal
-// when it takes the key; an attempt that comes later has looked at a later
-// version, and may run.
+// It is needed when a key is sent twice at the same time: one attempt is refused for lack of a
+// slot and "not-run" is reported to its caller, while the other still waits. If that one then
+// ran, the report would be false. Instead it finds the refusal when it takes the key. An attempt
+// that comes later has looked up a later version, and may run.
 func (t *table) refuse(r Request, version uint64, now time.Time) (f Found, refused, ok bool) {
-	c, known := t.byKey[r.Key]
-	if known && !c.GetRefused() && c.GetAttempt() != r.Attempt {
+	c, exists := t.byKey[r.Key]
+	if exists && !c.GetRefused() && c.GetAttempt() != r.Attempt {
 		return found(c, r.Body), false, true
 	}
-	if known && c.GetAnswer() != nil {
+	if exists && c.GetAnswer() != nil {
 		return found(c, r.Body), false, true
 	}
-	if known {
+	if exists {
 		t.remove(func(x *claimspb.Claim) bool { return x == c })
 	}
 	next := newClaim(r, now)
@@ -114,8 +112,8 @@
 	return Found{}, refused, refused
 }
 
-// makeRoom gives up kept bodies, oldest first, but never a claim: a resend
-// then reads that its request is complete without the answer's text.
+// makeRoom drops stored bodies, oldest first, but never a claim: a resent request then finds
+// that its request is complete, without the body of the answer.
 func (t *table) makeRoom(need int) bool {
 	for _, c := range t.shard.GetClaims() {
 		if t.size+need <= maxShardBytes {
@@ -130,13 +128,13 @@
 	return t.size+need <= maxShardBytes
 }
 
-// held returns the claim of a key if the attempt holds it and has not ended.
+// held returns the claim on a key if the attempt holds it and has no answer yet.
 func (t *table) held(key Hash, attempt string) (*claimspb.Claim, bool) {
 	c, ok := t.byKey[key]
 	return c, ok && !c.GetRefused() && c.GetAttempt() == attempt && c.GetAnswer() == nil
 }
 
-// finish records an answer; it reports whether that changed the table.
+// finish records an answer and reports whether that changed the table.
 func (t *table) finish(key Hash, attempt string, a Answer) bool {
 	c, ok := t.held(key, attempt)
 	if !ok {
@@ -152,7 +150,8 @@
 	return true
 }
 
-// release removes the claim of an attempt that will never send.
+// release removes the claim of an attempt that will never send, and reports whether that changed
+// the table.
 func (t *table) release(key Hash, attempt string) bool {
 	if _, ok := t.held(key, attempt); !ok {
 		return false
@@ -161,8 +160,7 @@
 	return true
 }
 
-// expire forgets claims whose time is over; it does not by itself make a write
-// worth while.
+// expire removes expired claims. Their removal alone does not cause a write.
 func (t *table) expire(now time.Time) {
 	ms := now.UnixMilli()
 	t.remove(func(c *claimspb.Claim) bool { return c.GetExpiresAtMs() <= ms })
