--- a/entry/answer.go
+++ b/entry/answer.go
@@ -225,7 +225,7 @@
 
 // late is the error of a call that ended before it was placed.
 func (a *answer) late(cause error) error {
-	if errors.Is(cause, errTimeout) && a.account.Unrun() {
+	if errors.Is(cause, errTimeout) && a.account.NoSendMayHaveRun() {
 		return fault.New(fault.Overloaded, "send the request again later", "the request could not start before its class's timeout")
 	}
 	return cause
--- a/entry/once.go
+++ b/entry/once.go
@@ -228,7 +228,7 @@
 	case t == nil || !t.held:
 	case v.Complete():
 		t.claims.Finish(t.request, a)
-	case t.account.Unrun():
+	case t.account.NoSendMayHaveRun():
 		t.claims.Release(t.request)
 	}
 }
--- a/entry/service.go
+++ b/entry/service.go
@@ -189,7 +189,7 @@
 	if cause := c.call.cause(); cause != nil {
 		return cause
 	}
-	if !c.account.Unrun() && c.once {
+	if !c.account.NoSendMayHaveRun() && c.once {
 		return fault.Wrap(err, fault.Unknown, "ask with the same Idempotency-Key what became of it", "a non-idempotent call broke off; it may have run")
 	}
 	return err
--- a/outcome/state.go
+++ b/outcome/state.go
@@ -120,7 +120,7 @@
 
 // NeedsRefusal reports whether the outcome is unknown only because of the key. It becomes not-run
 // as soon as a refusal is stored that keeps the other attempts from running.
-func (r *Request) NeedsRefusal() bool { return r.keyPending && r.Unrun() }
+func (r *Request) NeedsRefusal() bool { return r.keyPending && r.NoSendMayHaveRun() }
 
 // Recorded ends a request whose idempotency key is held by another attempt: that attempt's
 // outcome is the request's outcome. It is unknown unless the attempt's complete answer is stored.
@@ -136,8 +136,8 @@
 	}
 }
 
-// Unrun reports whether nothing that this instance has sent can have run.
-func (r *Request) Unrun() bool { return r.state != Done && r.mayHaveRun == 0 }
+// NoSendMayHaveRun reports whether nothing that this instance has sent can have run.
+func (r *Request) NoSendMayHaveRun() bool { return r.state != Done && r.mayHaveRun == 0 }
 
 // MaySend reports whether the request may be sent now: always before the first send, and after
 // that only if it is idempotent or no earlier send can have run.
