--- a/hosted/drain_test.go
+++ b/hosted/drain_test.go
@@ -121,7 +121,7 @@
 		f.endpoint("e1", "pool", stream(2))
 		f.serve(1, func(r map[string]any) { r["routes"].([]any)[2].(map[string]any)["timeoutMs"] = 3000 })
 		f.eventually("the instances know each other", func() bool {
-			staying, _ := f.instances[0].node.Staying(time.Now(), time.Now())
+			staying, _ := f.instances[0].node.HasRemainingPeer(time.Now(), time.Now())
 			return staying
 		})
 		for _, i := range f.instances[:ending] {
--- a/hosted/shutdown.go
+++ b/hosted/shutdown.go
@@ -60,7 +60,7 @@
 func (i *Instance) TakesAgainIn(now time.Time) time.Duration {
 	// What was told to end longer ago and is not back does not come back soon.
 	most := i.grace() + restartTime
-	staying, first := i.node.Staying(now, now.Add(-most))
+	staying, first := i.node.HasRemainingPeer(now, now.Add(-most))
 	if staying {
 		return 0
 	}
