--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -292,8 +292,9 @@
 	n.out.Push(item{urgent: true})
 }
 
-// HasRemainingPeer reports whether any live peer is not shutting down. If there is none, firstLeaving
-// is the earliest time after since at which a peer announced its shutdown; zero if none did.
+// HasRemainingPeer reports whether any live peer is not shutting down. If there is none,
+// firstLeaving is the earliest time after since at which a peer announced its shutdown; zero if
+// none did.
 func (n *Node) HasRemainingPeer(now, since time.Time) (staying bool, firstLeaving time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
