--- a/outcome/claim/refuse_test.go
+++ b/outcome/claim/refuse_test.go
@@ -154,7 +154,7 @@
 		for i, n := range results {
 			for j, h := range results {
 				if n.notRun && h.held && h.lookedUp.Before(n.began) {
-					rt.Fatalf("attempt %d was reported as not run, and attempt %d, which had looked up the key before, holds it", i, j)
+					rt.Fatalf("attempt %d was reported as not-run, and attempt %d, which had looked up the key before, holds it", i, j)
 				}
 			}
 		}
