--- a/owner/book.go
+++ b/owner/book.go
@@ -17,7 +17,7 @@
 // Book holds the endpoints that an instance owns.
 type Book struct {
 	endpoints map[string]*Endpoint
-	callers   map[string]time.Time
+	lastSeen  map[string]time.Time
 	prices    policy.Prices
 	// levels are those of all endpoints here. A prefix goes to few endpoints,
 	// so their owners see where its levels end long before any of the many
@@ -28,7 +28,7 @@
 // NewBook returns an empty book. The prices decide between several endpoints
 // that one ask names.
 func NewBook(prices policy.Prices) *Book {
-	return &Book{endpoints: map[string]*Endpoint{}, callers: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
+	return &Book{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
 }
 
 // Add takes an endpoint in; one that is there keeps its state and gets the new
@@ -53,7 +53,7 @@
 	}
 	delete(b.endpoints, name)
 	e.status = fleetpb.EndpointStatus_ENDPOINT_STATUS_LEAVING
-	return e.sendAway()
+	return e.refuseQueued()
 }
 
 // Endpoint returns an endpoint of the book, nil if it is not there.
@@ -75,12 +75,12 @@
 	b.Seen(now, a.Caller)
 	offers := b.offers(now, a, names)
 	if len(offers) == 0 {
-		return refuse(a, b.whyNone(names), 0)
+		return refuse(a, b.noOfferReason(names), 0)
 	}
 	if a.Mode == Probe {
 		return Decision{Kind: Offered, Caller: a.Caller, RequestID: a.RequestID, Offers: offers}
 	}
-	best := b.holder(a, names)
+	best := b.findExisting(a, names)
 	if best == nil {
 		prices := b.prices
 		prices.Urgent = a.Urgent
@@ -95,7 +95,7 @@
 }
 
 // holder returns the named endpoint where the ask is granted or queued already.
-func (b *Book) holder(a Ask, names []string) *Endpoint {
+func (b *Book) findExisting(a Ask, names []string) *Endpoint {
 	for _, name := range names {
 		e := b.endpoints[name]
 		if e == nil {
@@ -114,13 +114,13 @@
 	offers := make([]policy.Offer, 0, len(names))
 	for _, name := range names {
 		if e := b.endpoints[name]; e != nil && e.live() {
-			offers = append(offers, e.offer(now, a, e.appraise(now, a)))
+			offers = append(offers, e.offer(now, a, e.estimateCache(now, a)))
 		}
 	}
 	return offers
 }
 
-func (b *Book) whyNone(names []string) Reason {
+func (b *Book) noOfferReason(names []string) Reason {
 	for _, name := range names {
 		if b.endpoints[name] != nil {
 			return ReasonEndpoint
@@ -140,38 +140,38 @@
 }
 
 // Seen renews the lease of an instance; any message of it does.
-func (b *Book) Seen(now time.Time, caller string) { b.callers[caller] = now }
+func (b *Book) Seen(now time.Time, caller string) { b.lastSeen[caller] = now }
 
 // CallerLost takes back all that an instance holds, once it is known to be
 // gone.
 func (b *Book) CallerLost(now time.Time, caller string) []Decision {
-	delete(b.callers, caller)
-	var out []Decision
+	delete(b.lastSeen, caller)
+	var decisions []Decision
 	for _, name := range b.Names() {
-		out = append(out, b.endpoints[name].CallerLost(now, caller)...)
+		decisions = append(decisions, b.endpoints[name].CallerLost(now, caller)...)
 	}
-	return out
+	return decisions
 }
 
 // Tick has to be called every TickInterval.
 func (b *Book) Tick(now time.Time) []Decision {
-	var out []Decision
-	for _, caller := range b.silent(now) {
-		out = append(out, b.CallerLost(now, caller)...)
+	var decisions []Decision
+	for _, caller := range b.expired(now) {
+		decisions = append(decisions, b.CallerLost(now, caller)...)
 	}
 	for _, name := range b.Names() {
-		out = append(out, b.endpoints[name].Tick(now)...)
+		decisions = append(decisions, b.endpoints[name].Tick(now)...)
 	}
-	return out
+	return decisions
 }
 
-func (b *Book) silent(now time.Time) []string {
-	var silent []string
-	for caller, seen := range b.callers {
+func (b *Book) expired(now time.Time) []string {
+	var expired []string
+	for caller, seen := range b.lastSeen {
 		if now.Sub(seen) > callerLease {
-			silent = append(silent, caller)
+			expired = append(expired, caller)
 		}
 	}
-	slices.Sort(silent)
-	return silent
+	slices.Sort(expired)
+	return expired
 }
--- a/owner/endpoint.go
+++ b/owner/endpoint.go
@@ -15,21 +15,21 @@
 	// told so at once.
 	maxQueued = 512
 	// firstHold is how long a request is taken to hold a slot before any ended.
-	firstHold = time.Second
+	initialHoldTime = time.Second
 	// holdMemory is the weight of the newest request in the mean hold time.
-	holdMemory = 0.05
+	holdTimeSmoothing = 0.05
 	// defaultTimeout ends a grant whose ask named none.
 	defaultTimeout = 10 * time.Minute
 	// longTokens is from how many tokens on a prefill is long: a few chunks of an
 	// engine. Cold catalogues are far above it, cached ones far below.
-	longTokens = 1536
+	longPrefillTokens = 1536
 	// chunkTokens is what an engine computes at a time; work of a lower rank
 	// waits for the end of the chunk at most.
 	chunkTokens = 512
 	// longPatience and longFactor bound how long short work may go before a
 	// long prefill that was sent: a multiple of its own time, at least this.
-	longPatience = 500 * time.Millisecond
-	longFactor   = 3
+	longMinDelay    = 500 * time.Millisecond
+	longDelayFactor = 3
 	// timeoutMargin is what a grant outlives its request by, so that a report
 	// under way is not too late.
 	timeoutMargin = 5 * time.Second
@@ -39,16 +39,16 @@
 type lane int
 
 const (
-	waiting lane = iota
-	urgent
-	lanes
+	laneNormal lane = iota
+	laneUrgent
+	laneCount
 )
 
 func laneOf(a Ask) lane {
 	if a.Urgent {
-		return urgent
+		return laneUrgent
 	}
-	return waiting
+	return laneNormal
 }
 
 // rank is the order in which an engine computes prompts; a lower one interrupts
@@ -59,14 +59,14 @@
 	rankUrgent rank = iota
 	rankShort
 	rankLong
-	ranks
+	rankCount
 )
 
 func rankOf(a Ask, tokens int64) rank {
 	switch {
 	case a.Urgent:
 		return rankUrgent
-	case tokens > longTokens:
+	case tokens > longPrefillTokens:
 		return rankLong
 	default:
 		return rankShort
@@ -86,11 +86,11 @@
 	rank   rank
 	cached int64
 	// depth is how many blocks were known before the grant.
-	depth   int
-	tokens  int64
-	since   time.Time
-	expires time.Time
-	started bool
+	knownBlocks int
+	tokens      int64
+	since       time.Time
+	expires     time.Time
+	started     bool
 	// mark is the window's at the send.
 	mark int64
 }
@@ -103,24 +103,24 @@
 	status      fleetpb.EndpointStatus
 	incarnation uint64
 	models      []string
-	known       *knowledge
+	known       *cacheModel
 	// levels is shared with the book's other endpoints; nil where there is none.
-	levels     *prefix.Levels
-	window     policy.Window
-	grants     map[uint64]*grant
-	granted    map[requestKey]uint64
-	queued     map[requestKey]*waiter
-	queue      [lanes]*fairQueue
-	aloneQueue []*waiter
-	inUse      [lanes]int
-	pending    [ranks]int64
-	hold       [lanes]time.Duration
-	aloneRuns  bool
-	lastGrant  uint64
-	foreign    foreignLoad
+	levels        *prefix.Levels
+	window        policy.Window
+	grants        map[uint64]*grant
+	granted       map[requestKey]uint64
+	queued        map[requestKey]*waiter
+	queue         [laneCount]*fairQueue
+	aloneQueue    []*waiter
+	inUse         [laneCount]int
+	pendingTokens [rankCount]int64
+	meanHold      [laneCount]time.Duration
+	aloneRunning  bool
+	lastGrant     uint64
+	external      externalLoad
 	// began is when this owner was first asked; cacheKnown says that what the
 	// cache held before is known: nothing, or what the former owner told.
-	began      time.Time
+	firstAsk   time.Time
 	cacheKnown bool
 	// longSince is when the newest long prefill was sent.
 	longSince time.Time
@@ -131,13 +131,13 @@
 	e := &Endpoint{
 		cfg:       cfg,
 		status:    fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE,
-		known:     newKnowledge(cfg.CacheBlocks),
+		known:     newCacheModel(cfg.CacheBlocks),
 		window:    policy.NewWindow(cfg.PrefillTokensPerSecond),
 		grants:    map[uint64]*grant{},
 		granted:   map[requestKey]uint64{},
 		queued:    map[requestKey]*waiter{},
 		lastGrant: cfg.FirstGrantID,
-		hold:      [lanes]time.Duration{firstHold, firstHold},
+		meanHold:  [laneCount]time.Duration{initialHoldTime, initialHoldTime},
 	}
 	for l := range e.queue {
 		e.queue[l] = newFairQueue()
@@ -162,16 +162,16 @@
 	if !e.live() {
 		return refuse(a, ReasonEndpoint, 0)
 	}
-	p := e.appraise(now, a)
+	p := e.estimateCache(now, a)
 	offer := e.offer(now, a, p)
-	impatient := a.Patience > 0 && e.costly(a, offer, p)
-	if a.Mode == Probe || impatient {
+	tooSlow := a.Patience > 0 && e.exceedsPatience(a, offer, p)
+	if a.Mode == Probe || tooSlow {
 		return Decision{Kind: Offered, Caller: a.Caller, RequestID: a.RequestID, Offers: []policy.Offer{offer}}
 	}
 	if start := now.Add(offer.Wait); start.After(a.Deadline) {
 		return refuse(a, ReasonDeadline, retryAfter(a.RequestID, start.Sub(a.Deadline)))
 	}
-	if e.open(now, a, p.rank) {
+	if e.canStart(now, a, p.rank) {
 		return e.grant(now, a, p)
 	}
 	if len(e.queued) >= maxQueued {
@@ -188,7 +188,7 @@
 // burst had spread it or this endpoint has evicted it. To ask the others costs
 // a round trip of a millisecond or two; a catalogue computed twice costs a
 // quarter of a second here and evicts another one.
-func (e *Endpoint) costly(a Ask, offer policy.Offer, p appraisal) bool {
+func (e *Endpoint) exceedsPatience(a Ask, offer policy.Offer, p cacheEstimate) bool {
 	return offer.Wait+e.window.Time(p.missing) > a.Patience
 }
 
@@ -198,7 +198,7 @@
 		return e.grantedDecision(e.grants[id]), true
 	}
 	if _, ok := e.queued[a.key()]; ok && a.Mode == Take {
-		return Decision{Kind: Queued, Caller: a.Caller, RequestID: a.RequestID, Offer: e.offer(now, a, e.appraise(now, a))}, true
+		return Decision{Kind: Queued, Caller: a.Caller, RequestID: a.RequestID, Offer: e.offer(now, a, e.estimateCache(now, a))}, true
 	}
 	return Decision{}, false
 }
@@ -208,17 +208,17 @@
 // open reports whether an ask may start at once: a slot of its lane is free,
 // nobody of its lane or above waits, and the endpoint is not behind with what
 // it has.
-func (e *Endpoint) open(now time.Time, a Ask, r rank) bool {
-	if len(e.aloneQueue) > 0 || e.aloneRuns {
+func (e *Endpoint) canStart(now time.Time, a Ask, r rank) bool {
+	if len(e.aloneQueue) > 0 || e.aloneRunning {
 		return false
 	}
 	if a.Alone {
 		return len(e.grants) == 0
 	}
 	if a.Urgent {
-		return e.queue[urgent].length == 0 && e.slotFree(urgent)
+		return e.queue[laneUrgent].length == 0 && e.slotFree(laneUrgent)
 	}
-	return len(e.queued) == 0 && e.slotFree(waiting) && e.prefillFree(now, r)
+	return len(e.queued) == 0 && e.slotFree(laneNormal) && e.prefillFree(now, r)
 }
 
 // slotFree reports whether the lane may use one more slot. The slots kept for
@@ -227,8 +227,8 @@
 // while waiting work filled all others, and each next one would wait until a
 // long answer has ended.
 func (e *Endpoint) slotFree(l lane) bool {
-	used := e.inUse[waiting] + e.inUse[urgent] + e.foreign.requests()
-	if l == urgent {
+	used := e.inUse[laneNormal] + e.inUse[laneUrgent] + e.external.requests()
+	if l == laneUrgent {
 		return used < e.cfg.Slots
 	}
 	return used < e.cfg.Slots-e.cfg.UrgentSlots
@@ -245,51 +245,51 @@
 // done, so that a stream of short ones cannot hold it up for ever.
 func (e *Endpoint) prefillFree(now time.Time, r rank) bool {
 	if r == rankLong {
-		return e.pending[rankLong] == 0 && e.window.Admits(e.pending[rankShort]+e.pending[rankUrgent])
+		return e.pendingTokens[rankLong] == 0 && e.window.Admits(e.pendingTokens[rankShort]+e.pendingTokens[rankUrgent])
 	}
-	return !e.longOverdue(now) && e.window.Admits(e.pending[rankShort]+e.pending[rankUrgent])
+	return !e.longOverdue(now) && e.window.Admits(e.pendingTokens[rankShort]+e.pendingTokens[rankUrgent])
 }
 
 func (e *Endpoint) longOverdue(now time.Time) bool {
-	if e.pending[rankLong] == 0 {
+	if e.pendingTokens[rankLong] == 0 {
 		return false
 	}
-	return now.Sub(e.longSince) > longPatience+longFactor*e.window.Time(e.pending[rankLong])
+	return now.Sub(e.longSince) > longMinDelay+longDelayFactor*e.window.Time(e.pendingTokens[rankLong])
 }
 
-func (e *Endpoint) grant(now time.Time, a Ask, p appraisal) Decision {
+func (e *Endpoint) grant(now time.Time, a Ask, p cacheEstimate) Decision {
 	timeout := a.Timeout
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
 	e.lastGrant++
 	g := &grant{
-		id:      e.lastGrant,
-		ask:     a,
-		lane:    laneOf(a),
-		rank:    p.rank,
-		cached:  p.cached,
-		depth:   p.depth,
-		tokens:  p.missing,
-		mark:    e.window.Mark(),
-		since:   now,
-		expires: now.Add(timeout + timeoutMargin),
+		id:          e.lastGrant,
+		ask:         a,
+		lane:        laneOf(a),
+		rank:        p.rank,
+		cached:      p.cached,
+		knownBlocks: p.knownBlocks,
+		tokens:      p.missing,
+		mark:        e.window.Mark(),
+		since:       now,
+		expires:     now.Add(timeout + timeoutMargin),
 	}
 	_, twice := e.granted[a.key()]
 	invariant.Check(!twice, "one_grant_per_request", "request %s of %s granted twice on %s", a.RequestID, a.Caller, e.cfg.Name)
 	e.grants[g.id] = g
 	e.granted[a.key()] = g.id
 	e.inUse[g.lane]++
-	e.pending[g.rank] += g.tokens
+	e.pendingTokens[g.rank] += g.tokens
 	if g.rank == rankLong {
 		e.longSince = now
 	}
-	e.aloneRuns = a.Alone
-	e.foreign.note(len(e.grants))
+	e.aloneRunning = a.Alone
+	e.external.observeGrants(len(e.grants))
 	e.queue[g.lane].charge(a.Organisation, a.Weight, e.cost(g.lane, g.tokens))
 	e.known.use(a.Blocks)
-	invariant.Check(e.inUse[waiting] <= max(e.cfg.Slots-e.cfg.UrgentSlots, 0) || g.lane == urgent || a.Alone, "urgent_slots_kept",
-		"%d waiting requests run on %s", e.inUse[waiting], e.cfg.Name)
+	invariant.Check(e.inUse[laneNormal] <= max(e.cfg.Slots-e.cfg.UrgentSlots, 0) || g.lane == laneUrgent || a.Alone, "urgent_slots_kept",
+		"%d waiting requests run on %s", e.inUse[laneNormal], e.cfg.Name)
 	d := e.grantedDecision(g)
 	d.Levels = e.levelEnds(a.Blocks)
 	return d
@@ -311,7 +311,7 @@
 	}}
 }
 
-func (e *Endpoint) enqueue(a Ask, p appraisal) {
+func (e *Endpoint) enqueue(a Ask, p cacheEstimate) {
 	w := &waiter{ask: a, tokens: p.missing, rank: p.rank}
 	e.queued[a.key()] = w
 	if a.Alone {
@@ -324,29 +324,29 @@
 // release frees a grant's slot.
 func (e *Endpoint) release(g *grant) {
 	if !g.started {
-		e.pending[g.rank] -= g.tokens
+		e.pendingTokens[g.rank] -= g.tokens
 	}
 	e.inUse[g.lane]--
-	e.aloneRuns = e.aloneRuns && !g.ask.Alone
+	e.aloneRunning = e.aloneRunning && !g.ask.Alone
 	delete(e.grants, g.id)
 	delete(e.granted, g.ask.key())
-	invariant.Check(e.inUse[g.lane] >= 0 && e.pending[g.rank] >= 0, "slots_balanced",
-		"%d slots and %d tokens in use on %s", e.inUse[g.lane], e.pending[g.rank], e.cfg.Name)
+	invariant.Check(e.inUse[g.lane] >= 0 && e.pendingTokens[g.rank] >= 0, "slots_balanced",
+		"%d slots and %d tokens in use on %s", e.inUse[g.lane], e.pendingTokens[g.rank], e.cfg.Name)
 }
 
 // pump grants what may start now.
-func (e *Endpoint) pump(now time.Time) []Decision {
+func (e *Endpoint) grantQueued(now time.Time) []Decision {
 	var out []Decision
 	for w := e.next(now); w != nil; w = e.next(now) {
 		e.dequeue(w)
-		out = append(out, e.grant(now, w.ask, e.appraise(now, w.ask)))
+		out = append(out, e.grant(now, w.ask, e.estimateCache(now, w.ask)))
 	}
 	return out
 }
 
 // next returns the waiter that may start now, nil if none.
 func (e *Endpoint) next(now time.Time) *waiter {
-	if !e.live() || e.aloneRuns {
+	if !e.live() || e.aloneRunning {
 		return nil
 	}
 	if len(e.aloneQueue) > 0 {
@@ -355,20 +355,20 @@
 		}
 		return nil
 	}
-	if e.queue[urgent].length > 0 {
-		if e.slotFree(urgent) {
-			return e.queue[urgent].head(func(rank) bool { return true })
+	if e.queue[laneUrgent].length > 0 {
+		if e.slotFree(laneUrgent) {
+			return e.queue[laneUrgent].pick(func(rank) bool { return true })
 		}
 		return nil
 	}
-	if e.queue[waiting].length == 0 || !e.slotFree(waiting) {
+	if e.queue[laneNormal].length == 0 || !e.slotFree(laneNormal) {
 		return nil
 	}
-	var free [ranks]bool
+	var free [rankCount]bool
 	for r := range free {
 		free[r] = e.prefillFree(now, rank(r))
 	}
-	return e.queue[waiting].head(func(r rank) bool { return free[r] })
+	return e.queue[laneNormal].pick(func(r rank) bool { return free[r] })
 }
 
 func (e *Endpoint) dequeue(w *waiter) {
--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -57,7 +57,7 @@
 	asked    int
 }
 
-func (m *model) take(t *rapid.T, decisions ...Decision) {
+func (m *model) apply(t *rapid.T, decisions ...Decision) {
 	for _, d := range decisions {
 		a, known := m.asks[d.RequestID]
 		if !known {
@@ -119,7 +119,7 @@
 	if again := m.e.Ask(m.now, a); d.Kind == Granted && (again.Kind != Granted || again.Offer.GrantID != d.Offer.GrantID) {
 		t.Fatalf("first %+v, then %+v", d, again)
 	}
-	m.take(t, d)
+	m.apply(t, d)
 }
 
 func (m *model) pick(t *rapid.T) (string, bool) {
@@ -141,19 +141,19 @@
 	}
 	g := m.running[id]
 	if rapid.Bool().Draw(t, "first") {
-		m.take(t, m.e.FirstToken(m.now, g.Offer.GrantID, g.Offer.CachedTokens, time.Millisecond)...)
+		m.apply(t, m.e.FirstToken(m.now, g.Offer.GrantID, g.Offer.CachedTokens, time.Millisecond)...)
 	}
 	delete(m.running, id)
 	m.finished++
 	stage := rapid.SampledFrom([]Stage{Unused, Done, Failed}).Draw(t, "stage")
-	m.take(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Stage: stage})...)
+	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Stage: stage})...)
 }
 
 func (m *model) withdraw(t *rapid.T) {
 	if id, ok := m.pick(t); ok {
 		delete(m.running, id)
 		m.finished++
-		m.take(t, m.e.Withdraw(m.now, "i1", id)...)
+		m.apply(t, m.e.Withdraw(m.now, "i1", id)...)
 	}
 }
 
@@ -169,12 +169,12 @@
 		m.finished += running
 		clear(m.running)
 	}
-	m.take(t, change.Decisions...)
+	m.apply(t, change.Decisions...)
 }
 
 func (m *model) tick(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-	m.take(t, m.e.Tick(m.now)...)
+	m.apply(t, m.e.Tick(m.now)...)
 	for id, a := range m.waiting {
 		if m.now.After(a.Deadline) {
 			t.Fatalf("%s waits beyond its deadline", id)
--- a/owner/estimate.go
+++ b/owner/estimate.go
@@ -14,20 +14,20 @@
 	minRetryAfter = 200 * time.Millisecond
 	// doubtfulShare is what a doubtful block counts for: a gap may have hidden
 	// its eviction, but most blocks outlive a gap.
-	doubtfulShare = 0.5
+	uncertainWeight = 0.5
 	// learnTime is how long a new owner takes to see what is in use. The hot
 	// prompts come again within seconds, those that are rare within half a
 	// minute, by which time the engine has evicted what did not come.
-	learnTime = 30 * time.Second
+	learningPeriod = 30 * time.Second
 	// firstShare of a prompt is taken to be cached at its first candidate at the
 	// start of learning, and less and less until its end: what most prompts share.
-	firstShare = 0.9
+	initialCachedShare = 0.9
 )
 
 // appraisal is what a prompt is worth at this endpoint now.
-type appraisal struct {
+type cacheEstimate struct {
 	// depth is how many leading blocks are known.
-	depth int
+	knownBlocks int
 	// cached tokens are believed to be there, missing ones to be computed.
 	cached, missing int64
 	rank            rank
@@ -41,14 +41,14 @@
 // would get it instead of the one that has it cached. So a new owner believes
 // in the order of candidates, by which its predecessors placed, until it has
 // seen for itself what is in use.
-func (e *Endpoint) appraise(now time.Time, a Ask) appraisal {
-	known, sure := e.known.depth(a.Blocks)
-	blocks := float64(sure) + float64(known-sure)*doubtfulShare
+func (e *Endpoint) estimateCache(now time.Time, a Ask) cacheEstimate {
+	known, certain := e.known.knownBlocks(a.Blocks)
+	blocks := float64(certain) + float64(known-certain)*uncertainWeight
 	tokens := blocks * float64(e.cfg.BlockTokens)
 	if a.Candidate == 0 {
-		tokens = max(tokens, e.believed(now)*float64(a.PromptTokens))
+		tokens = max(tokens, e.assumedCachedShare(now)*float64(a.PromptTokens))
 	}
-	p := appraisal{depth: known, cached: min(int64(tokens), a.PromptTokens)}
+	p := cacheEstimate{knownBlocks: known, cached: min(int64(tokens), a.PromptTokens)}
 	p.missing = a.PromptTokens - p.cached
 	p.rank = rankOf(a, p.missing)
 	return p
@@ -57,19 +57,19 @@
 // believed is the share of a prompt that is taken to be cached at its first
 // candidate though this owner has not seen it: none once it has learnt what is
 // in use, or where the endpoint is as new as the owner.
-func (e *Endpoint) believed(now time.Time) float64 {
-	if e.began.IsZero() {
-		e.began = now
+func (e *Endpoint) assumedCachedShare(now time.Time) float64 {
+	if e.firstAsk.IsZero() {
+		e.firstAsk = now
 	}
 	if e.cacheKnown {
 		return 0
 	}
-	left := 1 - float64(now.Sub(e.began))/float64(learnTime)
-	return firstShare * max(left, 0)
+	left := 1 - float64(now.Sub(e.firstAsk))/float64(learningPeriod)
+	return initialCachedShare * max(left, 0)
 }
 
 // offer is what the endpoint would give the ask now.
-func (e *Endpoint) offer(now time.Time, a Ask, p appraisal) policy.Offer {
+func (e *Endpoint) offer(now time.Time, a Ask, p cacheEstimate) policy.Offer {
 	return policy.Offer{
 		Endpoint:     e.cfg.Name,
 		CachedTokens: p.cached,
@@ -85,12 +85,12 @@
 // whichever is later.
 func (e *Endpoint) wait(now time.Time, a Ask, r rank) time.Duration {
 	l := laneOf(a)
-	if a.Alone || len(e.aloneQueue) > 0 || e.aloneRuns {
+	if a.Alone || len(e.aloneQueue) > 0 || e.aloneRunning {
 		return e.drainTime(l, len(e.aloneQueue))
 	}
 	var own work
-	if line := e.queue[l].lines[a.Organisation]; line != nil {
-		own = line.work
+	if oq := e.queue[l].queues[a.Organisation]; oq != nil {
+		own = oq.work
 	}
 	return e.waitBehind(now, a, r, own)
 }
@@ -99,18 +99,18 @@
 func (e *Endpoint) waitBehind(now time.Time, a Ask, r rank, own work) time.Duration {
 	l := laneOf(a)
 	count, queued := e.queue[l].ahead(a.Organisation, a.Weight, r, own)
-	if l == waiting {
-		queued += e.queue[urgent].work.upTo(rankUrgent)
-		count += e.queue[urgent].length
+	if l == laneNormal {
+		queued += e.queue[laneUrgent].work.upTo(rankUrgent)
+		count += e.queue[laneUrgent].length
 	}
-	prefill := e.window.Time(queued+e.before(now, r)) - e.progress(now)
+	prefill := e.window.Time(queued+e.pendingBefore(now, r)) - e.progress(now)
 	return max(prefill, e.slotWait(l, count), 0)
 }
 
 // before is what was sent and is computed before a new request of the rank.
-func (e *Endpoint) before(now time.Time, r rank) int64 {
+func (e *Endpoint) pendingBefore(now time.Time, r rank) int64 {
 	var sum, later int64
-	for i, tokens := range e.pending {
+	for i, tokens := range e.pendingTokens {
 		if rank(i) <= r {
 			sum += tokens
 		} else {
@@ -125,25 +125,25 @@
 
 // progress is how long the endpoint has been computing on what is pending.
 func (e *Endpoint) progress(now time.Time) time.Duration {
-	return e.window.Since(now, e.pending[rankUrgent]+e.pending[rankShort]+e.pending[rankLong])
+	return e.window.Since(now, e.pendingTokens[rankUrgent]+e.pendingTokens[rankShort]+e.pendingTokens[rankLong])
 }
 
 // slotWait is the time until a slot is free behind count others: as many
 // requests have to end as there are too few slots, and those that run end at
 // the rate that their mean times give.
 func (e *Endpoint) slotWait(l lane, count int) time.Duration {
-	used := e.inUse[waiting] + e.inUse[urgent] + e.foreign.requests()
+	used := e.inUse[laneNormal] + e.inUse[laneUrgent] + e.external.requests()
 	free := e.cfg.Slots - used
-	if l == waiting {
+	if l == laneNormal {
 		free -= e.cfg.UrgentSlots
 	}
 	if count < free {
 		return 0
 	}
-	ends := float64(e.inUse[waiting]) / e.hold[waiting].Seconds()
-	ends += float64(e.inUse[urgent]) / e.hold[urgent].Seconds()
+	ends := float64(e.inUse[laneNormal]) / e.meanHold[laneNormal].Seconds()
+	ends += float64(e.inUse[laneUrgent]) / e.meanHold[laneUrgent].Seconds()
 	if ends <= 0 {
-		return e.hold[l]
+		return e.meanHold[l]
 	}
 	return time.Duration(float64(count-free+1) / ends * float64(time.Second))
 }
@@ -153,15 +153,15 @@
 func (e *Endpoint) drainTime(l lane, before int) time.Duration {
 	drain := time.Duration(0)
 	if len(e.grants) > 0 {
-		drain = max(e.hold[waiting], e.hold[urgent])
+		drain = max(e.meanHold[laneNormal], e.meanHold[laneUrgent])
 	}
-	return drain + time.Duration(before)*e.hold[l]
+	return drain + time.Duration(before)*e.meanHold[l]
 }
 
 // cost is the endpoint's time that a request is charged for: its prefill, which
 // nobody else can use, and its part of the slots.
 func (e *Endpoint) cost(l lane, tokens int64) float64 {
-	return e.window.Time(tokens).Seconds() + e.hold[l].Seconds()/float64(max(e.cfg.Slots, 1))
+	return e.window.Time(tokens).Seconds() + e.meanHold[l].Seconds()/float64(max(e.cfg.Slots, 1))
 }
 
 // retryAfter tells a refused caller when to come back. Callers that were
--- a/owner/events.go
+++ b/owner/events.go
@@ -17,7 +17,7 @@
 	if id, ok := e.granted[key]; ok {
 		return e.End(now, End{GrantID: id, Stage: Unused})
 	}
-	return e.pump(now)
+	return e.grantQueued(now)
 }
 
 // CallerLost takes back all that an instance asked for or was granted, once
@@ -33,7 +33,7 @@
 			e.release(g)
 		}
 	}
-	return e.pump(now)
+	return e.grantQueued(now)
 }
 
 // FirstToken tells that the answer of a grant began, after the given time from
@@ -44,14 +44,14 @@
 		return nil
 	}
 	g.started = true
-	e.pending[g.rank] -= g.tokens
+	e.pendingTokens[g.rank] -= g.tokens
 	first := g.since.Add(after)
 	if after <= 0 || first.After(now) {
 		first = now
 	}
 	e.window.Observe(g.mark, g.since, first, max(g.ask.PromptTokens-cachedTokens, 0))
 	e.known.use(g.ask.Blocks)
-	return e.pump(now)
+	return e.grantQueued(now)
 }
 
 // End gives a grant back. A report of another incarnation than the grant was
@@ -64,19 +64,19 @@
 	}
 	if end.Stage == Done {
 		took := now.Sub(g.since)
-		e.hold[g.lane] += time.Duration(holdMemory * float64(took-e.hold[g.lane]))
+		e.meanHold[g.lane] += time.Duration(holdTimeSmoothing * float64(took-e.meanHold[g.lane]))
 	}
 	if end.Stage == Unused || end.Stage == Failed && !g.started {
-		e.unlearn(g)
+		e.forgetExpected(g)
 	}
 	e.release(g)
-	return e.pump(now)
+	return e.grantQueued(now)
 }
 
 // unlearn forgets what a grant was expected to leave in the cache and did not.
 // It may forget what another request left there too, which costs a guess.
-func (e *Endpoint) unlearn(g *grant) {
-	for _, h := range g.ask.Blocks[min(g.depth, len(g.ask.Blocks)):] {
+func (e *Endpoint) forgetExpected(g *grant) {
+	for _, h := range g.ask.Blocks[min(g.knownBlocks, len(g.ask.Blocks)):] {
 		e.known.forget(keyOf(h))
 	}
 }
@@ -87,8 +87,8 @@
 	if r.Incarnation != e.incarnation {
 		return nil
 	}
-	e.foreign.report(r.Running+r.Waiting, len(e.grants))
-	return e.pump(now)
+	e.external.report(r.Running+r.Waiting, len(e.grants))
+	return e.grantQueued(now)
 }
 
 // CacheEvent takes one event of the endpoint's cache and reports whether it
@@ -117,35 +117,35 @@
 	expelled := status == fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED
 	restarted := incarnation != e.incarnation && e.incarnation != 0 && incarnation != 0
 	if restarted || expelled {
-		change.Lost = e.drop()
+		change.Lost = e.reset()
 	}
 	if incarnation != 0 {
 		e.incarnation = incarnation
 	}
 	e.status = status
 	if !e.live() {
-		change.Decisions = e.sendAway()
+		change.Decisions = e.refuseQueued()
 		return change
 	}
-	change.Decisions = e.pump(now)
+	change.Decisions = e.grantQueued(now)
 	return change
 }
 
 // drop forgets the cache and all grants; it returns whose requests were lost.
-func (e *Endpoint) drop() []Fingerprint {
+func (e *Endpoint) reset() []Fingerprint {
 	var lost []Fingerprint
 	for _, g := range e.sortedGrants() {
 		lost = append(lost, g.ask.Fingerprint)
 		e.release(g)
 	}
-	e.known = newKnowledge(e.cfg.CacheBlocks)
-	e.foreign = foreignLoad{}
+	e.known = newCacheModel(e.cfg.CacheBlocks)
+	e.external = externalLoad{}
 	e.cacheKnown = true
 	return lost
 }
 
 // sendAway refuses all that waits, so that it asks for another endpoint.
-func (e *Endpoint) sendAway() []Decision {
+func (e *Endpoint) refuseQueued() []Decision {
 	var out []Decision
 	for _, w := range e.waiters() {
 		e.dequeue(w)
@@ -175,8 +175,8 @@
 			e.release(g)
 		}
 	}
-	out := e.pump(now)
-	return append(out, e.refuseLate(now)...)
+	decisions := e.grantQueued(now)
+	return append(decisions, e.refuseLate(now)...)
 }
 
 // refuseLate refuses waiters whose deadline cannot be met any more, at once and
--- a/owner/index.go
+++ b/owner/index.go
@@ -7,36 +7,36 @@
 // map takes some fifty, and an owner at the largest size holds a million.
 type blockIndex struct {
 	// places hold a block's place plus one; 0 is empty.
-	places []int32
+	slots  []int32
 	length int
 }
 
-const minIndexPlaces = 64
+const minIndexSlots = 64
 
 // home is where the search for a key begins. Keys are hashes already; the
 // multiplication only guards against a bad choice of their bits.
 func (x *blockIndex) home(key blockKey) int {
-	shift := 64 - bits.Len(uint(len(x.places)-1))
+	shift := 64 - bits.Len(uint(len(x.slots)-1))
 	return int(uint64(key) * 0x9e3779b97f4a7c15 >> shift)
 }
 
 // find returns the place of a key among the blocks.
-func (x *blockIndex) find(blocks []knownBlock, key blockKey) (int32, bool) {
+func (x *blockIndex) find(blocks []cachedBlock, key blockKey) (int32, bool) {
 	if x.length == 0 {
-		return none, false
+		return noBlock, false
 	}
-	mask := len(x.places) - 1
-	for i := x.home(key); x.places[i] != 0; i = (i + 1) & mask {
-		if place := x.places[i] - 1; blocks[place].key == key {
+	mask := len(x.slots) - 1
+	for i := x.home(key); x.slots[i] != 0; i = (i + 1) & mask {
+		if place := x.slots[i] - 1; blocks[place].key == key {
 			return place, true
 		}
 	}
-	return none, false
+	return noBlock, false
 }
 
 // add enters a key that is not there.
-func (x *blockIndex) add(blocks []knownBlock, place int32) {
-	if (x.length+1)*4 > len(x.places)*3 {
+func (x *blockIndex) add(blocks []cachedBlock, place int32) {
+	if (x.length+1)*4 > len(x.slots)*3 {
 		x.grow(blocks)
 	}
 	x.put(blocks[place].key, place)
@@ -44,18 +44,18 @@
 }
 
 func (x *blockIndex) put(key blockKey, place int32) {
-	mask := len(x.places) - 1
+	mask := len(x.slots) - 1
 	i := x.home(key)
-	for x.places[i] != 0 {
+	for x.slots[i] != 0 {
 		i = (i + 1) & mask
 	}
-	x.places[i] = place + 1
+	x.slots[i] = place + 1
 }
 
-func (x *blockIndex) grow(blocks []knownBlock) {
-	old := x.places
-	x.places = make([]int32, max(2*len(old), minIndexPlaces))
-	for _, p := range old {
+func (x *blockIndex) grow(blocks []cachedBlock) {
+	oldSlots := x.slots
+	x.slots = make([]int32, max(2*len(oldSlots), minIndexSlots))
+	for _, p := range oldSlots {
 		if p != 0 {
 			x.put(blocks[p-1].key, p-1)
 		}
@@ -63,19 +63,19 @@
 }
 
 // remove takes a key out and moves up what had to go further for it.
-func (x *blockIndex) remove(blocks []knownBlock, key blockKey) {
-	mask := len(x.places) - 1
+func (x *blockIndex) remove(blocks []cachedBlock, key blockKey) {
+	mask := len(x.slots) - 1
 	gap := x.home(key)
-	for blocks[x.places[gap]-1].key != key {
+	for blocks[x.slots[gap]-1].key != key {
 		gap = (gap + 1) & mask
 	}
-	for i := (gap + 1) & mask; x.places[i] != 0; i = (i + 1) & mask {
-		home := x.home(blocks[x.places[i]-1].key)
+	for i := (gap + 1) & mask; x.slots[i] != 0; i = (i + 1) & mask {
+		home := x.home(blocks[x.slots[i]-1].key)
 		if (i-home)&mask >= (i-gap)&mask {
-			x.places[gap] = x.places[i]
+			x.slots[gap] = x.slots[i]
 			gap = i
 		}
 	}
-	x.places[gap] = 0
+	x.slots[gap] = 0
 	x.length--
 }
--- a/owner/knowledge.go
+++ b/owner/knowledge.go
@@ -13,7 +13,7 @@
 	// MaxKnowledgeBytes bounds what is known of one endpoint's cache. An engine
 	// whose cache holds more blocks is known by its most recent ones.
 	MaxKnowledgeBytes = 4 << 20
-	none              = int32(-1)
+	noBlock           = int32(-1)
 )
 
 // blockKey is the half of a block's name that is kept. Names chain from their
@@ -24,7 +24,7 @@
 
 func keyOf(h prefix.Hash) blockKey { return blockKey(binary.LittleEndian.Uint64(h[:8])) }
 
-type knownBlock struct {
+type cachedBlock struct {
 	key        blockKey
 	prev, next int32
 	epoch      uint32
@@ -35,9 +35,9 @@
 // gaps. An event that was lost is noticed by its sequence number and makes all
 // that was known before doubtful: an eviction may have been among the lost.
 // What is used after that is sure again.
-type knowledge struct {
+type cacheModel struct {
 	index    blockIndex
-	blocks   []knownBlock
+	blocks   []cachedBlock
 	free     int32
 	newest   int32
 	oldest   int32
@@ -46,47 +46,47 @@
 	seq      uint64
 }
 
-func newKnowledge(cacheBlocks int64) *knowledge {
-	k := &knowledge{capacity: int(min(max(cacheBlocks, 1), MaxKnowledgeBytes/blockBytes))}
+func newCacheModel(cacheBlocks int64) *cacheModel {
+	k := &cacheModel{capacity: int(min(max(cacheBlocks, 1), MaxKnowledgeBytes/blockBytes))}
 	k.clear()
 	return k
 }
 
 // clear forgets all blocks.
-func (k *knowledge) clear() {
+func (k *cacheModel) clear() {
 	k.index = blockIndex{}
 	k.blocks = k.blocks[:0]
-	k.free, k.newest, k.oldest = none, none, none
+	k.free, k.newest, k.oldest = noBlock, noBlock, noBlock
 }
 
 // doubt marks all that is known as unsure.
-func (k *knowledge) doubt() { k.epoch++ }
+func (k *cacheModel) markUncertain() { k.epoch++ }
 
 // depth counts the leading blocks that are known, and how many of these are
 // sure.
-func (k *knowledge) depth(chain []prefix.Hash) (known, sure int) {
+func (k *cacheModel) knownBlocks(chain []prefix.Hash) (known, certain int) {
 	for _, h := range chain {
 		i, ok := k.index.find(k.blocks, keyOf(h))
 		if !ok {
 			break
 		}
-		if sure == known && k.blocks[i].epoch == k.epoch {
-			sure++
+		if certain == known && k.blocks[i].epoch == k.epoch {
+			certain++
 		}
 		known++
 	}
-	return known, sure
+	return known, certain
 }
 
 // use notes that a request ran over the chain: its blocks are cached now. The
 // first blocks count as used last, since engines evict a chain from its end.
-func (k *knowledge) use(chain []prefix.Hash) {
+func (k *cacheModel) use(chain []prefix.Hash) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		k.touch(keyOf(chain[i]))
 	}
 }
 
-func (k *knowledge) touch(key blockKey) {
+func (k *cacheModel) touch(key blockKey) {
 	i, ok := k.index.find(k.blocks, key)
 	if ok {
 		k.unlink(i)
@@ -97,38 +97,38 @@
 	}
 	b := &k.blocks[i]
 	b.epoch = k.epoch
-	b.prev, b.next = none, k.newest
-	if k.newest != none {
+	b.prev, b.next = noBlock, k.newest
+	if k.newest != noBlock {
 		k.blocks[k.newest].prev = i
 	}
 	k.newest = i
-	if k.oldest == none {
+	if k.oldest == noBlock {
 		k.oldest = i
 	}
 }
 
 // allocate finds a place for a block and evicts the oldest where there is none.
-func (k *knowledge) allocate() int32 {
+func (k *cacheModel) allocate() int32 {
 	if k.index.length >= k.capacity {
 		k.forget(k.blocks[k.oldest].key)
 	}
-	if k.free != none {
+	if k.free != noBlock {
 		i := k.free
 		k.free = k.blocks[i].next
 		return i
 	}
-	k.blocks = append(k.blocks, knownBlock{})
+	k.blocks = append(k.blocks, cachedBlock{})
 	return int32(len(k.blocks) - 1)
 }
 
-func (k *knowledge) unlink(i int32) {
+func (k *cacheModel) unlink(i int32) {
 	b := k.blocks[i]
-	if b.prev != none {
+	if b.prev != noBlock {
 		k.blocks[b.prev].next = b.next
 	} else {
 		k.newest = b.next
 	}
-	if b.next != none {
+	if b.next != noBlock {
 		k.blocks[b.next].prev = b.prev
 	} else {
 		k.oldest = b.prev
@@ -136,7 +136,7 @@
 }
 
 // forget drops one block.
-func (k *knowledge) forget(key blockKey) {
+func (k *cacheModel) forget(key blockKey) {
 	i, ok := k.index.find(k.blocks, key)
 	if !ok {
 		return
@@ -149,20 +149,20 @@
 
 // event applies one event of the engine. It reports whether it came after a
 // gap.
-func (k *knowledge) event(ev CacheEvent) bool {
+func (k *cacheModel) event(ev CacheEvent) bool {
 	gap := k.seq != 0 && ev.Seq > k.seq+1
 	if ev.Seq <= k.seq {
 		return false
 	}
 	k.seq = ev.Seq
 	if gap {
-		k.doubt()
+		k.markUncertain()
 	}
 	k.apply(ev)
 	return gap
 }
 
-func (k *knowledge) apply(ev CacheEvent) {
+func (k *cacheModel) apply(ev CacheEvent) {
 	switch ev.Op {
 	case CacheClear:
 		k.clear()
--- a/owner/knowledge_test.go
+++ b/owner/knowledge_test.go
@@ -13,14 +13,14 @@
 
 // asked is what a probe is offered after the endpoint has been in use for long
 // enough that the owner believes what it knows.
-func cachedOffer(e *Endpoint, blocks []prefix.Hash) int64 {
+func offeredCachedTokens(e *Endpoint, blocks []prefix.Hash) int64 {
 	e.cacheKnown = true
 	a := ask("probe", "a", false, blocks)
 	a.Mode = Probe
 	return e.Ask(epoch, a).Offers[0].CachedTokens
 }
 
-func used(t *testing.T, e *Endpoint, blocks []prefix.Hash) {
+func runRequest(t *testing.T, e *Endpoint, blocks []prefix.Hash) {
 	t.Helper()
 	d := e.Ask(epoch, ask("warm", "a", false, blocks))
 	if d.Kind != Granted {
@@ -63,9 +63,9 @@
 	for _, tt := range tests {
 		e := New(config())
 		e.Status(epoch, live, 1)
-		used(t, e, blocks)
+		runRequest(t, e, blocks)
 		tt.change(e)
-		if got := cachedOffer(e, tt.probe); got != tt.want {
+		if got := offeredCachedTokens(e, tt.probe); got != tt.want {
 			t.Errorf("%s: %d tokens believed cached, want %d", tt.name, got, tt.want)
 		}
 	}
@@ -77,7 +77,7 @@
 	blocks := chain("a", "1", 1, 10)
 	d := e.Ask(epoch, ask("r", "a", false, blocks))
 	e.End(epoch, End{GrantID: d.Offer.GrantID, Stage: Unused})
-	if got := cachedOffer(e, blocks); got != 0 {
+	if got := offeredCachedTokens(e, blocks); got != 0 {
 		t.Fatalf("%d tokens believed cached", got)
 	}
 }
@@ -86,7 +86,7 @@
 // used last.
 func TestKnowledgeIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		k := newKnowledge(int64(rapid.IntRange(1, 120).Draw(t, "capacity")))
+		k := newCacheModel(int64(rapid.IntRange(1, 120).Draw(t, "capacity")))
 		var reference []blockKey
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			key := blockKey(rapid.IntRange(0, 150).Draw(t, "block"))
@@ -100,7 +100,7 @@
 			reference = reference[:min(len(reference), k.capacity)]
 		}
 		var got []blockKey
-		for i := k.newest; i != none; i = k.blocks[i].next {
+		for i := k.newest; i != noBlock; i = k.blocks[i].next {
 			got = append(got, k.blocks[i].key)
 		}
 		if len(got) != len(reference) || k.index.length != len(reference) || len(k.blocks) > k.capacity {
@@ -130,7 +130,7 @@
 	old := New(config())
 	old.Status(epoch, live, 5)
 	blocks := chain("a", "1", 1, 10)
-	used(t, old, blocks)
+	runRequest(t, old, blocks)
 	held := old.Ask(epoch, ask("held", "a", true, blocks))
 	data, err := old.Snapshot(epoch)
 	if err != nil {
@@ -142,11 +142,11 @@
 	if err := next.Restore(epoch, data); err != nil {
 		t.Fatal(err)
 	}
-	if got := cachedOffer(next, blocks); got != 640 {
+	if got := offeredCachedTokens(next, blocks); got != 640 {
 		t.Errorf("%d tokens believed cached after the hand-over, want 640", got)
 	}
-	if next.inUse[urgent] != 1 || next.incarnation != 5 {
-		t.Errorf("%d urgent slots in use at incarnation %d", next.inUse[urgent], next.incarnation)
+	if next.inUse[laneUrgent] != 1 || next.incarnation != 5 {
+		t.Errorf("%d urgent slots in use at incarnation %d", next.inUse[laneUrgent], next.incarnation)
 	}
 	next.End(epoch, End{GrantID: held.Offer.GrantID, Stage: Done})
 	if len(next.grants) != 0 {
@@ -215,7 +215,7 @@
 	}
 	for b.Loop() {
 		before := heap()
-		k := newKnowledge(blocks)
+		k := newCacheModel(blocks)
 		for i := range 2 * blocks {
 			k.touch(blockKey(uint64(i) * 0x9e3779b97f4a7c15))
 		}
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -14,7 +14,7 @@
 }
 
 // line is what one organisation has waiting.
-type line struct {
+type orgQueue struct {
 	organisation string
 	weight       float64
 	// finish is the virtual time up to which the organisation has been served.
@@ -27,7 +27,7 @@
 type work struct {
 	requests int
 	// tokens to compute, by rank.
-	tokens [ranks]int64
+	tokens [rankCount]int64
 }
 
 func (w *work) add(r rank, tokens int64) {
@@ -59,19 +59,19 @@
 // organisations are dropped once the virtual time has passed them, so the queue
 // holds no more lines than organisations that were served lately.
 type fairQueue struct {
-	lines  map[string]*line
-	clock  float64
-	length int
-	work   work
+	queues      map[string]*orgQueue
+	virtualTime float64
+	length      int
+	work        work
 }
 
-func newFairQueue() *fairQueue { return &fairQueue{lines: map[string]*line{}} }
+func newFairQueue() *fairQueue { return &fairQueue{queues: map[string]*orgQueue{}} }
 
-func (q *fairQueue) line(organisation string, weight float64) *line {
-	l, ok := q.lines[organisation]
+func (q *fairQueue) orgQueue(organisation string, weight float64) *orgQueue {
+	l, ok := q.queues[organisation]
 	if !ok {
-		l = &line{organisation: organisation, finish: q.clock}
-		q.lines[organisation] = l
+		l = &orgQueue{organisation: organisation, finish: q.virtualTime}
+		q.queues[organisation] = l
 	}
 	if weight <= 0 {
 		weight = 1
@@ -82,7 +82,7 @@
 
 // push puts a waiter at the end of its organisation's line.
 func (q *fairQueue) push(w *waiter) {
-	l := q.line(w.ask.Organisation, w.ask.Weight)
+	l := q.orgQueue(w.ask.Organisation, w.ask.Weight)
 	l.waiters = append(l.waiters, w)
 	l.work.add(w.rank, w.tokens)
 	q.work.add(w.rank, w.tokens)
@@ -91,31 +91,31 @@
 
 // head returns the waiter whose turn it is of those whose rank may start, nil
 // when there is none. Ties go by name, so that equal states decide equally.
-func (q *fairQueue) head(may func(rank) bool) *waiter {
-	var best *line
+func (q *fairQueue) pick(allowed func(rank) bool) *waiter {
+	var best *orgQueue
 	var first *waiter
-	for _, l := range q.lines {
-		if best != nil && !q.before(l, best) {
+	for _, l := range q.queues {
+		if best != nil && !q.less(l, best) {
 			continue
 		}
-		if w := l.first(may); w != nil {
+		if w := l.first(allowed); w != nil {
 			best, first = l, w
 		}
 	}
 	return first
 }
 
-func (l *line) first(may func(rank) bool) *waiter {
+func (l *orgQueue) first(allowed func(rank) bool) *waiter {
 	for _, w := range l.waiters {
-		if may(w.rank) {
+		if allowed(w.rank) {
 			return w
 		}
 	}
 	return nil
 }
 
-func (q *fairQueue) before(a, b *line) bool {
-	sa, sb := max(a.finish, q.clock), max(b.finish, q.clock)
+func (q *fairQueue) less(a, b *orgQueue) bool {
+	sa, sb := max(a.finish, q.virtualTime), max(b.finish, q.virtualTime)
 	if sa != sb {
 		return sa < sb
 	}
@@ -124,29 +124,29 @@
 
 // charge counts served time against the organisation, queued for or not.
 func (q *fairQueue) charge(organisation string, weight, cost float64) {
-	l := q.line(organisation, weight)
-	start := max(l.finish, q.clock)
+	l := q.orgQueue(organisation, weight)
+	start := max(l.finish, q.virtualTime)
 	l.finish = start + cost/l.weight
 	if q.length > 0 {
-		q.clock = max(q.clock, start)
+		q.virtualTime = max(q.virtualTime, start)
 	} else {
-		q.clock = l.finish
+		q.virtualTime = l.finish
 	}
 	q.prune()
 }
 
 // prune drops lines that hold neither a waiter nor served time ahead.
 func (q *fairQueue) prune() {
-	for name, l := range q.lines {
-		if len(l.waiters) == 0 && l.finish <= q.clock {
-			delete(q.lines, name)
+	for name, l := range q.queues {
+		if len(l.waiters) == 0 && l.finish <= q.virtualTime {
+			delete(q.queues, name)
 		}
 	}
 }
 
 // remove takes a waiter out; it reports whether it was there.
 func (q *fairQueue) remove(w *waiter) bool {
-	l := q.lines[w.ask.Organisation]
+	l := q.queues[w.ask.Organisation]
 	if l == nil {
 		return false
 	}
@@ -170,7 +170,7 @@
 		weight = 1
 	}
 	count, sum := own.requests, own.upTo(r)
-	for name, l := range q.lines {
+	for name, l := range q.queues {
 		if name == organisation || len(l.waiters) == 0 {
 			continue
 		}
@@ -182,11 +182,11 @@
 }
 
 // sorted lists the organisations' lines by name.
-func (q *fairQueue) sorted() []*line {
-	list := make([]*line, 0, len(q.lines))
-	for _, l := range q.lines {
+func (q *fairQueue) sorted() []*orgQueue {
+	list := make([]*orgQueue, 0, len(q.queues))
+	for _, l := range q.queues {
 		list = append(list, l)
 	}
-	slices.SortFunc(list, func(a, b *line) int { return strings.Compare(a.organisation, b.organisation) })
+	slices.SortFunc(list, func(a, b *orgQueue) int { return strings.Compare(a.organisation, b.organisation) })
 	return list
 }
--- a/owner/queue_test.go
+++ b/owner/queue_test.go
@@ -30,7 +30,7 @@
 			}
 		}
 		for range 400 {
-			w := q.head(func(rank) bool { return true })
+			w := q.pick(func(rank) bool { return true })
 			var o int
 			_, _ = fmt.Sscan(w.ask.Organisation, &o)
 			q.remove(w)
--- a/owner/snapshot.go
+++ b/owner/snapshot.go
@@ -19,7 +19,7 @@
 func (e *Endpoint) reconfigure(cfg Config) {
 	cfg.FirstGrantID = e.cfg.FirstGrantID
 	if cfg.CacheBlocks != e.cfg.CacheBlocks {
-		e.known = newKnowledge(cfg.CacheBlocks)
+		e.known = newCacheModel(cfg.CacheBlocks)
 	}
 	e.cfg = cfg
 }
@@ -32,7 +32,7 @@
 		Incarnation: e.incarnation,
 		EventSeq:    e.known.seq,
 		Rate:        e.window.Rate(),
-		Blocks:      e.known.newestFirst(maxSnapshotBlocks),
+		Blocks:      e.known.encodeNewest(maxSnapshotBlocks),
 		Models:      e.models,
 	}
 	for _, g := range e.sortedGrants() {
@@ -70,10 +70,10 @@
 
 // restoreBlocks puts the blocks behind what is known already.
 func (e *Endpoint) restoreBlocks(k *fleetpb.Knowledge) {
-	own := e.known.newestFirst(e.known.capacity)
+	newer := e.known.encodeNewest(e.known.capacity)
 	e.known.seq = max(e.known.seq, k.GetEventSeq())
-	e.known.useKeys(k.GetBlocks())
-	e.known.useKeys(own)
+	e.known.restoreKeys(k.GetBlocks())
+	e.known.restoreKeys(newer)
 }
 
 func (e *Endpoint) restoreGrant(now time.Time, h *fleetpb.HeldGrant) {
@@ -95,16 +95,16 @@
 	e.granted[a.key()] = g.id
 	e.inUse[g.lane]++
 	if !g.started {
-		e.pending[g.rank] += g.tokens
+		e.pendingTokens[g.rank] += g.tokens
 	}
-	e.aloneRuns = e.aloneRuns || a.Alone
-	e.foreign.note(len(e.grants))
+	e.aloneRunning = e.aloneRunning || a.Alone
+	e.external.observeGrants(len(e.grants))
 }
 
 // newestFirst packs the newest blocks, eight bytes each.
-func (k *knowledge) newestFirst(limit int) []byte {
+func (k *cacheModel) encodeNewest(limit int) []byte {
 	packed := make([]byte, 0, 8*min(limit, k.index.length))
-	for i := k.newest; i != none && limit > 0; i = k.blocks[i].next {
+	for i := k.newest; i != noBlock && limit > 0; i = k.blocks[i].next {
 		packed = binary.LittleEndian.AppendUint64(packed, uint64(k.blocks[i].key))
 		limit--
 	}
@@ -112,7 +112,7 @@
 }
 
 // useKeys notes packed blocks as cached, the first as the newest.
-func (k *knowledge) useKeys(packed []byte) {
+func (k *cacheModel) restoreKeys(packed []byte) {
 	for at := len(packed) - 8; at >= 0; at -= 8 {
 		k.touch(blockKey(binary.LittleEndian.Uint64(packed[at:])))
 	}
--- a/place/ask.go
+++ b/place/ask.go
@@ -17,14 +17,14 @@
 //
 // It is made for a hot prefix in a burst: one ask is enough as long as the
 // first candidate is not behind, and only when it is do the others cost asks.
-func (f *Fleet) placeOnce(ctx context.Context, t *ticket, list []candidate) (g Grant, again bool, err error) {
-	first, ok := f.ask(ctx, t, list[0].name, func(in *fleetpb.AskRequest) { in.PatienceMs = patience.Milliseconds() })
+func (f *Fleet) placeOnce(ctx context.Context, t *placement, list []candidate) (g Grant, again bool, err error) {
+	first, ok := f.ask(ctx, t, list[0].name, func(in *fleetpb.AskRequest) { in.PatienceMs = maxFirstWait.Milliseconds() })
 	if !ok || first.GetRefusal() == string(owner.ReasonNotOwned) {
-		return f.withoutOwner(ctx, t, list)
+		return f.fallBack(ctx, t, list)
 	}
 	switch {
 	case first.GetGranted() != nil || first.GetQueued():
-		return f.settle(ctx, t, list[0], first)
+		return f.awaitDecision(ctx, t, list[0], first)
 	case first.GetRefusal() == string(owner.ReasonEndpoint):
 		return f.exclude(t, list[0].name)
 	}
@@ -35,46 +35,46 @@
 	}
 	c := list[slices.IndexFunc(list, func(c candidate) bool { return c.name == offers[chosen].GetEndpoint() })]
 	if c.name != list[0].name {
-		shifted.Inc()
+		placedElsewhere.Inc()
 	}
 	place := slices.Index(list, c)
 	reply, ok := f.ask(ctx, t, c.name, func(in *fleetpb.AskRequest) { in.Candidate = int32(place) })
 	if !ok {
-		return f.withoutOwner(ctx, t, list)
+		return f.fallBack(ctx, t, list)
 	}
-	return f.settle(ctx, t, c, reply)
+	return f.awaitDecision(ctx, t, c, reply)
 }
 
 // withoutOwner decides from this instance's own view.
-func (f *Fleet) withoutOwner(ctx context.Context, t *ticket, list []candidate) (Grant, bool, error) {
-	if err := callerGone(ctx); err != nil {
+func (f *Fleet) fallBack(ctx context.Context, t *placement, list []candidate) (Grant, bool, error) {
+	if err := callerError(ctx); err != nil {
 		return Grant{}, false, err
 	}
-	g, err := f.placeOwn(ctx, t, list)
+	g, err := f.placeLocally(ctx, t, list)
 	return g, false, err
 }
 
 // exclude leaves an endpoint out and has the request placed anew.
-func (f *Fleet) exclude(t *ticket, name string) (Grant, bool, error) {
+func (f *Fleet) exclude(t *placement, name string) (Grant, bool, error) {
 	t.request.Exclude = append(slices.Clone(t.request.Exclude), name)
 	return Grant{}, true, nil
 }
 
 // settle ends an ask that took a slot, waits for one or was refused.
-func (f *Fleet) settle(ctx context.Context, t *ticket, c candidate, reply *fleetpb.AskReply) (Grant, bool, error) {
+func (f *Fleet) awaitDecision(ctx context.Context, t *placement, c candidate, reply *fleetpb.AskReply) (Grant, bool, error) {
 	instance := t.routes.owners[c.name]
 	for {
 		switch {
 		case reply.GetGranted() != nil:
 			o := reply.GetGranted()
-			if o.GetIncarnation() == 0 && f.looks.askLeaving(ctx, c, f.cfg.Clock.Now()) {
+			if o.GetIncarnation() == 0 && f.leavingChecks.isLeaving(ctx, c, f.cfg.Clock.Now()) {
 				// An owner that has just started, or taken the endpoint over, has not heard it
 				// yet and takes it for usable. After a common restart a leaving endpoint would
 				// get the work of the first callers, however long ago it said so.
 				f.reports.withdraw(t, instance, c.name)
 				return f.exclude(t, c.name)
 			}
-			t.learnLevels(reply.GetLevelEnds())
+			t.setLevels(reply.GetLevelEnds())
 			return f.granted(t, Grant{
 				ID: o.GetGrantId(), Owner: instance, Endpoint: c.name, Address: c.address,
 				Incarnation: o.GetIncarnation(), CachedTokens: o.GetCachedTokens(), Alone: o.GetAlone(), Long: o.GetLong(),
@@ -91,7 +91,7 @@
 		}
 		var ok bool
 		reply, ok = f.ask(ctx, t, c.name, func(in *fleetpb.AskRequest) { in.WaitMs, in.BlockHashes = pollWait.Milliseconds(), nil })
-		if err := callerGone(ctx); err != nil {
+		if err := callerError(ctx); err != nil {
 			f.reports.withdraw(t, instance, c.name)
 			return Grant{}, false, err
 		}
@@ -102,13 +102,13 @@
 	}
 }
 
-func callerGone(ctx context.Context) error {
+func callerError(ctx context.Context) error {
 	return fault.Wrap(ctx.Err(), fault.Unavailable, "send the request again", "the caller has gone or its time is over")
 }
 
 // choose picks among the offers that start in time. It returns -1 and the
 // shortest wait where none does.
-func (f *Fleet) choose(t *ticket, offers []*fleetpb.Offer) (int, time.Duration) {
+func (f *Fleet) choose(t *placement, offers []*fleetpb.Offer) (int, time.Duration) {
 	left := t.deadline.Sub(f.cfg.Clock.Now())
 	shortest := time.Duration(-1)
 	var index []int
@@ -133,16 +133,16 @@
 
 // retryAfter is when a slot may be free for a request that cannot start in
 // time now.
-func retryAfter(t *ticket, first *fleetpb.AskReply, shortest time.Duration) time.Duration {
+func retryAfter(t *placement, first *fleetpb.AskReply, shortest time.Duration) time.Duration {
 	after := milliseconds(first.GetRetryAfterMs())
 	if over := shortest - classWait(t.request.Class); shortest >= 0 && (after == 0 || over < after) {
 		after = over
 	}
-	return max(after, ownRetryAfter)
+	return max(after, localRetryAfter)
 }
 
 // probe asks the owners of the candidates for offers, all at once.
-func (f *Fleet) probe(ctx context.Context, t *ticket, list []candidate) []*fleetpb.Offer {
+func (f *Fleet) probe(ctx context.Context, t *placement, list []candidate) []*fleetpb.Offer {
 	byOwner := map[string][]string{}
 	for _, c := range list {
 		instance := t.routes.owners[c.name]
@@ -174,33 +174,33 @@
 
 // ask sends one ask to the owner of an endpoint. ok is false where the owner
 // gives no answer in time.
-func (f *Fleet) ask(ctx context.Context, t *ticket, name string, change func(*fleetpb.AskRequest)) (reply *fleetpb.AskReply, ok bool) {
+func (f *Fleet) ask(ctx context.Context, t *placement, name string, change func(*fleetpb.AskRequest)) (reply *fleetpb.AskReply, ok bool) {
 	in := f.askRequest(t, name)
 	change(in)
 	instance := t.routes.owners[name]
-	bound := askBound
+	bound := askTimeout
 	if in.GetWaitMs() > 0 {
-		bound = pollBound
+		bound = pollTimeout
 	}
 	if instance == f.cfg.Caller.GetInstance() {
-		ctx, cancel := context.WithTimeout(ctx, pollBound)
+		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
 		reply, err := f.cfg.Duty.Ask(ctx, in)
 		return reply, err == nil
 	}
 	address, known := t.routes.address(instance)
-	if !known || !f.states.mayAsk(instance, f.cfg.Clock.Now()) {
+	if !known || !f.states.canAsk(instance, f.cfg.Clock.Now()) {
 		return nil, false
 	}
 	asksSent.Inc()
 	reply, err := f.cfg.Peers.Ask(ctx, address, bound, in)
 	if err == nil {
-		f.states.answered(instance)
+		f.states.markResponsive(instance)
 		return reply, true
 	}
 	asksFailed.Inc()
 	if ctx.Err() == nil && !fault.Is(err, fault.Overloaded) {
-		f.states.didNotAnswer(instance, f.cfg.Clock.Now())
+		f.states.markUnresponsive(instance, f.cfg.Clock.Now())
 	}
 	if !in.GetProbe() {
 		// The owner may have given a slot whose reply was lost.
@@ -209,7 +209,7 @@
 	return nil, false
 }
 
-func (f *Fleet) askRequest(t *ticket, name string) *fleetpb.AskRequest {
+func (f *Fleet) askRequest(t *placement, name string) *fleetpb.AskRequest {
 	r := t.request
 	if t.blocks == nil {
 		t.blocks = packBlocks(r.Blocks)
--- a/place/duty.go
+++ b/place/duty.go
@@ -16,19 +16,19 @@
 const (
 	// dutyRing bounds what waits for the owner's goroutine. Asks that do not
 	// fit are refused at once, so that their callers decide for themselves.
-	dutyRing = 4096
+	eventQueueSize = 4096
 	// maxWait bounds how long a reply is held back, whatever the caller asks
 	// for: by then the caller wants to hear that the owner is alive.
-	maxWait = time.Second
+	maxReplyDelay = time.Second
 	// unclaimedBound is how long a slot is kept for a request whose caller has
 	// not come back for the answer: its reply was lost, or the caller is gone.
-	unclaimedBound = 2 * time.Second
+	unclaimedTimeout = 2 * time.Second
 	// restInterval is the time between ticks while the instance's endpoints have
 	// nothing to do. Fifty ticks a second would be most of what an instance
 	// costs at rest.
-	restInterval = 500 * time.Millisecond
+	idleTickInterval = 500 * time.Millisecond
 	// renewEvery is how often the leases of live instances are renewed.
-	renewEvery = time.Second
+	leaseRenewInterval = time.Second
 )
 
 var (
@@ -58,16 +58,16 @@
 // goroutine works on it; all methods may be called by any goroutine.
 type Duty struct {
 	cfg    DutyConfig
-	events *ring.Ring[dutyEvent]
+	events *ring.Ring[ownerEvent]
 
-	book *owner.Book
+	endpoints *owner.Book
 	// held are the replies that wait for a decision, unclaimed the grants that
 	// nobody was there to hear of.
-	held      map[askKey]chan owner.Decision
-	unclaimed map[askKey]unclaimedGrant
-	members   []string
-	renewed   time.Time
-	restored  map[string]restoredState
+	pendingReplies map[askKey]chan owner.Decision
+	unclaimed      map[askKey]unclaimedGrant
+	members        []string
+	leasesRenewed  time.Time
+	earlyStates    map[string]earlyState
 }
 
 type askKey struct{ caller, request string }
@@ -78,23 +78,23 @@
 }
 
 // restoredState was handed over before this instance knew that it is the owner.
-type restoredState struct {
+type earlyState struct {
 	knowledge []byte
 	at        time.Time
 }
 
 // dutyEvent is applied to the duty's state by its goroutine.
-type dutyEvent func(d *Duty, now time.Time)
+type ownerEvent func(d *Duty, now time.Time)
 
 // NewDuty returns a duty without endpoints, which Run starts.
 func NewDuty(cfg DutyConfig) *Duty {
 	return &Duty{
-		cfg:       cfg,
-		events:    ring.New[dutyEvent]("owner_events", dutyRing),
-		book:      owner.NewBook(policy.Prices{Recompute: policy.DefaultRecompute}),
-		held:      map[askKey]chan owner.Decision{},
-		unclaimed: map[askKey]unclaimedGrant{},
-		restored:  map[string]restoredState{},
+		cfg:            cfg,
+		events:         ring.New[ownerEvent]("owner_events", eventQueueSize),
+		endpoints:      owner.NewBook(policy.Prices{Recompute: policy.DefaultRecompute}),
+		pendingReplies: map[askKey]chan owner.Decision{},
+		unclaimed:      map[askKey]unclaimedGrant{},
+		earlyStates:    map[string]earlyState{},
 	}
 }
 
@@ -102,22 +102,22 @@
 func (d *Duty) Run(ctx context.Context) {
 	timer := time.NewTimer(owner.TickInterval)
 	defer timer.Stop()
-	resting := false
+	slowTicks := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-d.events.C():
 			e(d, d.cfg.Clock.Now())
-			if resting && !d.idle() {
-				resting = false
+			if slowTicks && !d.idle() {
+				slowTicks = false
 				timer.Reset(owner.TickInterval)
 			}
 		case <-timer.C:
 			d.tick(d.cfg.Clock.Now())
-			resting = d.idle()
-			if resting {
-				timer.Reset(restInterval)
+			slowTicks = d.idle()
+			if slowTicks {
+				timer.Reset(idleTickInterval)
 			} else {
 				timer.Reset(owner.TickInterval)
 			}
@@ -126,34 +126,36 @@
 }
 
 // idle reports whether nothing runs, waits or is kept for anybody.
-func (d *Duty) idle() bool { return len(d.held) == 0 && len(d.unclaimed) == 0 && d.book.Idle() }
+func (d *Duty) idle() bool {
+	return len(d.pendingReplies) == 0 && len(d.unclaimed) == 0 && d.endpoints.Idle()
+}
 
 func (d *Duty) tick(now time.Time) {
-	if now.Sub(d.renewed) >= renewEvery {
-		d.renewed = now
+	if now.Sub(d.leasesRenewed) >= leaseRenewInterval {
+		d.leasesRenewed = now
 		for _, m := range d.members {
-			d.book.Seen(now, m)
+			d.endpoints.Seen(now, m)
 		}
 	}
-	d.decide(now, d.book.Tick(now))
+	d.deliver(now, d.endpoints.Tick(now))
 	for key, g := range d.unclaimed {
-		if now.Sub(g.since) < unclaimedBound {
+		if now.Sub(g.since) < unclaimedTimeout {
 			continue
 		}
 		delete(d.unclaimed, key)
-		if e := d.book.Endpoint(g.endpoint); e != nil {
+		if e := d.endpoints.Endpoint(g.endpoint); e != nil {
 			grantsUnclaimed.Inc()
-			d.decide(now, e.Withdraw(now, key.caller, key.request))
+			d.deliver(now, e.Withdraw(now, key.caller, key.request))
 		}
 	}
 }
 
 // decide hands decisions to the replies that are held back for them.
-func (d *Duty) decide(now time.Time, decisions []owner.Decision) {
+func (d *Duty) deliver(now time.Time, decisions []owner.Decision) {
 	for _, x := range decisions {
 		key := askKey{x.Caller, x.RequestID}
-		if ch := d.held[key]; ch != nil {
-			delete(d.held, key)
+		if ch := d.pendingReplies[key]; ch != nil {
+			delete(d.pendingReplies, key)
 			ch <- x
 			continue
 		}
@@ -167,7 +169,7 @@
 // An error means that the caller has to decide for itself.
 func (d *Duty) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	asksServed.Inc()
-	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, maxWait)
+	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, maxReplyDelay)
 	// Room for the first answer and for the decision after it, so that the
 	// duty never waits for a caller.
 	answer := make(chan owner.Decision, 2)
@@ -179,7 +181,7 @@
 	}
 	first, err := receive(ctx, answer)
 	if err != nil {
-		return d.giveUp(ctx, key, answer, first)
+		return d.stopWaiting(ctx, key, answer, first)
 	}
 	if first.Kind != owner.Queued || wait <= 0 {
 		return toReply(first), nil
@@ -192,7 +194,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return d.giveUp(ctx, key, answer, first)
+	return d.stopWaiting(ctx, key, answer, first)
 }
 
 func receive(ctx context.Context, answer chan owner.Decision) (owner.Decision, error) {
@@ -205,21 +207,21 @@
 }
 
 // giveUp takes a held reply back. The decision may have come meanwhile.
-func (d *Duty) giveUp(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
+func (d *Duty) stopWaiting(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
 	done := make(chan struct{})
 	_ = d.events.Put(context.WithoutCancel(ctx), func(d *Duty, now time.Time) {
 		defer close(done)
-		if d.held[key] == answer {
-			delete(d.held, key)
+		if d.pendingReplies[key] == answer {
+			delete(d.pendingReplies, key)
 		}
 		for ctx.Err() != nil && len(answer) > 0 {
 			// The caller has gone, so nobody hears of the grant.
-			d.decide(now, []owner.Decision{<-answer})
+			d.deliver(now, []owner.Decision{<-answer})
 		}
 	})
 	select {
 	case <-done:
-	case <-time.After(maxWait):
+	case <-time.After(maxReplyDelay):
 		return nil, errOwnerBusy
 	}
 	select {
@@ -230,20 +232,20 @@
 	}
 }
 
-func (d *Duty) ask(now time.Time, key askKey, in *fleetpb.AskRequest, hold bool, answer chan owner.Decision) {
+func (d *Duty) ask(now time.Time, key askKey, in *fleetpb.AskRequest, poll bool, answer chan owner.Decision) {
 	delete(d.unclaimed, key)
 	a := fromAsk(now, in)
-	if hold {
+	if poll {
 		// It has been asked before, and this message does not hold the prompt's
 		// blocks: an ask that is not known any more cannot be queued anew.
 		a.Deadline = now.Add(-time.Second)
 	}
-	x := d.book.Ask(now, a, in.GetEndpoints())
-	if hold && x.Kind == owner.Refused && x.Reason == owner.ReasonDeadline {
+	x := d.endpoints.Ask(now, a, in.GetEndpoints())
+	if poll && x.Kind == owner.Refused && x.Reason == owner.ReasonDeadline {
 		x.Reason = owner.ReasonNotOwned
 	}
-	if x.Kind == owner.Queued && hold {
-		d.held[key] = answer
+	if x.Kind == owner.Queued && poll {
+		d.pendingReplies[key] = answer
 	}
 	answer <- x
 }
@@ -252,7 +254,7 @@
 // grants end by themselves.
 func (d *Duty) Report(caller string, ends []*fleetpb.GrantEnd) {
 	d.events.Push(func(d *Duty, now time.Time) {
-		d.book.Seen(now, caller)
+		d.endpoints.Seen(now, caller)
 		for _, e := range ends {
 			d.end(now, caller, e)
 		}
@@ -260,21 +262,21 @@
 }
 
 func (d *Duty) end(now time.Time, caller string, in *fleetpb.GrantEnd) {
-	e := d.book.Endpoint(in.GetEndpoint())
+	e := d.endpoints.Endpoint(in.GetEndpoint())
 	if e == nil {
 		return
 	}
 	if in.GetGrantId() == 0 {
 		delete(d.unclaimed, askKey{caller, in.GetRequestId()})
-		d.decide(now, e.Withdraw(now, caller, in.GetRequestId()))
+		d.deliver(now, e.Withdraw(now, caller, in.GetRequestId()))
 		return
 	}
 	if in.GetState() == fleetpb.GrantState_GRANT_STATE_FIRST_TOKEN {
 		after := time.Duration(in.GetFirstTokenMs()) * time.Millisecond
-		d.decide(now, e.FirstToken(now, in.GetGrantId(), in.GetCachedTokens(), after))
+		d.deliver(now, e.FirstToken(now, in.GetGrantId(), in.GetCachedTokens(), after))
 		return
 	}
-	d.decide(now, e.End(now, owner.End{
+	d.deliver(now, e.End(now, owner.End{
 		GrantID: in.GetGrantId(), Stage: stageOf(in.GetState()), Incarnation: in.GetIncarnation(), CachedTokens: in.GetCachedTokens(),
 	}))
 }
--- a/place/fallback.go
+++ b/place/fallback.go
@@ -10,7 +10,7 @@
 
 // ownRetryAfter is what a caller is told when this instance, without the
 // owners, has as much open as one instance may have.
-const ownRetryAfter = time.Second
+const localRetryAfter = time.Second
 
 // candidate is an endpoint that a decision weighs.
 type candidate struct {
@@ -31,11 +31,11 @@
 // counts now. With all candidates at the bound it takes the one with the least
 // of its own requests, and none that already runs as many of them as the
 // endpoint has slots. It returns the index, or -1.
-func chooseOwn(list []candidate, slots, members int) int {
-	part := max(1, (slots+max(members, 1)-1)/max(members, 1))
+func chooseLocally(list []candidate, slots, members int) int {
+	share := max(1, (slots+max(members, 1)-1)/max(members, 1))
 	best := -1
 	for i, c := range list {
-		if c.running < part {
+		if c.running < share {
 			return i
 		}
 		if c.running < slots && (best < 0 || c.running < list[best].running) {
@@ -47,23 +47,23 @@
 
 // placeOwn grants the request without an owner, at an endpoint that does not say that it
 // leaves.
-func (f *Fleet) placeOwn(ctx context.Context, t *ticket, list []candidate) (Grant, error) {
+func (f *Fleet) placeLocally(ctx context.Context, t *placement, list []candidate) (Grant, error) {
 	if t.alone {
 		// Nobody can tell what else runs on an endpoint, so a request that
 		// may crash it cannot be put where it hurts least.
 		err := fault.New(fault.Unavailable, "send it again after a moment", "the request was in flight when an endpoint crashed, and no owner can place it apart")
-		return Grant{}, fault.WithRetryAfter(err, ownRetryAfter)
+		return Grant{}, fault.WithRetryAfter(err, localRetryAfter)
 	}
 	for i := range list {
 		list[i].running = f.states.running(list[i].name)
 	}
 	for len(list) > 0 {
-		i := chooseOwn(list, int(t.pool.record.GetSlots()), len(t.routes.view.Owners))
+		i := chooseLocally(list, int(t.pool.record.GetSlots()), len(t.routes.view.Owners))
 		if i < 0 {
-			return Grant{}, overloaded(ownRetryAfter)
+			return Grant{}, overloaded(localRetryAfter)
 		}
 		c := list[i]
-		if !f.looks.askLeaving(ctx, c, f.cfg.Clock.Now()) {
+		if !f.leavingChecks.isLeaving(ctx, c, f.cfg.Clock.Now()) {
 			fallbacks.Inc()
 			return f.granted(t, Grant{Endpoint: c.name, Address: c.address, Incarnation: f.states.incarnation(c.name)}), nil
 		}
--- a/place/fallback_test.go
+++ b/place/fallback_test.go
@@ -21,7 +21,7 @@
 		for i, n := range c.running {
 			list[i].running = n
 		}
-		if got := chooseOwn(list, c.slots, c.members); got != c.want {
+		if got := chooseLocally(list, c.slots, c.members); got != c.want {
 			t.Errorf("%s: got %d, want %d", c.name, got, c.want)
 		}
 	}
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -28,29 +28,29 @@
 	candidateCount = 4
 	// patience is the wait up to which the first candidate is taken without a
 	// look at the others.
-	patience = 50 * time.Millisecond
+	maxFirstWait = 50 * time.Millisecond
 	// askBound is how long an owner may take to answer an ask that it need not
 	// hold back. A way of three milliseconds and a busy machine fit in; a
 	// request must not notice more when the owner is gone.
-	askBound = 20 * time.Millisecond
+	askTimeout = 20 * time.Millisecond
 	// pollWait is how long an owner holds the reply back for a request that is
 	// queued there. Each poll is a sign of life of both ends.
 	pollWait = 400 * time.Millisecond
 	// pollBound is twice as long and more, since a connection that has gone
 	// silent is given half of it.
-	pollBound = 2 * (pollWait + 100*time.Millisecond)
+	pollTimeout = 2 * (pollWait + 100*time.Millisecond)
 	// maxTries bounds how often a request is placed anew because an owner or
 	// endpoint went away while it waited.
 	maxTries = 4
 )
 
 var (
-	placed      = metrics.GetOrCreateCounter("sardinedock_place_granted_total")
-	asksSent    = metrics.GetOrCreateCounter("sardinedock_place_asks_total")
-	asksFailed  = metrics.GetOrCreateCounter("sardinedock_place_asks_failed_total")
-	fallbacks   = metrics.GetOrCreateCounter("sardinedock_place_without_owner_total")
-	shifted     = metrics.GetOrCreateCounter("sardinedock_place_shifted_total")
-	refusedLate = metrics.GetOrCreateCounter("sardinedock_place_refused_total")
+	placed          = metrics.GetOrCreateCounter("sardinedock_place_granted_total")
+	asksSent        = metrics.GetOrCreateCounter("sardinedock_place_asks_total")
+	asksFailed      = metrics.GetOrCreateCounter("sardinedock_place_asks_failed_total")
+	fallbacks       = metrics.GetOrCreateCounter("sardinedock_place_without_owner_total")
+	placedElsewhere = metrics.GetOrCreateCounter("sardinedock_place_shifted_total")
+	refused         = metrics.GetOrCreateCounter("sardinedock_place_refused_total")
 )
 
 // Peers is how other instances are called.
@@ -80,15 +80,15 @@
 
 // Fleet places requests with the owners of the endpoints. It implements Placer.
 type Fleet struct {
-	cfg     FleetConfig
-	routes  atomic.Pointer[routes]
-	states  *states
-	looks   *looks
-	guard   *guard
-	limits  *limits
-	reports *reporter
-	inbox   *ring.Ring[[]exchange.Item]
-	outbox  *ring.Ring[publication]
+	cfg           FleetConfig
+	routes        atomic.Pointer[routes]
+	states        *states
+	leavingChecks *leavingChecks
+	guard         *guard
+	limits        *limits
+	reports       *reporter
+	inbox         *ring.Ring[[]exchange.Item]
+	outbox        *ring.Ring[publication]
 
 	levelsMu sync.Mutex
 	levels   *prefix.Levels
@@ -97,7 +97,7 @@
 }
 
 // ticket is one request on its way through placing.
-type ticket struct {
+type placement struct {
 	request  Request
 	routes   *routes
 	pool     *poolRoutes
@@ -119,12 +119,12 @@
 // NewFleet returns a placer without records, which refuses all requests.
 func NewFleet(cfg FleetConfig) *Fleet {
 	f := &Fleet{
-		cfg:    cfg,
-		states: newStates(),
-		looks:  newLooks(cfg.AskLeaving),
-		inbox:  ring.New[[]exchange.Item]("place_inbox", shareRing),
-		outbox: ring.New[publication]("place_outbox", shareRing),
-		levels: prefix.NewLevels(prefix.DefaultLevelSets),
+		cfg:           cfg,
+		states:        newStates(),
+		leavingChecks: newLeavingChecks(cfg.AskLeaving),
+		inbox:         ring.New[[]exchange.Item]("place_inbox", shareQueueSize),
+		outbox:        ring.New[publication]("place_outbox", shareQueueSize),
+		levels:        prefix.NewLevels(prefix.DefaultLevelSets),
 	}
 	f.guard = newGuard(f.publish)
 	f.limits = newLimits(cfg.Caller.GetInstance(), f.publish)
@@ -149,8 +149,8 @@
 
 func (f *Fleet) setRoutes(ctx context.Context, r *routes) {
 	f.routes.Store(r)
-	f.states.keep(r.owners)
-	f.looks.keep(r.owners)
+	f.states.retain(r.owners)
+	f.leavingChecks.retain(r.owners)
 	f.limits.setMembers(f.cfg.Clock.Now(), r.view, r.records)
 	members := make([]string, 0, len(r.view.Members))
 	for _, m := range r.view.Members {
@@ -174,15 +174,15 @@
 // Place implements Placer.
 func (f *Fleet) Place(ctx context.Context, r Request) (Grant, error) {
 	now := f.cfg.Clock.Now()
-	t := &ticket{request: r, deadline: now.Add(classWait(r.Class))}
+	t := &placement{request: r, deadline: now.Add(classWait(r.Class))}
 	if err := f.admit(t, now); err != nil {
-		refusedLate.Inc()
+		refused.Inc()
 		return Grant{}, err
 	}
 	g, err := f.place(ctx, t)
 	if err != nil {
 		f.limits.done(t.limit)
-		refusedLate.Inc()
+		refused.Inc()
 		return Grant{}, err
 	}
 	placed.Inc()
@@ -192,7 +192,7 @@
 
 // admit refuses requests that crashed endpoints or are over their
 // organisation's limit.
-func (f *Fleet) admit(t *ticket, now time.Time) error {
+func (f *Fleet) admit(t *placement, now time.Time) error {
 	verdict, left := f.guard.verdict(now, t.request.Fingerprint)
 	if verdict == policy.CrashRefused {
 		err := fault.New(fault.Suspect, "change the request, or send it again after the time in Retry-After", "the request was in flight at two crashes of endpoints and is not run")
@@ -209,7 +209,7 @@
 }
 
 // place finds an endpoint, anew when an owner or endpoint goes away meanwhile.
-func (f *Fleet) place(ctx context.Context, t *ticket) (Grant, error) {
+func (f *Fleet) place(ctx context.Context, t *placement) (Grant, error) {
 	for ; ; t.tries++ {
 		list, err := f.candidates(t)
 		if err != nil {
@@ -217,7 +217,7 @@
 		}
 		f.findKept(t)
 		if t.tries >= maxTries {
-			return f.placeOwn(ctx, t, list)
+			return f.placeLocally(ctx, t, list)
 		}
 		g, again, err := f.placeOnce(ctx, t, list)
 		if !again {
@@ -227,7 +227,7 @@
 }
 
 // candidates lists the endpoints to weigh, first choice first.
-func (f *Fleet) candidates(t *ticket) ([]candidate, error) {
+func (f *Fleet) candidates(t *placement) ([]candidate, error) {
 	t.routes = f.routes.Load()
 	t.pool = t.routes.pools[t.request.PoolName]
 	if t.pool == nil {
@@ -239,7 +239,7 @@
 	now := f.cfg.Clock.Now()
 	usable := func(i int) bool {
 		e := t.pool.endpoints[i]
-		return !e.GetLeaving() && f.states.usable(e.GetName(), now) && !f.looks.knownLeaving(e.GetName(), now) && !slices.Contains(t.request.Exclude, e.GetName())
+		return !e.GetLeaving() && f.states.usable(e.GetName(), now) && !f.leavingChecks.knownLeaving(e.GetName(), now) && !slices.Contains(t.request.Exclude, e.GetName())
 	}
 	key := f.key(t)
 	var found [candidateCount]int
@@ -259,12 +259,12 @@
 
 func errNoEndpoint(pool string) error {
 	err := fault.New(fault.Unavailable, "add endpoints to the pool, or see in /debug/state why those it has are not used", "no endpoint of pool %q can take the request", pool)
-	return fault.WithRetryAfter(err, ownRetryAfter)
+	return fault.WithRetryAfter(err, localRetryAfter)
 }
 
 // key is what the endpoints are ordered by: the deepest level of the prompt
 // that others share.
-func (f *Fleet) key(t *ticket) prefix.Hash {
+func (f *Fleet) key(t *placement) prefix.Hash {
 	r := t.request
 	salt := prefix.Salt(r.Organisation, r.Model, r.Version)
 	f.levelsMu.Lock()
@@ -276,45 +276,45 @@
 }
 
 // granted finishes a grant.
-func (f *Fleet) granted(t *ticket, g Grant) Grant {
-	g.ticket = t
+func (f *Fleet) granted(t *placement, g Grant) Grant {
+	g.placement = t
 	f.states.sent(g.Endpoint)
 	return g
 }
 
 // FirstToken implements Placer.
 func (f *Fleet) FirstToken(g Grant, cachedTokens int64, after time.Duration) {
-	if g.ID == 0 || g.ticket == nil {
+	if g.ID == 0 || g.placement == nil {
 		return
 	}
 	f.reports.add(g, &fleetpb.GrantEnd{
-		Endpoint: g.Endpoint, GrantId: g.ID, RequestId: g.ticket.request.ID,
+		Endpoint: g.Endpoint, GrantId: g.ID, RequestId: g.placement.request.ID,
 		State: fleetpb.GrantState_GRANT_STATE_FIRST_TOKEN, CachedTokens: cachedTokens, FirstTokenMs: after.Milliseconds(),
 	})
 }
 
 // Done implements Placer.
 func (f *Fleet) Done(g Grant, res Result) {
-	if g.ticket == nil {
+	if g.placement == nil {
 		return
 	}
 	now := f.cfg.Clock.Now()
 	f.states.ended(g.Endpoint)
-	f.limits.done(g.ticket.limit)
+	f.limits.done(g.placement.limit)
 	switch res.End {
 	case EndCrashed:
-		f.states.sawCrash(g.Endpoint, now)
-		f.guard.crashed(now, g.Endpoint, max(res.Incarnation, g.Incarnation), []owner.Fingerprint{g.ticket.request.Fingerprint})
-		f.warn(now, g.ticket)
+		f.states.markCrashed(g.Endpoint, now)
+		f.guard.recordCrash(now, g.Endpoint, max(res.Incarnation, g.Incarnation), []owner.Fingerprint{g.placement.request.Fingerprint})
+		f.warn(now, g.placement)
 	case EndDone:
-		f.guard.completed(now, g.ticket.request.Fingerprint)
-		f.keep(g)
+		f.guard.recordCompletion(now, g.placement.request.Fingerprint)
+		f.reportUse(g)
 	}
 	if g.ID == 0 {
 		return
 	}
 	f.reports.add(g, &fleetpb.GrantEnd{
-		Endpoint: g.Endpoint, GrantId: g.ID, RequestId: g.ticket.request.ID, State: stateOf(res.End),
+		Endpoint: g.Endpoint, GrantId: g.ID, RequestId: g.placement.request.ID, State: stateOf(res.End),
 		CachedTokens: res.CachedTokens, PromptTokens: res.PromptTokens, OutputTokens: res.OutputTokens, Incarnation: res.Incarnation,
 	})
 }
--- a/place/guard.go
+++ b/place/guard.go
@@ -13,7 +13,7 @@
 )
 
 // crashMemory is how long a request that crashed endpoints is remembered.
-const crashMemory = 10 * time.Minute
+const crashRetention = 10 * time.Minute
 
 // guard shares what instances know of requests that were in flight when an
 // endpoint crashed. Any goroutine may use it.
@@ -25,7 +25,7 @@
 }
 
 func newGuard(publish func(fleetpb.ItemKind, string, []byte, time.Duration)) *guard {
-	return &guard{publish: publish, crash: policy.NewCrashGuard(crashMemory)}
+	return &guard{publish: publish, crash: policy.NewCrashGuard(crashRetention)}
 }
 
 func (g *guard) verdict(now time.Time, fingerprint [16]byte) (policy.CrashVerdict, time.Duration) {
@@ -37,25 +37,25 @@
 	return g.crash.Verdict(now, fingerprint)
 }
 
-func (g *guard) crashed(now time.Time, endpoint string, incarnation uint64, lost []owner.Fingerprint) {
+func (g *guard) recordCrash(now time.Time, endpoint string, incarnation uint64, lost []owner.Fingerprint) {
 	g.mu.Lock()
 	for _, fp := range lost {
 		if fp != (owner.Fingerprint{}) {
 			g.crash.Crashed(now, fp, endpoint, incarnation)
 		}
 	}
-	g.share(now)
+	g.publishChanges(now)
 }
 
-func (g *guard) completed(now time.Time, fingerprint [16]byte) {
+func (g *guard) recordCompletion(now time.Time, fingerprint [16]byte) {
 	g.mu.Lock()
 	g.crash.Completed(now, fingerprint)
-	g.share(now)
+	g.publishChanges(now)
 }
 
 // heard merges what another instance told. Where this one knows more, it tells
 // the joined state, so that of two that write at once nothing is lost.
-func (g *guard) heard(now time.Time, name string, value []byte, ttl time.Duration) {
+func (g *guard) merge(now time.Time, name string, value []byte, ttl time.Duration) {
 	raw, err := hex.DecodeString(name)
 	var s fleetpb.FingerprintState
 	if err != nil || len(raw) != len(owner.Fingerprint{}) || proto.Unmarshal(value, &s) != nil {
@@ -63,12 +63,12 @@
 	}
 	g.mu.Lock()
 	g.crash.Merge(now, [16]byte(raw), &policy.CrashState{Endpoints: s.GetEndpoints(), Cleared: s.GetCleared()}, ttl)
-	g.share(now)
+	g.publishChanges(now)
 }
 
 // share publishes what has changed. It takes the lock over and releases it: a
 // publication may wait for the exchange, which may wait for heard.
-func (g *guard) share(now time.Time) {
+func (g *guard) publishChanges(now time.Time) {
 	type change struct {
 		name  string
 		value []byte
@@ -92,13 +92,13 @@
 }
 
 // known returns what is known of a fingerprint and for how long, nil if nothing.
-func (g *guard) known(now time.Time, fingerprint [16]byte) (*policy.CrashState, time.Duration) {
+func (g *guard) crashState(now time.Time, fingerprint [16]byte) (*policy.CrashState, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.crash.State(now, fingerprint)
 }
 
-func (g *guard) forget(now time.Time) {
+func (g *guard) expire(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.crash.Tick(now)
--- a/place/kept.go
+++ b/place/kept.go
@@ -13,19 +13,19 @@
 )
 
 // keeps reports whether the pool's endpoints export and import KV cache.
-func (f *Fleet) keeps(p *poolRoutes) bool {
+func (f *Fleet) canImport(p *poolRoutes) bool {
 	return f.cfg.Kept != nil && p != nil && p.record.GetKvImportTokensPerSecond() > 0
 }
 
 // findKept notes the longest prefix of the prompt that could be imported.
-func (f *Fleet) findKept(t *ticket) {
-	if f.keeps(t.pool) {
+func (f *Fleet) findKept(t *placement) {
+	if f.canImport(t.pool) {
 		t.kept, _ = f.cfg.Kept.Deepest(t.request.Blocks)
 	}
 }
 
 // keptTokens of the prompt could be imported.
-func (t *ticket) keptTokens() int64 {
+func (t *placement) keptTokens() int64 {
 	return int64(t.kept.Blocks) * t.pool.record.GetBlockTokens()
 }
 
@@ -33,7 +33,7 @@
 // less time than computing it. The slot is held meanwhile. It is not done for
 // an endpoint without an owner: nobody knows what is cached there, and most
 // often it is what the endpoint was chosen for.
-func (f *Fleet) importKept(ctx context.Context, t *ticket, g Grant) {
+func (f *Fleet) importKept(ctx context.Context, t *placement, g Grant) {
 	if t.kept.Blocks == 0 || g.ID == 0 || ctx.Err() != nil {
 		return
 	}
@@ -46,9 +46,9 @@
 }
 
 // keep tells the keeper that the endpoint now has the prompt's shared levels.
-func (f *Fleet) keep(g Grant) {
-	t := g.ticket
-	if len(t.levels) == 0 || !f.keeps(t.pool) {
+func (f *Fleet) reportUse(g Grant) {
+	t := g.placement
+	if len(t.levels) == 0 || !f.canImport(t.pool) {
 		return
 	}
 	f.cfg.Kept.Used(kept.Use{Address: g.Address, Salt: t.salt(), Chain: t.request.Blocks, Levels: t.levels})
@@ -56,7 +56,7 @@
 
 // learnLevels takes over the levels that the owner knows, which has seen more of
 // the prompt's kind than this instance.
-func (t *ticket) learnLevels(ends []int32) {
+func (t *placement) setLevels(ends []int32) {
 	if len(ends) < len(t.levels) {
 		return
 	}
@@ -68,7 +68,7 @@
 	}
 }
 
-func (t *ticket) salt() prefix.Hash {
+func (t *placement) salt() prefix.Hash {
 	return prefix.Salt(t.request.Organisation, t.request.Model, t.request.Version)
 }
 
@@ -80,7 +80,7 @@
 	}
 }
 
-func (f *Fleet) heardKept(it exchange.Item) {
+func (f *Fleet) mergeKept(it exchange.Item) {
 	s := &fleetpb.KeptState{}
 	last, ok := prefix.ParseHash(it.Key.Name)
 	if f.cfg.Kept == nil || !ok || proto.Unmarshal(it.Value, s) != nil || s.GetBlocks() <= 0 {
--- a/place/limits.go
+++ b/place/limits.go
@@ -18,11 +18,11 @@
 	// usageEvery is how often an instance tells its use, and usageEachMember
 	// what each member adds to that, so that the bytes that reach an instance
 	// stay the same: four reports a second over the whole fleet.
-	usageEvery      = time.Second
-	usageEachMember = 250 * time.Millisecond
+	minUsageInterval       = time.Second
+	usageIntervalPerMember = 250 * time.Millisecond
 	// usageRounds is after how many missed reports an instance's use counts
 	// for nothing.
-	usageRounds = 5
+	usageTTLIntervals = 5
 )
 
 // limits holds organisations to what their records allow over the whole fleet.
@@ -96,11 +96,11 @@
 			delete(l.byName, name)
 		}
 	}
-	l.share()
+	l.applyUsage()
 }
 
 // heard takes another instance's use.
-func (l *limits) heard(instance string, value []byte) {
+func (l *limits) merge(instance string, value []byte) {
 	s := &fleetpb.UsageState{}
 	if instance == l.self || proto.Unmarshal(value, s) != nil {
 		return
@@ -108,11 +108,11 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.usage[instance] = s
-	l.share()
+	l.applyUsage()
 }
 
 // share gives each limit what the other instances reported.
-func (l *limits) share() {
+func (l *limits) applyUsage() {
 	others := map[string][]policy.Usage{}
 	for _, s := range l.usage {
 		for _, u := range s.GetUsage() {
@@ -129,26 +129,26 @@
 // run tells this instance's use until ctx ends.
 func (l *limits) run(ctx context.Context, now func() time.Time) {
 	for {
-		every := l.every()
+		interval := l.interval()
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(every):
+		case <-time.After(interval):
 		}
-		if value := l.report(now()); len(value) > 0 {
-			l.publish(fleetpb.ItemKind_ITEM_KIND_USAGE, l.self, value, usageRounds*every)
+		if value := l.localUsage(now()); len(value) > 0 {
+			l.publish(fleetpb.ItemKind_ITEM_KIND_USAGE, l.self, value, usageTTLIntervals*interval)
 		}
 	}
 }
 
-func (l *limits) every() time.Duration {
+func (l *limits) interval() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(usageEvery, time.Duration(l.members)*usageEachMember)
+	return max(minUsageInterval, time.Duration(l.members)*usageIntervalPerMember)
 }
 
 // report is the use of the limited organisations that have any.
-func (l *limits) report(now time.Time) []byte {
+func (l *limits) localUsage(now time.Time) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := &fleetpb.UsageState{}
--- a/place/look_test.go
+++ b/place/look_test.go
@@ -23,7 +23,7 @@
 			"broken": func(context.Context) (bool, error) { return true, errors.New("half an answer") },
 			"still":  func(ctx context.Context) (bool, error) { <-ctx.Done(); return true, ctx.Err() },
 		}
-		l := newLooks(func(ctx context.Context, address string) (bool, error) {
+		l := newLeavingChecks(func(ctx context.Context, address string) (bool, error) {
 			asked.Add(1)
 			if ctx.Err() != nil {
 				return false, ctx.Err()
@@ -36,14 +36,14 @@
 			var wg sync.WaitGroup
 			for range requests {
 				wg.Go(func() {
-					if got, want := l.askLeaving(t.Context(), candidate{name: name, address: name}, began), name == "leaves"; got != want {
+					if got, want := l.isLeaving(t.Context(), candidate{name: name, address: name}, began), name == "leaves"; got != want {
 						t.Errorf("%s: leaving %v, want %v", name, got, want)
 					}
 				})
 			}
 			wg.Wait()
-			if took := time.Since(began); took > lookBound || asked.Load() != 1 {
-				t.Errorf("%s: %d questions and %v for %d requests, want 1 within %v", name, asked.Load(), took, requests, lookBound)
+			if took := time.Since(began); took > leavingCheckTimeout || asked.Load() != 1 {
+				t.Errorf("%s: %d questions and %v for %d requests, want 1 within %v", name, asked.Load(), took, requests, leavingCheckTimeout)
 			}
 			if l.knownLeaving(name, began) != (name == "leaves") {
 				t.Errorf("%s: not remembered as it said", name)
@@ -52,13 +52,13 @@
 		// The first caller has gone while it asked; the next one counts on the answer.
 		gone, leave := context.WithCancel(t.Context())
 		leave()
-		l.last = map[string]*look{}
-		_ = l.askLeaving(gone, candidate{name: "leaves", address: "leaves"}, time.Now())
-		if !l.askLeaving(t.Context(), candidate{name: "leaves", address: "leaves"}, time.Now()) {
+		l.last = map[string]*leavingCheck{}
+		_ = l.isLeaving(gone, candidate{name: "leaves", address: "leaves"}, time.Now())
+		if !l.isLeaving(t.Context(), candidate{name: "leaves", address: "leaves"}, time.Now()) {
 			t.Error("a caller that has gone made a leaving endpoint usable")
 		}
 		// An endpoint that was to leave and stays gets work again.
-		if l.knownLeaving("leaves", time.Now().Add(lookEvery)) {
+		if l.knownLeaving("leaves", time.Now().Add(leavingCheckTTL)) {
 			t.Error("what an endpoint said holds for good")
 		}
 	})
--- a/place/observe.go
+++ b/place/observe.go
@@ -11,28 +11,28 @@
 const (
 	// maxRestored bounds the states that were handed over before this instance
 	// knew that it owns their endpoints.
-	maxRestored = 64
+	maxEarlyStates = 64
 	// restoredBound is how long such a state is worth anything. The news of the
 	// former owner's leave takes a second or two.
-	restoredBound = 10 * time.Second
+	earlyStateTTL = 10 * time.Second
 )
 
 // SetOwned replaces the endpoints that this instance owns. What it owned before
 // and does not now is handed over to the instance that next names.
 func (d *Duty) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
 	return d.events.Put(ctx, func(d *Duty, now time.Time) {
-		d.loseCallers(now, members)
+		d.dropCallers(now, members)
 		keep := make(map[string]bool, len(owned))
 		for _, cfg := range owned {
 			keep[cfg.Name] = true
 			cfg.FirstGrantID = d.cfg.FirstGrantID
-			e := d.book.Add(cfg)
-			if r, ok := d.restored[cfg.Name]; ok && now.Sub(r.at) < restoredBound {
+			e := d.endpoints.Add(cfg)
+			if r, ok := d.earlyStates[cfg.Name]; ok && now.Sub(r.at) < earlyStateTTL {
 				_ = e.Restore(now, r.knowledge)
 			}
-			delete(d.restored, cfg.Name)
+			delete(d.earlyStates, cfg.Name)
 		}
-		for _, name := range d.book.Names() {
+		for _, name := range d.endpoints.Names() {
 			if !keep[name] {
 				d.handOver(now, name, next(name))
 			}
@@ -41,14 +41,14 @@
 }
 
 // loseCallers takes back what instances held that are members no more.
-func (d *Duty) loseCallers(now time.Time, members []string) {
+func (d *Duty) dropCallers(now time.Time, members []string) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
 		live[m] = true
 	}
 	for _, m := range d.members {
 		if !live[m] {
-			d.decide(now, d.book.CallerLost(now, m))
+			d.deliver(now, d.endpoints.CallerLost(now, m))
 		}
 	}
 	d.members = members
@@ -58,35 +58,35 @@
 // once that one knows what runs: before, it would give the same slots a second
 // time.
 func (d *Duty) handOver(now time.Time, name, next string) {
-	knowledge, err := d.book.Endpoint(name).Snapshot(now)
-	away := d.book.Remove(name)
-	for i := range away {
+	knowledge, err := d.endpoints.Endpoint(name).Snapshot(now)
+	refusals := d.endpoints.Remove(name)
+	for i := range refusals {
 		// The endpoint is well; its next owner is to be asked.
-		away[i].Reason = owner.ReasonNotOwned
+		refusals[i].Reason = owner.ReasonNotOwned
 	}
 	if err != nil || next == "" || next == d.cfg.Self {
-		d.decide(now, away)
+		d.deliver(now, refusals)
 		return
 	}
 	d.cfg.HandOver(name, next, knowledge, func() {
-		d.events.Offer(func(d *Duty, now time.Time) { d.decide(now, away) })
+		d.events.Offer(func(d *Duty, now time.Time) { d.deliver(now, refusals) })
 	})
 }
 
 // Restore takes over what the former owner of an endpoint knew.
 func (d *Duty) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
 	return d.events.Put(ctx, func(d *Duty, now time.Time) {
-		if e := d.book.Endpoint(endpoint); e != nil {
+		if e := d.endpoints.Endpoint(endpoint); e != nil {
 			_ = e.Restore(now, knowledge)
 			return
 		}
-		for name, r := range d.restored {
-			if now.Sub(r.at) >= restoredBound {
-				delete(d.restored, name)
+		for name, r := range d.earlyStates {
+			if now.Sub(r.at) >= earlyStateTTL {
+				delete(d.earlyStates, name)
 			}
 		}
-		if len(d.restored) < maxRestored {
-			d.restored[endpoint] = restoredState{knowledge, now}
+		if len(d.earlyStates) < maxEarlyStates {
+			d.earlyStates[endpoint] = earlyState{knowledge, now}
 		}
 	})
 }
@@ -95,7 +95,7 @@
 // of other owners are passed over.
 func (d *Duty) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
 	return d.events.Put(ctx, func(d *Duty, now time.Time) {
-		e := d.book.Endpoint(endpoint)
+		e := d.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
 		}
@@ -106,7 +106,7 @@
 		if len(change.Lost) > 0 {
 			d.cfg.Lost(endpoint, s.GetIncarnation(), change.Lost)
 		}
-		d.decide(now, change.Decisions)
+		d.deliver(now, change.Decisions)
 	})
 }
 
@@ -114,8 +114,8 @@
 // reports up.
 func (d *Duty) Load(endpoint string, r owner.LoadReport) {
 	d.events.Push(func(d *Duty, now time.Time) {
-		if e := d.book.Endpoint(endpoint); e != nil {
-			d.decide(now, e.LoadReport(now, r))
+		if e := d.endpoints.Endpoint(endpoint); e != nil {
+			d.deliver(now, e.LoadReport(now, r))
 		}
 	})
 }
@@ -124,7 +124,7 @@
 // gives up is a gap like those of the engine's own stream.
 func (d *Duty) CacheEvents(endpoint string, events []owner.CacheEvent) {
 	d.events.Push(func(d *Duty, _ time.Time) {
-		e := d.book.Endpoint(endpoint)
+		e := d.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
 		}
@@ -147,7 +147,7 @@
 func (d *Duty) Dump(ctx context.Context) DutyDump {
 	ch := make(chan DutyDump, 1)
 	err := d.events.Put(ctx, func(d *Duty, _ time.Time) {
-		ch <- DutyDump{Owned: d.book.Names(), Held: len(d.held), Unclaimed: len(d.unclaimed)}
+		ch <- DutyDump{Owned: d.endpoints.Names(), Held: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
 	})
 	if err != nil {
 		return DutyDump{}
--- a/place/place.go
+++ b/place/place.go
@@ -52,7 +52,7 @@
 	Long bool
 
 	// ticket is what the placer has to know of the request at its end.
-	ticket *ticket
+	placement *placement
 }
 
 // End is the stage that a granted request reached.
--- a/place/reports.go
+++ b/place/reports.go
@@ -16,11 +16,11 @@
 	// reportEvery is how long reports are gathered for one message. An owner
 	// learns of a free slot that much later, which is a few percent of the
 	// shortest requests.
-	reportEvery = 10 * time.Millisecond
+	reportInterval = 10 * time.Millisecond
 	// reportBound is how long an owner may take to answer; reportRetry how
 	// long after a failure it is tried again.
-	reportBound = time.Second
-	reportRetry = 500 * time.Millisecond
+	reportTimeout    = time.Second
+	reportRetryDelay = 500 * time.Millisecond
 	// maxPending bounds the reports kept for one owner that does not answer.
 	// The oldest are given up: their grants end by their timeout.
 	maxPending = 4096
@@ -47,7 +47,7 @@
 type pendingReports struct {
 	ends    []*fleetpb.GrantEnd
 	sending bool
-	notNow  time.Time
+	retryAt time.Time
 }
 
 func newReporter(f *Fleet) *reporter {
@@ -66,13 +66,13 @@
 // withdraw takes back an ask, or the grant whose reply was lost. The request is
 // known by another name from now on, so that a late withdrawal cannot take back
 // a later ask.
-func (r *reporter) withdraw(t *ticket, instance, endpoint string) {
+func (r *reporter) withdraw(t *placement, instance, endpoint string) {
 	r.queue(instance, &fleetpb.GrantEnd{Endpoint: endpoint, RequestId: t.askID(), State: fleetpb.GrantState_GRANT_STATE_UNUSED})
 	t.withdrawn++
 }
 
 // askID names the request at owners.
-func (t *ticket) askID() string {
+func (t *placement) askID() string {
 	if t.withdrawn == 0 {
 		return t.request.ID
 	}
@@ -91,14 +91,14 @@
 		r.pending[instance] = p
 	}
 	p.ends = append(p.ends, end)
-	p.bound()
+	p.trim()
 	select {
 	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (p *pendingReports) bound() {
+func (p *pendingReports) trim() {
 	if over := len(p.ends) - maxPending; over > 0 {
 		p.ends = p.ends[over:]
 		reportsLost.Add(over)
@@ -116,7 +116,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(reportEvery):
+		case <-time.After(reportInterval):
 		}
 		r.flush(ctx)
 	}
@@ -133,7 +133,7 @@
 			delete(r.pending, instance)
 			continue
 		}
-		if p.sending || now.Before(p.notNow) {
+		if p.sending || now.Before(p.retryAt) {
 			continue
 		}
 		r.send(ctx, instance, p, view)
@@ -146,7 +146,7 @@
 	p.ends = p.ends[len(batch):]
 	if instance == view.Self {
 		r.f.cfg.Duty.Report(instance, batch)
-		r.again(0)
+		r.wakeAfter(0)
 		return
 	}
 	m, ok := view.Find(instance)
@@ -160,25 +160,25 @@
 }
 
 func (r *reporter) deliver(ctx context.Context, instance, address string, p *pendingReports, batch []*fleetpb.GrantEnd) {
-	_, err := r.f.cfg.Peers.Report(ctx, address, reportBound, &fleetpb.ReportRequest{Caller: r.f.cfg.Caller, Ends: batch})
+	_, err := r.f.cfg.Peers.Report(ctx, address, reportTimeout, &fleetpb.ReportRequest{Caller: r.f.cfg.Caller, Ends: batch})
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p.sending = false
 	if err == nil {
 		reportsSent.Inc()
 		if len(p.ends) > 0 {
-			r.again(0)
+			r.wakeAfter(0)
 		}
 		return
 	}
 	p.ends = append(append([]*fleetpb.GrantEnd(nil), batch...), p.ends...)
-	p.bound()
-	p.notNow = r.f.cfg.Clock.Now().Add(reportRetry)
-	r.again(reportRetry)
+	p.trim()
+	p.retryAt = r.f.cfg.Clock.Now().Add(reportRetryDelay)
+	r.wakeAfter(reportRetryDelay)
 }
 
 // again has the reports looked at after a while.
-func (r *reporter) again(after time.Duration) {
+func (r *reporter) wakeAfter(after time.Duration) {
 	time.AfterFunc(after, func() {
 		select {
 		case r.wake <- struct{}{}:
--- a/place/routes.go
+++ b/place/routes.go
@@ -98,16 +98,16 @@
 // endpoint's own region: an ask across regions would take longer than it is
 // worth, and a region that is cut off keeps all its owners.
 type regions struct {
-	self     string
-	ofCentre map[string]string
-	byRegion map[string][]string
-	all      []string
+	self         string
+	byDataCentre map[string]string
+	byRegion     map[string][]string
+	all          []string
 }
 
 func newRegions(view *member.View) *regions {
-	g := &regions{ofCentre: map[string]string{}, byRegion: map[string][]string{}, all: view.Owners}
+	g := &regions{byDataCentre: map[string]string{}, byRegion: map[string][]string{}, all: view.Owners}
 	for _, m := range view.Members {
-		g.ofCentre[m.DataCentre] = m.Region
+		g.byDataCentre[m.DataCentre] = m.Region
 		if m.Owns() {
 			g.byRegion[m.Region] = append(g.byRegion[m.Region], m.Name)
 		}
@@ -120,14 +120,14 @@
 
 // members are those that may own an endpoint in the data centre.
 func (g *regions) members(centre string) []string {
-	if region, ok := g.ofCentre[centre]; ok && len(g.byRegion[region]) > 0 {
+	if region, ok := g.byDataCentre[centre]; ok && len(g.byRegion[region]) > 0 {
 		return g.byRegion[region]
 	}
 	return g.all
 }
 
 func (g *regions) isNear(centre string) bool {
-	region, ok := g.ofCentre[centre]
+	region, ok := g.byDataCentre[centre]
 	return !ok || region == g.self
 }
 
--- a/place/share.go
+++ b/place/share.go
@@ -17,21 +17,21 @@
 // shareRing bounds what waits between placing and the exchange, in both
 // directions. When it is full the oldest is given up: fingerprints and use are
 // told again, and states of endpoints follow from the next observation.
-const shareRing = 1024
+const shareQueueSize = 1024
 
 const (
 	// handOverBound is how long the next owner may take to take an endpoint
 	// over; handOvers how many are given at once.
-	handOverBound = 2 * time.Second
-	handOvers     = 8
+	handOverTimeout = 2 * time.Second
+	handOverWorkers = 8
 	// handOverPoll is how often a leaving instance looks whether all is given.
 	handOverPoll = 5 * time.Millisecond
 )
 
 var (
-	handOversDone   = metrics.GetOrCreateCounter(`sardinedock_owner_hand_overs_total{result="done"}`)
-	handOversFailed = metrics.GetOrCreateCounter(`sardinedock_owner_hand_overs_total{result="failed"}`)
-	sharesFailed    = metrics.GetOrCreateCounter("sardinedock_place_publications_failed_total")
+	handOversDone      = metrics.GetOrCreateCounter(`sardinedock_owner_hand_overs_total{result="done"}`)
+	handOversFailed    = metrics.GetOrCreateCounter(`sardinedock_owner_hand_overs_total{result="failed"}`)
+	publicationsFailed = metrics.GetOrCreateCounter("sardinedock_place_publications_failed_total")
 )
 
 // publication is a state on its way into the exchange.
@@ -51,7 +51,7 @@
 // Observed takes what this instance found out of an endpoint that it owns, and
 // tells all instances.
 func (f *Fleet) Observed(ctx context.Context, endpoint string, s *fleetpb.EndpointState) {
-	f.states.tell(endpoint, s)
+	f.states.update(endpoint, s)
 	_ = f.cfg.Duty.Status(ctx, endpoint, s)
 	if value, err := (proto.MarshalOptions{Deterministic: true}).Marshal(s); err == nil {
 		f.publish(fleetpb.ItemKind_ITEM_KIND_ENDPOINT, endpoint, value, 0)
@@ -75,44 +75,44 @@
 			return
 		case p := <-f.outbox.C():
 			if f.cfg.Publish(ctx, p.key, p.value, p.ttl) != nil {
-				sharesFailed.Inc()
+				publicationsFailed.Inc()
 			}
 		}
 	}
 }
 
 func (f *Fleet) runInbox(ctx context.Context) {
-	forget := time.NewTicker(crashMemory / 10)
-	defer forget.Stop()
+	expire := time.NewTicker(crashRetention / 10)
+	defer expire.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case items := <-f.inbox.C():
 			for _, it := range items {
-				f.heard(ctx, it)
+				f.merge(ctx, it)
 			}
-		case <-forget.C:
-			f.guard.forget(f.cfg.Clock.Now())
+		case <-expire.C:
+			f.guard.expire(f.cfg.Clock.Now())
 		}
 	}
 }
 
-func (f *Fleet) heard(ctx context.Context, it exchange.Item) {
+func (f *Fleet) merge(ctx context.Context, it exchange.Item) {
 	switch it.Key.Kind {
 	case fleetpb.ItemKind_ITEM_KIND_ENDPOINT:
 		s := &fleetpb.EndpointState{}
 		if proto.Unmarshal(it.Value, s) != nil {
 			return
 		}
-		f.states.tell(it.Key.Name, s)
+		f.states.update(it.Key.Name, s)
 		_ = f.cfg.Duty.Status(ctx, it.Key.Name, s)
 	case fleetpb.ItemKind_ITEM_KIND_FINGERPRINT:
-		f.guard.heard(f.cfg.Clock.Now(), it.Key.Name, it.Value, it.TTL)
+		f.guard.merge(f.cfg.Clock.Now(), it.Key.Name, it.Value, it.TTL)
 	case fleetpb.ItemKind_ITEM_KIND_USAGE:
-		f.limits.heard(it.Key.Name, it.Value)
+		f.limits.merge(it.Key.Name, it.Value)
 	case fleetpb.ItemKind_ITEM_KIND_KEPT:
-		f.heardKept(it)
+		f.mergeKept(it)
 	}
 }
 
@@ -121,7 +121,7 @@
 
 // Lost takes the requests that were in flight when an endpoint crashed.
 func (f *Fleet) Lost(endpoint string, incarnation uint64, lost []owner.Fingerprint) {
-	f.guard.crashed(f.cfg.Clock.Now(), endpoint, incarnation, lost)
+	f.guard.recordCrash(f.cfg.Clock.Now(), endpoint, incarnation, lost)
 }
 
 // Ask serves another instance's ask.
@@ -158,7 +158,7 @@
 
 // NewHandOvers returns an empty queue with room for all endpoints of one
 // instance.
-func NewHandOvers() *HandOvers { return &HandOvers{queue: make(chan handOver, shareRing)} }
+func NewHandOvers() *HandOvers { return &HandOvers{queue: make(chan handOver, shareQueueSize)} }
 
 // Give queues an endpoint's state. What does not fit is given up: the next
 // owner then begins without it.
@@ -189,14 +189,14 @@
 // Run sends states to the next owners until ctx ends.
 func (h *HandOvers) Run(ctx context.Context, f *Fleet) {
 	var wg sync.WaitGroup
-	for range handOvers {
+	for range handOverWorkers {
 		wg.Go(func() {
 			for {
 				select {
 				case <-ctx.Done():
 					return
 				case x := <-h.queue:
-					f.giveAway(ctx, x)
+					f.sendHandOver(ctx, x)
 					x.done()
 					h.open.Add(-1)
 				}
@@ -206,14 +206,14 @@
 	wg.Wait()
 }
 
-func (f *Fleet) giveAway(ctx context.Context, x handOver) {
+func (f *Fleet) sendHandOver(ctx context.Context, x handOver) {
 	address, ok := f.routes.Load().address(x.next)
 	if !ok {
 		handOversFailed.Inc()
 		return
 	}
 	in := &fleetpb.HandOverRequest{Caller: f.cfg.Caller, Endpoint: x.endpoint, Knowledge: x.knowledge}
-	if _, err := f.cfg.Peers.HandOver(ctx, address, handOverBound, in); err != nil {
+	if _, err := f.cfg.Peers.HandOver(ctx, address, handOverTimeout, in); err != nil {
 		handOversFailed.Inc()
 		return
 	}
--- a/place/states.go
+++ b/place/states.go
@@ -12,49 +12,49 @@
 const (
 	// crashSuspicion is how long this instance avoids an endpoint that died
 	// under one of its requests, until the owner's word of it has come round.
-	crashSuspicion = 2 * time.Second
+	crashAvoidance = 2 * time.Second
 	// ownerSilence is how long an owner that did not answer is not asked
 	// again. Each ask of it would cost a request the bound of an ask; one a
 	// period notices that it is back.
-	ownerSilence = 500 * time.Millisecond
+	ownerRetryInterval = 500 * time.Millisecond
 )
 
 // states is what this instance holds of endpoints and of owners, for the
 // choice of candidates and for the time without an owner's answer. Any
 // goroutine may use it; the lock is held for a few map accesses.
 type states struct {
-	mu       sync.Mutex
-	told     map[string]*fleetpb.EndpointState
-	crashed  map[string]time.Time
-	inFlight map[string]int
-	silent   map[string]time.Time
+	mu           sync.Mutex
+	reported     map[string]*fleetpb.EndpointState
+	crashed      map[string]time.Time
+	inFlight     map[string]int
+	unresponsive map[string]time.Time
 }
 
 func newStates() *states {
 	return &states{
-		told: map[string]*fleetpb.EndpointState{}, crashed: map[string]time.Time{},
-		inFlight: map[string]int{}, silent: map[string]time.Time{},
+		reported: map[string]*fleetpb.EndpointState{}, crashed: map[string]time.Time{},
+		inFlight: map[string]int{}, unresponsive: map[string]time.Time{},
 	}
 }
 
 // tell takes what an owner says of an endpoint. Another incarnation ends the
 // suspicion of a crash.
-func (s *states) tell(endpoint string, state *fleetpb.EndpointState) {
+func (s *states) update(endpoint string, state *fleetpb.EndpointState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if old := s.told[endpoint]; old.GetIncarnation() != state.GetIncarnation() {
+	if old := s.reported[endpoint]; old.GetIncarnation() != state.GetIncarnation() {
 		delete(s.crashed, endpoint)
 	}
-	s.told[endpoint] = state
+	s.reported[endpoint] = state
 }
 
 // keep forgets the endpoints that no record names any more.
-func (s *states) keep(known map[string]string) {
+func (s *states) retain(known map[string]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for name := range s.told {
+	for name := range s.reported {
 		if _, ok := known[name]; !ok {
-			delete(s.told, name)
+			delete(s.reported, name)
 		}
 	}
 	for name := range s.crashed {
@@ -69,18 +69,18 @@
 func (s *states) usable(endpoint string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	status := s.told[endpoint].GetStatus()
+	status := s.reported[endpoint].GetStatus()
 	live := status == fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE || status == fleetpb.EndpointStatus_ENDPOINT_STATUS_UNSPECIFIED
-	return live && now.Sub(s.crashed[endpoint]) >= crashSuspicion
+	return live && now.Sub(s.crashed[endpoint]) >= crashAvoidance
 }
 
 func (s *states) incarnation(endpoint string) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.told[endpoint].GetIncarnation()
+	return s.reported[endpoint].GetIncarnation()
 }
 
-func (s *states) sawCrash(endpoint string, now time.Time) {
+func (s *states) markCrashed(endpoint string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.crashed[endpoint] = now
@@ -109,30 +109,30 @@
 
 // mayAsk reports whether the owner is worth an ask. After a silence one ask a
 // period goes through.
-func (s *states) mayAsk(instance string, now time.Time) bool {
+func (s *states) canAsk(instance string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	until, ok := s.silent[instance]
+	until, ok := s.unresponsive[instance]
 	if !ok {
 		return true
 	}
 	if now.Before(until) {
 		return false
 	}
-	s.silent[instance] = now.Add(ownerSilence)
+	s.unresponsive[instance] = now.Add(ownerRetryInterval)
 	return true
 }
 
-func (s *states) answered(instance string) {
+func (s *states) markResponsive(instance string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.silent, instance)
+	delete(s.unresponsive, instance)
 }
 
-func (s *states) didNotAnswer(instance string, now time.Time) {
+func (s *states) markUnresponsive(instance string, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent[instance] = now.Add(ownerSilence)
+	s.unresponsive[instance] = now.Add(ownerRetryInterval)
 }
 
 // all copies what owners say of endpoints. The states themselves are never
@@ -140,21 +140,21 @@
 func (s *states) all() map[string]*fleetpb.EndpointState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return maps.Clone(s.told)
+	return maps.Clone(s.reported)
 }
 
 // dump copies what is held: the status of endpoints, this instance's requests
 // on them, and the owners that did not answer.
-func (s *states) dump() (told map[string]string, running map[string]int, silent []string) {
+func (s *states) dump() (reported map[string]string, running map[string]int, unresponsive []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told = make(map[string]string, len(s.told))
-	for name, state := range s.told {
-		told[name] = state.GetStatus().String()
+	reported = make(map[string]string, len(s.reported))
+	for name, state := range s.reported {
+		reported[name] = state.GetStatus().String()
 	}
-	for instance := range s.silent {
-		silent = append(silent, instance)
+	for instance := range s.unresponsive {
+		unresponsive = append(unresponsive, instance)
 	}
-	slices.Sort(silent)
-	return told, maps.Clone(s.inFlight), silent
+	slices.Sort(unresponsive)
+	return reported, maps.Clone(s.inFlight), unresponsive
 }
--- a/place/warn.go
+++ b/place/warn.go
@@ -18,9 +18,9 @@
 	// warnBound is how long the answer of a crash-causing request is held for
 	// the other instances to hear of it. A round trip to all of them takes
 	// milliseconds; one that does not answer hears it by the exchange.
-	warnBound = 100 * time.Millisecond
+	warnTimeout = 100 * time.Millisecond
 	// warnAtOnce bounds the calls that are open at a time.
-	warnAtOnce = 32
+	maxConcurrentWarnings = 32
 )
 
 var (
@@ -39,39 +39,39 @@
 // hears nothing yet; for that the exchange is quick enough. So a crash costs no
 // calls for each of the many requests that were in flight beside the one that
 // caused it.
-func (f *Fleet) warn(now time.Time, t *ticket) {
+func (f *Fleet) warn(now time.Time, t *placement) {
 	fingerprint := t.request.Fingerprint
 	verdict, _ := f.guard.verdict(now, fingerprint)
 	if verdict != policy.CrashRefused && !t.request.Class.GetNonIdempotent() {
 		return
 	}
-	state, ttl := f.guard.known(now, fingerprint)
+	state, ttl := f.guard.crashState(now, fingerprint)
 	if state == nil {
 		return
 	}
 	in := &fleetpb.WarnRequest{Caller: f.cfg.Caller, Fingerprint: fingerprint[:], State: crashMessage(state), TtlMs: ttl.Milliseconds()}
-	ctx, cancel := context.WithTimeout(context.Background(), warnBound)
+	ctx, cancel := context.WithTimeout(context.Background(), warnTimeout)
 	defer cancel()
 	f.warnAll(ctx, in)
 }
 
 func (f *Fleet) warnAll(ctx context.Context, in *fleetpb.WarnRequest) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, warnAtOnce)
+	slots := make(chan struct{}, maxConcurrentWarnings)
 	for _, m := range f.routes.Load().view.Members {
-		if !f.canHear(m) {
+		if !f.canServe(m) {
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			warningsFailed.Inc()
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			warnings.Inc()
-			if _, err := f.cfg.Peers.Warn(ctx, m.Address, warnBound, in); err != nil {
+			if _, err := f.cfg.Peers.Warn(ctx, m.Address, warnTimeout, in); err != nil {
 				warningsFailed.Inc()
 			}
 		})
@@ -80,7 +80,7 @@
 }
 
 // canHear reports whether a member may be serving callers.
-func (f *Fleet) canHear(m member.Member) bool {
+func (f *Fleet) canServe(m member.Member) bool {
 	gone := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_DEAD || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT
 	return !gone && m.Name != f.cfg.Caller.GetInstance() && m.Address != ""
 }
@@ -91,6 +91,6 @@
 	if err != nil {
 		return nil, err
 	}
-	f.guard.heard(f.cfg.Clock.Now(), hex.EncodeToString(in.GetFingerprint()), value, milliseconds(in.GetTtlMs()))
+	f.guard.merge(f.cfg.Clock.Now(), hex.EncodeToString(in.GetFingerprint()), value, milliseconds(in.GetTtlMs()))
 	return &fleetpb.WarnReply{}, nil
 }
