--- a/owner/book.go
+++ b/owner/book.go
@@ -9,29 +9,29 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// callerLease is how long an instance may be silent before its grants and asks
-// are taken back. An instance that was killed cannot give back what it holds;
-// without the lease its slots would be lost until the requests' timeouts.
+// callerLease is how long an instance may be unresponsive before its grants and queued asks
+// are dropped. A killed instance cannot release what it was granted; without the lease its
+// slots would be lost until the requests time out.
 const callerLease = 10 * time.Second
 
-// Book holds the endpoints that an instance owns.
+// Book is the set of endpoints that an instance owns.
 type Book struct {
 	endpoints map[string]*Endpoint
 	lastSeen  map[string]time.Time
 	prices    policy.Prices
-	// levels are those of all endpoints here. A prefix goes to few endpoints,
-	// so their owners see where its levels end long before any of the many
-	// instances that place it.
+	// levels are the shared prefix lengths seen on all endpoints. Requests with the same
+	// prefix go to few endpoints, so their owners detect where shared prefixes end long
+	// before any of the many instances that place such requests.
 	levels *prefix.Levels
 }
 
-// NewBook returns an empty book. The prices decide between several endpoints
-// that one ask names.
+// NewBook returns a Book without endpoints. The prices decide between endpoints if an ask
+// names several.
 func NewBook(prices policy.Prices) *Book {
 	return &Book{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
 }
 
-// Add takes an endpoint in; one that is there keeps its state and gets the new
+// Add adds an endpoint. If the endpoint exists, it keeps its state and gets the new
 // configuration.
 func (b *Book) Add(cfg Config) *Endpoint {
 	e, ok := b.endpoints[cfg.Name]
@@ -45,7 +45,7 @@
 	return e
 }
 
-// Remove gives an endpoint up; what waits there is sent away.
+// Remove removes an endpoint and refuses the asks queued for it.
 func (b *Book) Remove(name string) []Decision {
 	e, ok := b.endpoints[name]
 	if !ok {
@@ -56,10 +56,10 @@
 	return e.refuseQueued()
 }
 
-// Endpoint returns an endpoint of the book, nil if it is not there.
+// Endpoint returns the named endpoint, or nil if it is not in the book.
 func (b *Book) Endpoint(name string) *Endpoint { return b.endpoints[name] }
 
-// Names lists the endpoints in order.
+// Names returns the names of the endpoints, sorted.
 func (b *Book) Names() []string {
 	names := make([]string, 0, len(b.endpoints))
 	for name := range b.endpoints {
@@ -69,8 +69,8 @@
 	return names
 }
 
-// Ask answers an ask for one of the named endpoints. Probe answers with the
-// offers of all; Take takes the best of them.
+// Ask answers an ask for one of the named endpoints. Probe returns the offers of all of
+// them; Take asks the best one for a slot.
 func (b *Book) Ask(now time.Time, a Ask, names []string) Decision {
 	b.Seen(now, a.Caller)
 	offers := b.offers(now, a, names)
@@ -94,7 +94,8 @@
 	return d
 }
 
-// holder returns the named endpoint where the ask is granted or queued already.
+// findExisting returns the named endpoint at which the ask is already granted or queued, or
+// nil.
 func (b *Book) findExisting(a Ask, names []string) *Endpoint {
 	for _, name := range names {
 		e := b.endpoints[name]
@@ -129,7 +130,7 @@
 	return ReasonNotOwned
 }
 
-// Idle reports whether no endpoint has anything granted or queued.
+// Idle reports whether no endpoint has granted or queued requests.
 func (b *Book) Idle() bool {
 	for _, e := range b.endpoints {
 		if len(e.grants)+len(e.queued) > 0 {
@@ -139,11 +140,11 @@
 	return true
 }
 
-// Seen renews the lease of an instance; any message of it does.
+// Seen renews the lease of an instance. It must be called for each message from the
+// instance.
 func (b *Book) Seen(now time.Time, caller string) { b.lastSeen[caller] = now }
 
-// CallerLost takes back all that an instance holds, once it is known to be
-// gone.
+// CallerLost drops the grants and queued asks of an instance that has failed or left.
 func (b *Book) CallerLost(now time.Time, caller string) []Decision {
 	delete(b.lastSeen, caller)
 	var decisions []Decision
@@ -153,7 +154,7 @@
 	return decisions
 }
 
-// Tick has to be called every TickInterval.
+// Tick expires leases, grants and deadlines. It must be called every TickInterval.
 func (b *Book) Tick(now time.Time) []Decision {
 	var decisions []Decision
 	for _, caller := range b.expired(now) {
--- a/owner/endpoint.go
+++ b/owner/endpoint.go
@@ -10,32 +10,35 @@
 )
 
 const (
-	// maxQueued bounds the asks that wait at one endpoint. At the largest burst
-	// a queue this long is some ten seconds of work; who comes later is better
-	// told so at once.
+	// maxQueued is the maximum number of asks queued at one endpoint. In the largest
+	// expected burst a queue of this length is about ten seconds of work; later asks are
+	// better refused at once.
 	maxQueued = 512
-	// firstHold is how long a request is taken to hold a slot before any ended.
+	// initialHoldTime is the assumed time that a request occupies a slot until the first
+	// measurement.
 	initialHoldTime = time.Second
-	// holdMemory is the weight of the newest request in the mean hold time.
+	// holdTimeSmoothing is the weight of the newest request in the moving average of hold
+	// times.
 	holdTimeSmoothing = 0.05
-	// defaultTimeout ends a grant whose ask named none.
+	// defaultTimeout is the timeout of a grant whose ask specified none.
 	defaultTimeout = 10 * time.Minute
-	// longTokens is from how many tokens on a prefill is long: a few chunks of an
-	// engine. Cold catalogues are far above it, cached ones far below.
+	// longPrefillTokens is the number of uncached tokens above which a prefill counts as
+	// long: a few chunks of an engine. Uncached document prompts are far above it, cached
+	// ones far below.
 	longPrefillTokens = 1536
-	// chunkTokens is what an engine computes at a time; work of a lower rank
-	// waits for the end of the chunk at most.
+	// chunkTokens is how many tokens an engine computes at a time. Work of a higher
+	// priority waits at most until the end of the current chunk.
 	chunkTokens = 512
-	// longPatience and longFactor bound how long short work may go before a
-	// long prefill that was sent: a multiple of its own time, at least this.
+	// longMinDelay and longDelayFactor limit how long short prefills may overtake a long
+	// one that was sent: longMinDelay plus longDelayFactor times the long one's own time.
 	longMinDelay    = 500 * time.Millisecond
 	longDelayFactor = 3
-	// timeoutMargin is what a grant outlives its request by, so that a report
-	// under way is not too late.
+	// timeoutMargin is how much longer a grant lasts than its request, so that a report in
+	// transit still arrives in time.
 	timeoutMargin = 5 * time.Second
 )
 
-// lane is one of the two queues of an endpoint.
+// lane is one of an endpoint's two queues.
 type lane int
 
 const (
@@ -51,8 +54,8 @@
 	return laneNormal
 }
 
-// rank is the order in which an engine computes prompts; a lower one interrupts
-// a higher one after the chunk that is being computed.
+// rank is the priority in which an engine computes prompts. A lower rank preempts a higher
+// one at the end of the current chunk.
 type rank int
 
 const (
@@ -73,38 +76,39 @@
 	}
 }
 
-// requestKey names an ask.
+// requestKey identifies an ask.
 type requestKey struct{ caller, request string }
 
 func (a Ask) key() requestKey { return requestKey{a.Caller, a.RequestID} }
 
-// grant is a slot that was given away.
+// grant is an allocated slot.
 type grant struct {
 	id     uint64
 	ask    Ask
 	lane   lane
 	rank   rank
 	cached int64
-	// depth is how many blocks were known before the grant.
+	// knownBlocks is the number of leading blocks that were in the cache model before the
+	// grant.
 	knownBlocks int
 	tokens      int64
 	since       time.Time
 	expires     time.Time
 	started     bool
-	// mark is the window's at the send.
+	// mark is the window's mark when the request was granted.
 	mark int64
 }
 
-// Endpoint is the state of one endpoint at its owner. Since every request for
-// the endpoint passes it, it knows what runs there, who waits, and what the
-// cache holds; no report has to be waited for.
+// Endpoint is the owner's state of one endpoint. Since every request for the endpoint
+// passes through the owner, it knows the running requests, the queue and the cache contents
+// without waiting for reports.
 type Endpoint struct {
 	cfg         Config
 	status      fleetpb.EndpointStatus
 	incarnation uint64
 	models      []string
 	known       *cacheModel
-	// levels is shared with the book's other endpoints; nil where there is none.
+	// levels is shared with the book's other endpoints; nil for an endpoint outside a book.
 	levels        *prefix.Levels
 	window        policy.Window
 	grants        map[uint64]*grant
@@ -118,15 +122,16 @@
 	aloneRunning  bool
 	lastGrant     uint64
 	external      externalLoad
-	// began is when this owner was first asked; cacheKnown says that what the
-	// cache held before is known: nothing, or what the former owner told.
+	// firstAsk is the time of the first ask at this owner. cacheKnown is set if the cache
+	// contents from before this owner are known: the cache was empty or the former owner
+	// sent a snapshot.
 	firstAsk   time.Time
 	cacheKnown bool
-	// longSince is when the newest long prefill was sent.
+	// longSince is the time at which the newest long prefill was granted.
 	longSince time.Time
 }
 
-// New returns a live endpoint of which nothing is known.
+// New returns a live endpoint with an empty cache model.
 func New(cfg Config) *Endpoint {
 	e := &Endpoint{
 		cfg:       cfg,
@@ -145,16 +150,15 @@
 	return e
 }
 
-// Name is the endpoint's name.
+// Name returns the endpoint's name.
 func (e *Endpoint) Name() string { return e.cfg.Name }
 
 // Ask answers an ask with a grant, a place in the queue, an offer or a refusal.
 //
-// It is made for the burst on the hour, when more is asked than the endpoint
-// can start in time: who cannot start before its deadline hears so now and not
-// after having waited, and nobody is told to wait for what will not come. An
-// ask that was sent twice, since its answer was lost, gets the same grant and
-// takes no second slot.
+// In a burst, more is asked for than the endpoint can start in time. A request that cannot
+// start before its deadline is therefore refused at once, not after it has waited in vain.
+// An ask that was repeated because its answer was lost gets the same grant and takes no
+// second slot.
 func (e *Endpoint) Ask(now time.Time, a Ask) Decision {
 	if d, ok := e.repeated(now, a); ok {
 		return d
@@ -181,18 +185,18 @@
 	return Decision{Kind: Queued, Caller: a.Caller, RequestID: a.RequestID, Offer: offer}
 }
 
-// costly reports whether the time until the first token, of waiting and of
-// computing what is not cached, is over the ask's patience.
+// exceedsPatience reports whether the expected time to first token, of queueing and of
+// computing uncached tokens, is over the ask's patience.
 //
-// It is made for prompts whose shared part lies at another candidate, since a
-// burst had spread it or this endpoint has evicted it. To ask the others costs
-// a round trip of a millisecond or two; a catalogue computed twice costs a
-// quarter of a second here and evicts another one.
+// The shared part of a prompt may be cached at another candidate, because a burst spread it
+// there or this endpoint evicted it. Asking the others costs a round trip of one or two
+// milliseconds; computing a long shared prefix again costs a quarter of a second here and
+// evicts another prefix.
 func (e *Endpoint) exceedsPatience(a Ask, offer policy.Offer, p cacheEstimate) bool {
 	return offer.Wait+e.window.Time(p.missing) > a.Patience
 }
 
-// repeated answers an ask that is known already.
+// repeated returns the answer to a Take that is already granted or queued.
 func (e *Endpoint) repeated(now time.Time, a Ask) (Decision, bool) {
 	if id, ok := e.granted[a.key()]; ok && a.Mode == Take {
 		return e.grantedDecision(e.grants[id]), true
@@ -205,9 +209,9 @@
 
 func (e *Endpoint) live() bool { return e.status == fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE }
 
-// open reports whether an ask may start at once: a slot of its lane is free,
-// nobody of its lane or above waits, and the endpoint is not behind with what
-// it has.
+// canStart reports whether an ask may start at once: a slot of its lane is free, no ask is
+// queued in its lane or one of higher priority, and the pending prefill work is within the
+// window.
 func (e *Endpoint) canStart(now time.Time, a Ask, r rank) bool {
 	if len(e.aloneQueue) > 0 || e.aloneRunning {
 		return false
@@ -221,11 +225,11 @@
 	return len(e.queued) == 0 && e.slotFree(laneNormal) && e.prefillFree(now, r)
 }
 
-// slotFree reports whether the lane may use one more slot. The slots kept for
-// urgent requests are kept free beside those that urgent requests use already:
-// under a burst of urgent work, with a fixed number it would use up its slots
-// while waiting work filled all others, and each next one would wait until a
-// long answer has ended.
+// slotFree reports whether the lane may use one more slot. The slots reserved for urgent
+// requests are free slots in addition to those that urgent requests already use. With a
+// fixed number, a burst of urgent requests would use up the reserved slots while other
+// requests fill the rest, and each further urgent request would wait for a long response to
+// end.
 func (e *Endpoint) slotFree(l lane) bool {
 	used := e.inUse[laneNormal] + e.inUse[laneUrgent] + e.external.requests()
 	if l == laneUrgent {
@@ -234,15 +238,13 @@
 	return used < e.cfg.Slots-e.cfg.UrgentSlots
 }
 
-// prefillFree reports whether the endpoint may be sent one more prompt that may
-// wait.
+// prefillFree reports whether one more non-urgent prompt may be sent.
 //
-// It is made for cold catalogues among many cached ones: one cold prompt takes
-// a second of an engine, and everything behind it would wait as long. So one
-// long prefill is sent at a time, with a priority behind the short ones, and
-// short ones go on while they are within the window. When they have gone before
-// the long one for several times its own time they are held back until it is
-// done, so that a stream of short ones cannot hold it up for ever.
+// An uncached long prompt takes an engine about a second, and everything queued behind it
+// would wait as long. So one long prefill is sent at a time, at a lower priority than the
+// short ones, which continue while they are within the window. Once short ones have
+// overtaken the long one for several times its own time they are held back until it is
+// done, so that a stream of short ones cannot starve it.
 func (e *Endpoint) prefillFree(now time.Time, r rank) bool {
 	if r == rankLong {
 		return e.pendingTokens[rankLong] == 0 && e.window.Admits(e.pendingTokens[rankShort]+e.pendingTokens[rankUrgent])
@@ -276,7 +278,7 @@
 		expires:     now.Add(timeout + timeoutMargin),
 	}
 	_, twice := e.granted[a.key()]
-	invariant.Check(!twice, "one_grant_per_request", "request %s of %s granted twice on %s", a.RequestID, a.Caller, e.cfg.Name)
+	invariant.Check(!twice, "one_grant_per_request", "request %s of caller %s was granted twice on %s", a.RequestID, a.Caller, e.cfg.Name)
 	e.grants[g.id] = g
 	e.granted[a.key()] = g.id
 	e.inUse[g.lane]++
@@ -295,7 +297,7 @@
 	return d
 }
 
-// levelEnds learns from a prompt and returns where its shared levels end.
+// levelEnds records a prompt and returns where its shared levels end, in blocks.
 func (e *Endpoint) levelEnds(chain []prefix.Hash) []int {
 	if e.levels == nil {
 		return nil
@@ -334,7 +336,7 @@
 		"%d slots and %d tokens in use on %s", e.inUse[g.lane], e.pendingTokens[g.rank], e.cfg.Name)
 }
 
-// pump grants what may start now.
+// grantQueued grants the queued asks that may start now.
 func (e *Endpoint) grantQueued(now time.Time) []Decision {
 	var out []Decision
 	for w := e.next(now); w != nil; w = e.next(now) {
@@ -344,7 +346,7 @@
 	return out
 }
 
-// next returns the waiter that may start now, nil if none.
+// next returns the queued ask that may start now, or nil.
 func (e *Endpoint) next(now time.Time) *waiter {
 	if !e.live() || e.aloneRunning {
 		return nil
--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -28,7 +28,8 @@
 	return Config{Name: "engine-1", Slots: 4, UrgentSlots: 1, BlockTokens: 64, CacheBlocks: 256, PrefillTokensPerSecond: 20000}
 }
 
-// chain is the block names of a prompt of organisation o with the given text.
+// chain returns the block hashes of a prompt of the organisation. The seed determines the
+// text.
 func chain(organisation, version string, seed, blocks int) []prefix.Hash {
 	text := make([]byte, 0, blocks*256)
 	for i := range blocks * 256 {
@@ -44,8 +45,8 @@
 	}
 }
 
-// model drives an endpoint by random events and keeps the callers' books: what
-// each was told of its request.
+// model drives an endpoint by random events and tracks each request's state as its caller
+// sees it.
 type model struct {
 	e        *Endpoint
 	now      time.Time
@@ -61,7 +62,7 @@
 	for _, d := range decisions {
 		a, known := m.asks[d.RequestID]
 		if !known {
-			t.Fatalf("decision %+v for a request that was not asked", d)
+			t.Fatalf("decision %+v for an unknown request", d)
 		}
 		switch d.Kind {
 		case Granted:
@@ -83,25 +84,25 @@
 	m.check(t)
 }
 
-// check holds what must always be true of the callers' books.
+// check verifies the invariants on the callers' view.
 func (m *model) check(t *rapid.T) {
-	waitingRuns := 0
+	nonUrgent := 0
 	for id := range m.running {
 		if !m.asks[id].Urgent {
-			waitingRuns++
+			nonUrgent++
 		}
 		if m.asks[id].Alone && len(m.running) > 1 {
-			t.Fatalf("%s was to run alone and %d others run", id, len(m.running)-1)
+			t.Fatalf("%s has to run alone and %d others run", id, len(m.running)-1)
 		}
 	}
-	if waitingRuns > 3 || len(m.running) > 4 {
-		t.Fatalf("%d waiting requests of %d hold slots", waitingRuns, len(m.running))
+	if nonUrgent > 3 || len(m.running) > 4 {
+		t.Fatalf("%d waiting requests of %d hold slots", nonUrgent, len(m.running))
 	}
 	if m.asked != m.finished+len(m.running)+len(m.waiting) {
-		t.Fatalf("%d asked, but %d finished, %d run and %d wait", m.asked, m.finished, len(m.running), len(m.waiting))
+		t.Fatalf("%d asks, but %d finished, %d running and %d queued", m.asked, m.finished, len(m.running), len(m.waiting))
 	}
 	if len(m.waiting) != len(m.e.queued) || len(m.running) != len(m.e.grants) {
-		t.Fatalf("callers count %d and %d, the endpoint %d and %d", len(m.waiting), len(m.running), len(m.e.queued), len(m.e.grants))
+		t.Fatalf("callers count %d queued and %d running, the endpoint %d and %d", len(m.waiting), len(m.running), len(m.e.queued), len(m.e.grants))
 	}
 }
 
@@ -117,7 +118,7 @@
 	m.asked++
 	d := m.e.Ask(m.now, a)
 	if again := m.e.Ask(m.now, a); d.Kind == Granted && (again.Kind != Granted || again.Offer.GrantID != d.Offer.GrantID) {
-		t.Fatalf("first %+v, then %+v", d, again)
+		t.Fatalf("repeated ask: first %+v, then %+v", d, again)
 	}
 	m.apply(t, d)
 }
@@ -177,19 +178,19 @@
 	m.apply(t, m.e.Tick(m.now)...)
 	for id, a := range m.waiting {
 		if m.now.After(a.Deadline) {
-			t.Fatalf("%s waits beyond its deadline", id)
+			t.Fatalf("%s still queued after its deadline", id)
 		}
 	}
 	if len(m.running) == 0 && len(m.waiting) > 0 && m.e.live() {
-		t.Fatalf("%d wait while nothing runs", len(m.waiting))
+		t.Fatalf("%d queued while nothing runs", len(m.waiting))
 	}
 }
 
-// Whatever the order of events, a request gets one grant or one refusal, slots
-// for urgent work stay free of waiting work, a request that has to run alone has nothing
-// beside it, nothing is granted on an endpoint that is not live, and an
-// endpoint with work waiting is never idle.
-func TestEveryRequestGetsExactlyOneEnd(t *testing.T) {
+// Guards against lost or duplicate decisions. Whatever the order of events, a request gets
+// one grant or one refusal, non-urgent requests take no slots reserved for urgent ones, an
+// exclusive request has the endpoint to itself, nothing is granted on an endpoint that is
+// not live, and an endpoint with queued requests is never idle.
+func TestEveryRequestIsGrantedOrRefusedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{e: New(config()), now: epoch, waiting: map[string]Ask{}, running: map[string]Decision{}, asks: map[string]Ask{}}
 		m.e.Status(m.now, live, 1)
@@ -199,7 +200,7 @@
 	})
 }
 
-func TestOwnersMoveOnlyWithTheirMember(t *testing.T) {
+func TestLeavingMemberMovesOnlyItsEndpoints(t *testing.T) {
 	members := []string{"i1", "i2", "i3", "i4"}
 	for i := range 200 {
 		name := fmt.Sprint("engine-", i)
--- a/owner/estimate.go
+++ b/owner/estimate.go
@@ -9,38 +9,39 @@
 )
 
 const (
-	// minRetryAfter keeps refused callers from asking again before anything can
-	// have changed.
+	// minRetryAfter is the shortest retry delay. Earlier retries would come before anything
+	// can have changed.
 	minRetryAfter = 200 * time.Millisecond
-	// doubtfulShare is what a doubtful block counts for: a gap may have hidden
-	// its eviction, but most blocks outlive a gap.
+	// uncertainWeight is the weight of a block whose eviction may have been missed in a gap
+	// of the cache events. Most blocks are still cached after a gap.
 	uncertainWeight = 0.5
-	// learnTime is how long a new owner takes to see what is in use. The hot
-	// prompts come again within seconds, those that are rare within half a
-	// minute, by which time the engine has evicted what did not come.
+	// learningPeriod is how long a new owner takes to see which prefixes are in use. Hot
+	// prompts recur within seconds and rare ones within half a minute; by then the engine
+	// has evicted those that did not recur.
 	learningPeriod = 30 * time.Second
-	// firstShare of a prompt is taken to be cached at its first candidate at the
-	// start of learning, and less and less until its end: what most prompts share.
+	// initialCachedShare is the share of a prompt, as much as most prompts have in common,
+	// that is assumed to be cached at its first candidate when the learning period starts.
+	// It decreases linearly to 0 by the end of the period.
 	initialCachedShare = 0.9
 )
 
-// appraisal is what a prompt is worth at this endpoint now.
+// cacheEstimate is an estimate of how much of a prompt is cached at an endpoint.
 type cacheEstimate struct {
-	// depth is how many leading blocks are known.
+	// knownBlocks is the number of leading blocks that are in the cache model.
 	knownBlocks int
-	// cached tokens are believed to be there, missing ones to be computed.
+	// cached is the number of tokens expected to be cached, missing the number to be
+	// computed.
 	cached, missing int64
 	rank            rank
 }
 
-// appraise looks up what of a prompt is cached.
+// estimateCache estimates how much of a prompt is cached.
 //
-// It is made for the restart of all instances in the middle of a burst: the
-// engines' caches are full and no owner knows of what. Taken for empty, every
-// prompt would look like a long one, and the endpoint with the shortest queue
-// would get it instead of the one that has it cached. So a new owner believes
-// in the order of candidates, by which its predecessors placed, until it has
-// seen for itself what is in use.
+// When all instances restart during a burst, the engines' caches are full but no owner
+// knows their contents. If the caches were assumed empty, every prompt would count as a
+// long one and go to the endpoint with the shortest queue instead of the one that has it
+// cached. So a new owner relies on the order of candidates, by which its predecessors
+// placed requests, until it has observed which prefixes are in use.
 func (e *Endpoint) estimateCache(now time.Time, a Ask) cacheEstimate {
 	known, certain := e.known.knownBlocks(a.Blocks)
 	blocks := float64(certain) + float64(known-certain)*uncertainWeight
@@ -54,9 +55,9 @@
 	return p
 }
 
-// believed is the share of a prompt that is taken to be cached at its first
-// candidate though this owner has not seen it: none once it has learnt what is
-// in use, or where the endpoint is as new as the owner.
+// assumedCachedShare is the share of a prompt that is assumed to be cached at its first
+// candidate although this owner has not seen it there. It is 0 after the learning period,
+// and if cacheKnown is set.
 func (e *Endpoint) assumedCachedShare(now time.Time) float64 {
 	if e.firstAsk.IsZero() {
 		e.firstAsk = now
@@ -68,7 +69,7 @@
 	return initialCachedShare * max(left, 0)
 }
 
-// offer is what the endpoint would give the ask now.
+// offer returns what the endpoint would give the ask now.
 func (e *Endpoint) offer(now time.Time, a Ask, p cacheEstimate) policy.Offer {
 	return policy.Offer{
 		Endpoint:     e.cfg.Name,
@@ -80,9 +81,8 @@
 	}
 }
 
-// wait estimates the time until the endpoint begins with a new ask: until a
-// slot of its lane is free and until the prefill before it is computed,
-// whichever is later.
+// wait estimates the time until the endpoint starts a new ask: until a slot of its lane is
+// free and the prefill ahead of it is computed, whichever is later.
 func (e *Endpoint) wait(now time.Time, a Ask, r rank) time.Duration {
 	l := laneOf(a)
 	if a.Alone || len(e.aloneQueue) > 0 || e.aloneRunning {
@@ -95,7 +95,8 @@
 	return e.waitBehind(now, a, r, own)
 }
 
-// waitBehind is the wait of an ask behind own work of its organisation.
+// waitBehind estimates the wait of an ask that is queued behind own, the work of the same
+// organisation.
 func (e *Endpoint) waitBehind(now time.Time, a Ask, r rank, own work) time.Duration {
 	l := laneOf(a)
 	count, queued := e.queue[l].ahead(a.Organisation, a.Weight, r, own)
@@ -107,7 +108,8 @@
 	return max(prefill, e.slotWait(l, count), 0)
 }
 
-// before is what was sent and is computed before a new request of the rank.
+// pendingBefore is the number of tokens sent to the engine that are computed before a new
+// request of the rank.
 func (e *Endpoint) pendingBefore(now time.Time, r rank) int64 {
 	var sum, later int64
 	for i, tokens := range e.pendingTokens {
@@ -123,14 +125,14 @@
 	return sum + min(later, chunkTokens)
 }
 
-// progress is how long the endpoint has been computing on what is pending.
+// progress is how long the endpoint has been computing the pending tokens.
 func (e *Endpoint) progress(now time.Time) time.Duration {
 	return e.window.Since(now, e.pendingTokens[rankUrgent]+e.pendingTokens[rankShort]+e.pendingTokens[rankLong])
 }
 
-// slotWait is the time until a slot is free behind count others: as many
-// requests have to end as there are too few slots, and those that run end at
-// the rate that their mean times give.
+// slotWait estimates the time until a slot is free for a request with count others ahead of
+// it. As many requests must end as slots are missing, and running requests end at the rate
+// given by the mean hold times.
 func (e *Endpoint) slotWait(l lane, count int) time.Duration {
 	used := e.inUse[laneNormal] + e.inUse[laneUrgent] + e.external.requests()
 	free := e.cfg.Slots - used
@@ -148,8 +150,8 @@
 	return time.Duration(float64(count-free+1) / ends * float64(time.Second))
 }
 
-// drainTime is the time until nothing runs any more, behind others that also
-// have to run alone.
+// drainTime estimates the time until the endpoint is empty, behind other requests that must
+// also run alone.
 func (e *Endpoint) drainTime(l lane, before int) time.Duration {
 	drain := time.Duration(0)
 	if len(e.grants) > 0 {
@@ -158,15 +160,14 @@
 	return drain + time.Duration(before)*e.meanHold[l]
 }
 
-// cost is the endpoint's time that a request is charged for: its prefill, which
-// nobody else can use, and its part of the slots.
+// cost is the endpoint time, in seconds, that a request is charged for: its prefill, which
+// excludes all others, and its share of the slots.
 func (e *Endpoint) cost(l lane, tokens int64) float64 {
 	return e.window.Time(tokens).Seconds() + e.meanHold[l].Seconds()/float64(max(e.cfg.Slots, 1))
 }
 
-// retryAfter tells a refused caller when to come back. Callers that were
-// refused together are spread over a quarter more, by their ids, so that they
-// do not come back together.
+// retryAfter returns the time after which a refused caller should retry. It adds up to a
+// quarter, by request ID, so that callers refused together do not retry together.
 func retryAfter(requestID string, wait time.Duration) time.Duration {
 	wait = max(wait, minRetryAfter)
 	spread := xxh3.HashString(requestID) % 256
--- a/owner/events.go
+++ b/owner/events.go
@@ -7,8 +7,7 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// Withdraw takes back an ask whose caller gave up, or its grant if nothing was
-// sent yet.
+// Withdraw cancels a queued ask of a caller, or its grant if the request was not sent yet.
 func (e *Endpoint) Withdraw(now time.Time, caller, requestID string) []Decision {
 	key := requestKey{caller, requestID}
 	if w, ok := e.queued[key]; ok {
@@ -20,8 +19,7 @@
 	return e.grantQueued(now)
 }
 
-// CallerLost takes back all that an instance asked for or was granted, once
-// that instance is known to be gone.
+// CallerLost drops the queued asks and the grants of an instance that has failed or left.
 func (e *Endpoint) CallerLost(now time.Time, caller string) []Decision {
 	for _, w := range e.waiters() {
 		if w.ask.Caller == caller {
@@ -36,8 +34,8 @@
 	return e.grantQueued(now)
 }
 
-// FirstToken tells that the answer of a grant began, after the given time from
-// the send, and how much of the prompt the engine had cached.
+// FirstToken records that the response to a grant began. after is the time from the send to
+// the first token, cachedTokens how much of the prompt the engine had cached.
 func (e *Endpoint) FirstToken(now time.Time, grantID uint64, cachedTokens int64, after time.Duration) []Decision {
 	g, ok := e.grants[grantID]
 	if !ok || g.started {
@@ -54,9 +52,9 @@
 	return e.grantQueued(now)
 }
 
-// End gives a grant back. A report of another incarnation than the grant was
-// for says nothing of the cache. A grant that is unknown, since it ended before
-// or another owner gave it, is passed over.
+// End releases a grant. The report may come from another incarnation than the grant, so End
+// takes nothing about the cache from it. An unknown grant is ignored: it ended before, or
+// another owner gave it.
 func (e *Endpoint) End(now time.Time, end End) []Decision {
 	g, ok := e.grants[end.GrantID]
 	if !ok {
@@ -73,16 +71,17 @@
 	return e.grantQueued(now)
 }
 
-// unlearn forgets what a grant was expected to leave in the cache and did not.
-// It may forget what another request left there too, which costs a guess.
+// forgetExpected removes from the cache model the blocks that a grant added but whose
+// request did not compute. It may also remove blocks that another request computed, which
+// only makes the estimate less accurate.
 func (e *Endpoint) forgetExpected(g *grant) {
 	for _, h := range g.ask.Blocks[min(g.knownBlocks, len(g.ask.Blocks)):] {
 		e.known.forget(keyOf(h))
 	}
 }
 
-// LoadReport takes what the endpoint said of its load. A report of another
-// incarnation is passed over; Status tells of these.
+// LoadReport records an endpoint's load. Reports of another incarnation are ignored; a
+// change of incarnation is reported through Status.
 func (e *Endpoint) LoadReport(now time.Time, r LoadReport) []Decision {
 	if r.Incarnation != e.incarnation {
 		return nil
@@ -91,9 +90,9 @@
 	return e.grantQueued(now)
 }
 
-// CacheEvent takes one event of the endpoint's cache and reports whether it
-// came after a gap, so that all that was known is now doubtful. Events of
-// another incarnation are passed over.
+// CacheEvent applies one event of the endpoint's cache. It reports whether events before it
+// were lost, which makes the whole cache model uncertain. Events of another incarnation are
+// ignored.
 func (e *Endpoint) CacheEvent(ev CacheEvent) bool {
 	if e.incarnation != 0 && ev.Incarnation != e.incarnation {
 		return false
@@ -101,17 +100,17 @@
 	return e.known.event(ev)
 }
 
-// StatusChange is what a change of status came to.
+// StatusChange is the result of a change of status.
 type StatusChange struct {
 	Decisions []Decision
-	// Lost are the fingerprints of requests that were in flight at a crash.
+	// Lost are the fingerprints of requests that were in flight when the endpoint crashed.
 	Lost []Fingerprint
 }
 
-// Status sets how the endpoint is treated. A suspect or leaving endpoint gets
-// no new work, its knowledge stays. An expelled one, or one of another
-// incarnation, came or will come back empty: what was known of its cache would
-// draw requests to it for nothing, and is dropped together with its grants.
+// Status sets the endpoint's status and incarnation. A suspect or leaving endpoint gets no
+// new work and keeps its cache model. An expelled endpoint, or one with a new incarnation,
+// starts with an empty cache: the old cache model would attract requests to it in vain, and
+// is dropped together with its grants.
 func (e *Endpoint) Status(now time.Time, status fleetpb.EndpointStatus, incarnation uint64) StatusChange {
 	var change StatusChange
 	expelled := status == fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED
@@ -131,7 +130,8 @@
 	return change
 }
 
-// drop forgets the cache and all grants; it returns whose requests were lost.
+// reset drops the cache model and all grants. It returns the fingerprints of the lost
+// requests.
 func (e *Endpoint) reset() []Fingerprint {
 	var lost []Fingerprint
 	for _, g := range e.sortedGrants() {
@@ -144,7 +144,7 @@
 	return lost
 }
 
-// sendAway refuses all that waits, so that it asks for another endpoint.
+// refuseQueued refuses all queued asks, so that their callers try another endpoint.
 func (e *Endpoint) refuseQueued() []Decision {
 	var out []Decision
 	for _, w := range e.waiters() {
@@ -154,8 +154,8 @@
 	return out
 }
 
-// Models sets what the endpoint has loaded, as model@version. On a change the
-// knowledge is dropped: engines free the cache when they change weights.
+// Models sets the loaded models, as model@version. A change clears the cache model, since
+// engines free the cache when they change weights.
 func (e *Endpoint) Models(models []string) {
 	if e.models != nil && !slices.Equal(e.models, models) {
 		e.known.clear()
@@ -164,11 +164,11 @@
 	e.models = append([]string{}, models...)
 }
 
-// TickInterval is how often Tick has to be called at least.
+// TickInterval is the maximum time between calls of Tick.
 const TickInterval = 20 * time.Millisecond
 
-// Tick ends grants whose time is over and refuses who cannot start in time any
-// more.
+// Tick ends expired grants, grants what may start, and refuses queued asks that can no
+// longer start in time.
 func (e *Endpoint) Tick(now time.Time) []Decision {
 	for _, g := range e.sortedGrants() {
 		if now.After(g.expires) {
@@ -179,8 +179,8 @@
 	return append(decisions, e.refuseLate(now)...)
 }
 
-// refuseLate refuses waiters whose deadline cannot be met any more, at once and
-// not when it has passed: the caller can still do something else in that time.
+// refuseLate refuses queued asks as soon as their deadline can no longer be met, not when
+// it has passed, so that the caller can use the remaining time elsewhere.
 func (e *Endpoint) refuseLate(now time.Time) []Decision {
 	var late []Decision
 	for _, q := range e.queue {
@@ -207,7 +207,7 @@
 	return late
 }
 
-// waiters lists all that wait, in a fixed order.
+// waiters returns all queued asks in a deterministic order.
 func (e *Endpoint) waiters() []*waiter {
 	list := slices.Clone(e.aloneQueue)
 	for _, q := range e.queue {
--- a/owner/foreign.go
+++ b/owner/foreign.go
@@ -1,28 +1,28 @@
 package owner
 
-// foreignMemory is the weight of the newest load report in the estimate of
-// load that others caused.
+// externalSmoothing is the weight of the newest load report in the estimate of external
+// load.
 const externalSmoothing = 0.3
 
-// foreignLoad is what runs on the endpoint without the owner's grant: requests
-// of instances that could not reach the owner, or that take another instance
-// for it. It shows in load reports, which lag; they are compared with the most
-// that the owner itself had running since the report before the last, so that
-// its own work is never taken for another's.
+// externalLoad estimates the number of requests on the endpoint that this owner did not
+// grant: those of instances that could not reach the owner or that consider another
+// instance the owner. They are visible only in load reports, which lag. So a report is
+// compared with the highest number of own grants since the report before the last, and the
+// owner's own requests are never counted as external.
 type externalLoad struct {
 	peak, previousPeak int
 	mean               float64
 }
 
-// note takes the number of grants now.
+// observeGrants records the current number of grants.
 func (f *externalLoad) observeGrants(grants int) { f.peak = max(f.peak, grants) }
 
-// report takes a load report of running requests.
+// report records the number of requests that the endpoint reported.
 func (f *externalLoad) report(running, grants int) {
 	over := max(running-max(f.peak, f.previousPeak), 0)
 	f.mean += externalSmoothing * (float64(over) - f.mean)
 	f.previousPeak, f.peak = f.peak, grants
 }
 
-// requests is the estimate.
+// requests returns the estimated number of external requests.
 func (f *externalLoad) requests() int { return int(f.mean + 0.5) }
--- a/owner/index.go
+++ b/owner/index.go
@@ -2,25 +2,25 @@
 
 import "math/bits"
 
-// blockIndex finds blocks by key: a table of places with linear probing, at
-// most three quarters full. It takes four to eleven bytes a block where a Go
-// map takes some fifty, and an owner at the largest size holds a million.
+// blockIndex maps keys to indexes of blocks. It is a hash table with linear probing, at
+// most three quarters full. It takes four to eleven bytes per block where a Go map takes
+// about fifty, and an owner in the largest fleet has a million blocks.
 type blockIndex struct {
-	// places hold a block's place plus one; 0 is empty.
+	// slots contain the block's index plus one; 0 marks an empty slot.
 	slots  []int32
 	length int
 }
 
 const minIndexSlots = 64
 
-// home is where the search for a key begins. Keys are hashes already; the
-// multiplication only guards against a bad choice of their bits.
+// home is the slot at which the search for a key begins. Keys are hashes already; the
+// multiplication only guards against an uneven distribution of the bits used.
 func (x *blockIndex) home(key blockKey) int {
 	shift := 64 - bits.Len(uint(len(x.slots)-1))
 	return int(uint64(key) * 0x9e3779b97f4a7c15 >> shift)
 }
 
-// find returns the place of a key among the blocks.
+// find returns the index of a key's block.
 func (x *blockIndex) find(blocks []cachedBlock, key blockKey) (int32, bool) {
 	if x.length == 0 {
 		return noBlock, false
@@ -34,7 +34,7 @@
 	return noBlock, false
 }
 
-// add enters a key that is not there.
+// add inserts a block whose key is not in the index.
 func (x *blockIndex) add(blocks []cachedBlock, place int32) {
 	if (x.length+1)*4 > len(x.slots)*3 {
 		x.grow(blocks)
@@ -62,7 +62,8 @@
 	}
 }
 
-// remove takes a key out and moves up what had to go further for it.
+// remove deletes a key that is in the index, and moves later entries of its probe sequence
+// up to close the gap.
 func (x *blockIndex) remove(blocks []cachedBlock, key blockKey) {
 	mask := len(x.slots) - 1
 	gap := x.home(key)
--- a/owner/knowledge.go
+++ b/owner/knowledge.go
@@ -7,19 +7,18 @@
 )
 
 const (
-	// blockBytes is what one known block costs: its entry and its part of the
-	// index.
+	// blockBytes is the memory per cached block: its entry and its part of the index.
 	blockBytes = 40
-	// MaxKnowledgeBytes bounds what is known of one endpoint's cache. An engine
-	// whose cache holds more blocks is known by its most recent ones.
+	// MaxKnowledgeBytes is the maximum size of one endpoint's cache model. For an engine
+	// with a larger cache the model holds the most recently used blocks.
 	MaxKnowledgeBytes = 4 << 20
 	noBlock           = int32(-1)
 )
 
-// blockKey is the half of a block's name that is kept. Names chain from their
-// organisation's and version's salt, and a chance match of 64 bits costs one
-// wrong guess of what is cached, never a wrong answer: the engine compares all
-// 128 bits.
+// blockKey is the first half of a block's hash, which is enough for the model. Hashes are
+// chained from a salt per organisation, model and version, and a collision of 64 bits only
+// causes one wrong estimate of what is cached, never a wrong response: the engine compares
+// all 128 bits.
 type blockKey uint64
 
 func keyOf(h prefix.Hash) blockKey { return blockKey(binary.LittleEndian.Uint64(h[:8])) }
@@ -30,11 +29,11 @@
 	epoch      uint32
 }
 
-// knowledge models an engine's cache as a list of blocks by last use. It is a
-// guess: the engine evicts by its own rules and its events come late, with
-// gaps. An event that was lost is noticed by its sequence number and makes all
-// that was known before doubtful: an eviction may have been among the lost.
-// What is used after that is sure again.
+// cacheModel models an engine's KV cache as a list of blocks in the order of last use. It
+// is approximate: the engine evicts by its own rules, and its events arrive late and with
+// gaps. A gap shows in the sequence numbers and makes all earlier blocks uncertain, since
+// an eviction may be among the lost events. A block that is used after the gap is certain
+// again.
 type cacheModel struct {
 	index    blockIndex
 	blocks   []cachedBlock
@@ -52,18 +51,18 @@
 	return k
 }
 
-// clear forgets all blocks.
+// clear removes all blocks.
 func (k *cacheModel) clear() {
 	k.index = blockIndex{}
 	k.blocks = k.blocks[:0]
 	k.free, k.newest, k.oldest = noBlock, noBlock, noBlock
 }
 
-// doubt marks all that is known as unsure.
+// markUncertain makes all blocks uncertain.
 func (k *cacheModel) markUncertain() { k.epoch++ }
 
-// depth counts the leading blocks that are known, and how many of these are
-// sure.
+// knownBlocks returns how many leading blocks are in the model, and how many of these are
+// certain.
 func (k *cacheModel) knownBlocks(chain []prefix.Hash) (known, certain int) {
 	for _, h := range chain {
 		i, ok := k.index.find(k.blocks, keyOf(h))
@@ -78,8 +77,8 @@
 	return known, certain
 }
 
-// use notes that a request ran over the chain: its blocks are cached now. The
-// first blocks count as used last, since engines evict a chain from its end.
+// use records that a request computed the chain, so its blocks are cached now. The first
+// blocks become the most recently used, since engines evict a chain from its end.
 func (k *cacheModel) use(chain []prefix.Hash) {
 	for i := len(chain) - 1; i >= 0; i-- {
 		k.touch(keyOf(chain[i]))
@@ -107,7 +106,7 @@
 	}
 }
 
-// allocate finds a place for a block and evicts the oldest where there is none.
+// allocate returns a free entry, evicting the oldest block if the model is full.
 func (k *cacheModel) allocate() int32 {
 	if k.index.length >= k.capacity {
 		k.forget(k.blocks[k.oldest].key)
@@ -135,7 +134,7 @@
 	}
 }
 
-// forget drops one block.
+// forget removes one block.
 func (k *cacheModel) forget(key blockKey) {
 	i, ok := k.index.find(k.blocks, key)
 	if !ok {
@@ -147,8 +146,7 @@
 	k.free = i
 }
 
-// event applies one event of the engine. It reports whether it came after a
-// gap.
+// event applies one event of the engine. It reports whether events before it were lost.
 func (k *cacheModel) event(ev CacheEvent) bool {
 	gap := k.seq != 0 && ev.Seq > k.seq+1
 	if ev.Seq <= k.seq {
--- a/owner/knowledge_test.go
+++ b/owner/knowledge_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// asked is what a probe is offered after the endpoint has been in use for long
-// enough that the owner believes what it knows.
+// offeredCachedTokens returns the cached tokens in a probe's offer, with the learning
+// period over.
 func offeredCachedTokens(e *Endpoint, blocks []prefix.Hash) int64 {
 	e.cacheKnown = true
 	a := ask("probe", "a", false, blocks)
@@ -30,10 +30,10 @@
 	e.End(epoch, End{GrantID: d.Offer.GrantID, Stage: Done})
 }
 
-// Work of another organisation, of older weights or of a crashed engine must
-// never be counted on: the engine would compute everything while the router
-// takes it for quick.
-func TestKnowledgeIsDropped(t *testing.T) {
+// Guards against stale cache estimates. If blocks of another organisation, of older weights
+// or of a crashed engine counted as cached, requests would be sent to an endpoint that has
+// to compute everything.
+func TestStaleCacheModelIsDropped(t *testing.T) {
 	blocks := chain("a", "1", 1, 10)
 	tests := []struct {
 		name   string
@@ -44,7 +44,7 @@
 		{"the same prompt", func(*Endpoint) {}, blocks, 640},
 		{"another organisation", func(*Endpoint) {}, chain("b", "1", 1, 10), 0},
 		{"newer weights", func(*Endpoint) {}, chain("a", "2", 1, 10), 0},
-		{"a pause", func(e *Endpoint) { e.Status(epoch, suspect, 1); e.Status(epoch, live, 1) }, blocks, 640},
+		{"suspected for a while", func(e *Endpoint) { e.Status(epoch, suspect, 1); e.Status(epoch, live, 1) }, blocks, 640},
 		{"another incarnation", func(e *Endpoint) { e.Status(epoch, live, 2) }, blocks, 0},
 		{"expulsion", func(e *Endpoint) { e.Status(epoch, expelled, 1); e.Status(epoch, live, 1) }, blocks, 0},
 		{"models loaded", func(e *Endpoint) { e.Models([]string{"m@1"}); e.Models([]string{"m@1", "m@2"}) }, blocks, 0},
@@ -55,7 +55,7 @@
 			e.CacheEvent(CacheEvent{Seq: 1, Incarnation: 1, Op: CacheStore})
 			e.CacheEvent(CacheEvent{Seq: 3, Incarnation: 1, Op: CacheStore, Blocks: blocks[:2]})
 		}, blocks, 2*64 + 8*32},
-		{"events of the dead incarnation", func(e *Endpoint) {
+		{"events of another incarnation", func(e *Endpoint) {
 			e.CacheEvent(CacheEvent{Seq: 9, Incarnation: 7, Op: CacheClear})
 		}, blocks, 640},
 		{"cleared", func(e *Endpoint) { e.CacheEvent(CacheEvent{Seq: 1, Incarnation: 1, Op: CacheClear}) }, blocks, 0},
@@ -66,25 +66,25 @@
 		runRequest(t, e, blocks)
 		tt.change(e)
 		if got := offeredCachedTokens(e, tt.probe); got != tt.want {
-			t.Errorf("%s: %d tokens believed cached, want %d", tt.name, got, tt.want)
+			t.Errorf("%s: %d tokens estimated as cached, want %d", tt.name, got, tt.want)
 		}
 	}
 }
 
-// A request that was granted and never sent leaves nothing in the cache.
-func TestUnusedGrantTeachesNothing(t *testing.T) {
+// A request that was granted but never sent must leave nothing in the cache model.
+func TestUnusedGrantLeavesCacheModelUnchanged(t *testing.T) {
 	e := New(config())
 	blocks := chain("a", "1", 1, 10)
 	d := e.Ask(epoch, ask("r", "a", false, blocks))
 	e.End(epoch, End{GrantID: d.Offer.GrantID, Stage: Unused})
 	if got := offeredCachedTokens(e, blocks); got != 0 {
-		t.Fatalf("%d tokens believed cached", got)
+		t.Fatalf("%d tokens estimated as cached", got)
 	}
 }
 
-// The knowledge of one endpoint never exceeds its bound, and keeps what was
-// used last.
-func TestKnowledgeIsBounded(t *testing.T) {
+// The cache model must never exceed its capacity and must keep the most recently used
+// blocks.
+func TestCacheModelIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		k := newCacheModel(int64(rapid.IntRange(1, 120).Draw(t, "capacity")))
 		var reference []blockKey
@@ -104,7 +104,7 @@
 			got = append(got, k.blocks[i].key)
 		}
 		if len(got) != len(reference) || k.index.length != len(reference) || len(k.blocks) > k.capacity {
-			t.Fatalf("%v with %d indexed in %d places, want %v", got, k.index.length, len(k.blocks), reference)
+			t.Fatalf("%v with %d indexed in %d entries, want %v", got, k.index.length, len(k.blocks), reference)
 		}
 		for i := range got {
 			if got[i] != reference[i] {
@@ -124,9 +124,9 @@
 	return rest
 }
 
-// An instance leaves and gives its endpoints away. The next owner must know
-// what is cached and what still runs, or it would fill slots that are taken.
-func TestHandOver(t *testing.T) {
+// Guards against a new owner that does not know what is cached and what is running after
+// the former owner left: it would allocate slots that are in use.
+func TestSnapshotRestoresCacheModelAndGrants(t *testing.T) {
 	old := New(config())
 	old.Status(epoch, live, 5)
 	blocks := chain("a", "1", 1, 10)
@@ -143,23 +143,23 @@
 		t.Fatal(err)
 	}
 	if got := offeredCachedTokens(next, blocks); got != 640 {
-		t.Errorf("%d tokens believed cached after the hand-over, want 640", got)
+		t.Errorf("%d tokens estimated as cached after Restore, want 640", got)
 	}
 	if next.inUse[laneUrgent] != 1 || next.incarnation != 5 {
 		t.Errorf("%d urgent slots in use at incarnation %d", next.inUse[laneUrgent], next.incarnation)
 	}
 	next.End(epoch, End{GrantID: held.Offer.GrantID, Stage: Done})
 	if len(next.grants) != 0 {
-		t.Error("the end of a grant that was handed over was not understood")
+		t.Error("End did not release a restored grant")
 	}
 	if err := next.Restore(epoch, []byte("junk")); err == nil {
-		t.Error("junk was taken for a snapshot")
+		t.Error("Restore accepted an invalid snapshot")
 	}
 }
 
-// An instance is killed. What it held and waited for must come free without
-// its word.
-func TestSilentCallerLosesItsGrants(t *testing.T) {
+// An instance that was killed cannot release its grants and queued asks. They must be
+// dropped when its lease expires, or its slots stay lost.
+func TestUnresponsiveCallerLosesItsGrants(t *testing.T) {
 	b := NewBook(testPrices)
 	b.Add(config())
 	for _, id := range []string{"1", "2", "3", "4", "5"} {
@@ -177,9 +177,9 @@
 	}
 }
 
-// A refusal names a time to come back that is after the deadline, and comes in
-// the same moment as the ask.
-func TestDeadlineThatCannotBeMet(t *testing.T) {
+// A request that cannot start before its deadline must be refused in the call itself, with
+// a time to retry after.
+func TestUnreachableDeadlineIsRefusedAtOnce(t *testing.T) {
 	e := New(config())
 	for i, id := range []string{"1", "2", "3", "4", "5", "6"} {
 		a := ask(id, "a", false, chain("a", "1", i, 200))
@@ -204,8 +204,8 @@
 	}
 }
 
-// BenchmarkKnowledgeBytes tells what one known block costs.
-func BenchmarkKnowledgeBytes(b *testing.B) {
+// BenchmarkCacheModelBytes measures the memory per cached block.
+func BenchmarkCacheModelBytes(b *testing.B) {
 	const blocks = 100_000
 	heap := func() uint64 {
 		runtime.GC()
@@ -224,7 +224,7 @@
 	}
 }
 
-// BenchmarkGrantBytes tells what one open grant costs beside its blocks' names.
+// BenchmarkGrantBytes measures the memory per open grant without its block hashes.
 func BenchmarkGrantBytes(b *testing.B) {
 	const grants = 20_000
 	for b.Loop() {
--- a/owner/levels_test.go
+++ b/owner/levels_test.go
@@ -9,10 +9,10 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Of many instances each places a catalogue rarely, and none of them sees it
-// with two customers for minutes. Its owner does, and unless it tells, nothing
-// of the catalogue is kept until the engines have computed it many times.
-func TestGrantTellsWhereLevelsEnd(t *testing.T) {
+// Each of many instances places a shared document rarely, so none sees it from two
+// customers for minutes. Its endpoint's owner does. If the owner does not report the shared
+// prefix length, the prefix is not exported until the engines have computed it many times.
+func TestGrantReportsSharedLevels(t *testing.T) {
 	b := NewBook(policy.Prices{})
 	b.Add(config()).Status(epoch, live, 1)
 	catalogue := make([]byte, 40*256)
@@ -31,9 +31,9 @@
 		return d
 	}
 	if d := granted(1); len(d.Levels) != 0 {
-		t.Fatalf("levels %v of a prompt that nobody shares yet", d.Levels)
+		t.Fatalf("levels %v of a prompt that is not shared yet", d.Levels)
 	}
 	if d := granted(2); !slices.Equal(d.Levels, []int{40}) {
-		t.Fatalf("levels %v, want the catalogue's 40 blocks", d.Levels)
+		t.Fatalf("levels %v, want the shared document's 40 blocks", d.Levels)
 	}
 }
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,13 +1,13 @@
-// Package owner is the state of the endpoints that an instance owns: what runs
-// on each, who waits for it, and what its cache holds. The state machines take
-// events and the time and return decisions; they do no I/O and start no
-// goroutine. One goroutine may use a Book and its endpoints.
+// Package owner is the state machine of the endpoints that an instance owns: the requests
+// running on each, the requests queued for it, and a model of its prefix cache. Methods
+// take events and the current time and return decisions; they do no I/O and start no
+// goroutines. A Book and its endpoints must be used by one goroutine only.
 package owner
 
 import "github.com/sardinedock/sardinedock/rendezvous"
 
-// Of returns the owner of an endpoint among the members, by rendezvous hashing
-// of the names alone, so that instances agree as soon as their lists do. Two
-// owners of one endpoint, or none, cost accuracy and nothing else. Without
-// members it returns an empty string.
+// Of returns the member that owns an endpoint, or an empty string if there are no members.
+// It uses rendezvous hashing of the names alone, so instances agree as soon as their member
+// lists do. While lists differ, an endpoint may have two owners or none; that makes
+// placement less accurate but is otherwise harmless.
 func Of(endpoint string, members []string) string { return rendezvous.First(endpoint, members) }
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -5,15 +5,16 @@
 	"strings"
 )
 
-// waiter is an ask that waits for a slot.
+// waiter is an ask that is queued for a slot.
 type waiter struct {
 	ask Ask
-	// tokens that had to be computed when it was queued, and its rank by them.
+	// tokens is the number of uncached tokens when the ask was queued; rank follows from
+	// it.
 	tokens int64
 	rank   rank
 }
 
-// line is what one organisation has waiting.
+// orgQueue is the queue of one organisation.
 type orgQueue struct {
 	organisation string
 	weight       float64
@@ -23,7 +24,7 @@
 	work    work
 }
 
-// work is an amount of waiting requests.
+// work is the sum of queued requests and their uncached tokens.
 type work struct {
 	requests int
 	// tokens to compute, by rank.
@@ -40,7 +41,7 @@
 	w.tokens[r] -= tokens
 }
 
-// upTo is the tokens of a rank and those before it.
+// upTo returns the tokens of all ranks up to and including r.
 func (w work) upTo(r rank) int64 {
 	sum := int64(0)
 	for i := rankUrgent; i <= r; i++ {
@@ -49,15 +50,14 @@
 	return sum
 }
 
-// fairQueue shares one endpoint among organisations by weight: start-time fair
-// queueing over the endpoint's time that each request is charged for.
+// fairQueue shares one endpoint among organisations by weight. It is start-time fair
+// queueing (SFQ) over the endpoint time that each request is charged for.
 //
-// It is made for one large organisation whose burst fills the queue: with one
-// list for all, a small organisation's request would wait behind thousands of
-// others. Here it starts after at most one request of each other organisation
-// for its own share. An idle organisation saves up nothing. Lines of idle
-// organisations are dropped once the virtual time has passed them, so the queue
-// holds no more lines than organisations that were served lately.
+// In a single FIFO, a small organisation's request would wait behind thousands of others
+// when one large organisation's burst fills the queue. Here it starts after at most one
+// request of each other organisation, as far as its own share allows. An idle organisation
+// accumulates no credit. Queues of idle organisations are dropped once the virtual time has
+// passed their finish time, so that only recently served organisations take memory.
 type fairQueue struct {
 	queues      map[string]*orgQueue
 	virtualTime float64
@@ -80,7 +80,7 @@
 	return l
 }
 
-// push puts a waiter at the end of its organisation's line.
+// push appends a waiter to its organisation's queue.
 func (q *fairQueue) push(w *waiter) {
 	l := q.orgQueue(w.ask.Organisation, w.ask.Weight)
 	l.waiters = append(l.waiters, w)
@@ -89,8 +89,8 @@
 	q.length++
 }
 
-// head returns the waiter whose turn it is of those whose rank may start, nil
-// when there is none. Ties go by name, so that equal states decide equally.
+// pick returns the next waiter in fair order among those whose rank is allowed, or nil.
+// Ties are broken by the organisation's name, so that equal states give equal decisions.
 func (q *fairQueue) pick(allowed func(rank) bool) *waiter {
 	var best *orgQueue
 	var first *waiter
@@ -122,7 +122,7 @@
 	return a.organisation < b.organisation
 }
 
-// charge counts served time against the organisation, queued for or not.
+// charge charges an organisation for served time, whether the request was queued or not.
 func (q *fairQueue) charge(organisation string, weight, cost float64) {
 	l := q.orgQueue(organisation, weight)
 	start := max(l.finish, q.virtualTime)
@@ -135,7 +135,8 @@
 	q.prune()
 }
 
-// prune drops lines that hold neither a waiter nor served time ahead.
+// prune drops the queues of organisations that have no waiter and whose finish time the
+// virtual time has reached.
 func (q *fairQueue) prune() {
 	for name, l := range q.queues {
 		if len(l.waiters) == 0 && l.finish <= q.virtualTime {
@@ -144,7 +145,7 @@
 	}
 }
 
-// remove takes a waiter out; it reports whether it was there.
+// remove removes a waiter and reports whether it was queued.
 func (q *fairQueue) remove(w *waiter) bool {
 	l := q.queues[w.ask.Organisation]
 	if l == nil {
@@ -162,9 +163,9 @@
 	return false
 }
 
-// ahead is the work that is served before a request of the rank that would
-// stand behind own work of its organisation: that, and of each other
-// organisation at most its share by weight.
+// ahead returns the requests and tokens that are served before a request of the rank queued
+// behind own, the work of its organisation: that work, and of each other organisation at
+// most its share by weight.
 func (q *fairQueue) ahead(organisation string, weight float64, r rank, own work) (int, int64) {
 	if weight <= 0 {
 		weight = 1
@@ -181,7 +182,7 @@
 	return count, sum
 }
 
-// sorted lists the organisations' lines by name.
+// sorted returns the organisations' queues sorted by name.
 func (q *fairQueue) sorted() []*orgQueue {
 	list := make([]*orgQueue, 0, len(q.queues))
 	for _, l := range q.queues {
--- a/owner/queue_test.go
+++ b/owner/queue_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// Organisations of different weights and sizes of request all want more than
-// there is. Each has to get its share of the endpoint's time, to within one
-// request of any of them, however much another one has waiting.
-func TestSharesFollowWeights(t *testing.T) {
+// Organisations with different weights and request sizes are all backlogged. Each must get
+// its share of the endpoint's time, to within one request of each, however much another has
+// queued.
+func TestOrganisationsAreServedByWeight(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newFairQueue()
 		n := rapid.IntRange(2, 5).Draw(t, "organisations")
--- a/owner/snapshot.go
+++ b/owner/snapshot.go
@@ -11,11 +11,11 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// maxSnapshotBlocks bounds a snapshot: the newest blocks, which are the ones
-// worth handing over, in half a megabyte.
+// maxSnapshotBlocks is the maximum number of blocks in a snapshot, half a megabyte. The
+// most recently used blocks are the most valuable ones.
 const maxSnapshotBlocks = 65536
 
-// reconfigure takes a new configuration over.
+// reconfigure applies a new configuration. A changed cache size clears the cache model.
 func (e *Endpoint) reconfigure(cfg Config) {
 	cfg.FirstGrantID = e.cfg.FirstGrantID
 	if cfg.CacheBlocks != e.cfg.CacheBlocks {
@@ -24,9 +24,9 @@
 	e.cfg = cfg
 }
 
-// Snapshot writes what the next owner needs: what is cached, what runs and how
-// fast the endpoint serves. What waits is not in it; it is sent away when the
-// endpoint is removed and asks the next owner.
+// Snapshot encodes the state for the next owner: the cache model, the grants and the
+// prefill rate. Queued asks are not included; they are refused when the endpoint is
+// removed, and their callers ask the next owner.
 func (e *Endpoint) Snapshot(now time.Time) ([]byte, error) {
 	k := &fleetpb.Knowledge{
 		Incarnation: e.incarnation,
@@ -47,8 +47,8 @@
 	return data, fault.Wrap(err, fault.Internal, "report the fault", "marshal the state of endpoint %q", e.cfg.Name)
 }
 
-// Restore takes a snapshot of the former owner over. It leaves an endpoint
-// alone that has work of its own already, or is known by a newer incarnation.
+// Restore applies a snapshot of the former owner. Grants that the endpoint already has are
+// kept. It does nothing if a newer incarnation of the endpoint is known.
 func (e *Endpoint) Restore(now time.Time, data []byte) error {
 	var k fleetpb.Knowledge
 	if err := proto.Unmarshal(data, &k); err != nil {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// restoreBlocks puts the blocks behind what is known already.
+// restoreBlocks adds the snapshot's blocks as older than those already known.
 func (e *Endpoint) restoreBlocks(k *fleetpb.Knowledge) {
 	newer := e.known.encodeNewest(e.known.capacity)
 	e.known.seq = max(e.known.seq, k.GetEventSeq())
@@ -101,7 +101,7 @@
 	e.external.observeGrants(len(e.grants))
 }
 
-// newestFirst packs the newest blocks, eight bytes each.
+// encodeNewest encodes the most recently used blocks, newest first, in eight bytes each.
 func (k *cacheModel) encodeNewest(limit int) []byte {
 	packed := make([]byte, 0, 8*min(limit, k.index.length))
 	for i := k.newest; i != noBlock && limit > 0; i = k.blocks[i].next {
@@ -111,7 +111,7 @@
 	return packed
 }
 
-// useKeys notes packed blocks as cached, the first as the newest.
+// restoreKeys marks encoded blocks as cached, the first one as the newest.
 func (k *cacheModel) restoreKeys(packed []byte) {
 	for at := len(packed) - 8; at >= 0; at -= 8 {
 		k.touch(blockKey(binary.LittleEndian.Uint64(packed[at:])))
--- a/owner/types.go
+++ b/owner/types.go
@@ -7,124 +7,126 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Mode is what an ask wants.
+// Mode is the kind of answer that an ask requests.
 type Mode int
 
 // The modes of an ask.
 const (
-	// Take wants a slot: now, or queued for it.
+	// Take requests a slot, granted now or queued for.
 	Take Mode = iota
-	// Probe wants offers and takes nothing.
+	// Probe requests offers and reserves nothing.
 	Probe
 )
 
-// Fingerprint names a request's content.
+// Fingerprint identifies a request's content.
 type Fingerprint [16]byte
 
-// Ask describes one request without its prompt.
+// Ask is an instance's query about one request. It carries block hashes instead of the
+// prompt.
 type Ask struct {
-	// Caller is the instance that asks; with RequestID it names the ask. The
-	// same ask sent twice gets the same grant.
+	// Caller is the instance that sent the ask. Caller and RequestID identify the ask:
+	// sending the same ask twice returns the same grant.
 	Caller    string
 	RequestID string
 	Mode      Mode
-	// Patience bounds the time until the first token that Take accepts, of
-	// waiting and of computing what is not cached; with a longer one the answer
-	// is an offer, so that the caller can look at other endpoints. 0 means no
-	// bound but the deadline.
+	// Patience is the longest time to first token that Take accepts, counting both queueing
+	// and the prefill of uncached tokens. If the estimate is longer, the answer is an
+	// offer, so that the caller can compare other endpoints. 0 means that only Deadline
+	// applies.
 	Patience     time.Duration
 	Organisation string
-	// Weight of the organisation; 0 counts as 1.
+	// Weight is the organisation's fair-queueing weight; 0 counts as 1.
 	Weight float64
-	// Urgent requests use all slots and are served before the others.
+	// Urgent requests may use all slots and are served before the others.
 	Urgent       bool
 	Blocks       []prefix.Hash
 	PromptTokens int64
 	MaxTokens    int64
-	// Deadline by which the request has to start.
+	// Deadline is the latest time at which the request may start.
 	Deadline time.Time
-	// Timeout bounds the whole request once granted; the grant ends with it.
+	// Timeout is the longest time that the request may run once granted. The grant expires
+	// shortly after it.
 	Timeout     time.Duration
 	Fingerprint Fingerprint
-	// Candidate is the endpoint's place in the prompt's order, 0 for the first.
+	// Candidate is the endpoint's position in the prompt's order of candidates, 0 for the
+	// first.
 	Candidate int
-	// Alone asks for an endpoint on which nothing else runs.
+	// Alone requests an endpoint on which nothing else runs.
 	Alone bool
 }
 
-// Kind is what an ask came to.
+// Kind is the type of a Decision.
 type Kind int
 
-// The kinds of decision.
 const (
-	// Granted: a slot was taken, the request may be sent.
+	// Granted means that a slot was taken and the request may be sent.
 	Granted Kind = iota + 1
-	// Queued: the request waits here; a Granted or Refused follows.
+	// Queued means that the request waits for a slot; a Granted or Refused decision
+	// follows.
 	Queued
-	// Offered: nothing was taken; Offers tells what there is.
+	// Offered means that nothing was reserved; Offers lists what the endpoints could give.
 	Offered
-	// Refused: nothing was taken and nothing is queued.
+	// Refused means that nothing was reserved and nothing is queued.
 	Refused
 )
 
 // Reason is why an ask was refused.
 type Reason string
 
-// The reasons of refusals.
 const (
-	// ReasonDeadline: it cannot start before its deadline.
+	// ReasonDeadline means that the request cannot start before its deadline.
 	ReasonDeadline Reason = "deadline"
-	// ReasonQueueFull: the endpoint's queue is at its bound.
+	// ReasonQueueFull means that the endpoint's queue is at its limit.
 	ReasonQueueFull Reason = "queue_full"
-	// ReasonEndpoint: the endpoint takes no new work; ask for another.
+	// ReasonEndpoint means that the endpoint accepts no new work; try another one.
 	ReasonEndpoint Reason = "endpoint"
-	// ReasonNotOwned: the endpoint is not in this book; ask its owner.
+	// ReasonNotOwned means that this instance does not own the endpoint; ask its owner.
 	ReasonNotOwned Reason = "not_owned"
 )
 
-// Decision answers an ask, at once or later.
+// Decision is the answer to an ask, returned at once or later.
 type Decision struct {
 	Kind      Kind
 	Caller    string
 	RequestID string
-	// Offer is the grant, or the place that the request is queued for.
+	// Offer is the grant, or for Queued the endpoint and the expected wait.
 	Offer policy.Offer
-	// Offers of the endpoints asked about, where Kind is Offered.
+	// Offers are those of the endpoints named in the ask, set if Kind is Offered.
 	Offers []policy.Offer
-	// Levels are the numbers of the prompt's leading blocks at which this owner
-	// has seen prompts part, where Kind is Granted.
+	// Levels are the prefix lengths, in blocks, at which this owner has seen prompts that
+	// share the prefix diverge. They are set if Kind is Granted.
 	Levels []int
 	Reason Reason
-	// RetryAfter is when a refused request could start.
+	// RetryAfter is the time after which a refused request could start.
 	RetryAfter time.Duration
 }
 
-// Stage is what a granted request came to.
+// Stage is the outcome of a granted request.
 type Stage int
 
-// The stages.
 const (
-	// Unused: nothing was sent.
+	// Unused means that the request was not sent.
 	Unused Stage = iota
-	// Done: the answer came whole.
+	// Done means that the response was received completely.
 	Done
-	// Failed: it broke off for a reason that says nothing of the endpoint.
+	// Failed means that the request was aborted for a reason unrelated to the endpoint's
+	// health.
 	Failed
-	// Crashed: the endpoint died while it ran the request.
+	// Crashed means that the endpoint died while it ran the request.
 	Crashed
 )
 
-// End is the report that gives a grant back.
+// End reports the outcome of a granted request and releases its grant.
 type End struct {
 	GrantID uint64
 	Stage   Stage
-	// Incarnation that answered; 0 if none did.
+	// Incarnation is the one that responded; 0 if none did.
 	Incarnation uint64
-	// CachedTokens as the answer told them.
+	// CachedTokens is the number of cached prompt tokens that the response reported.
 	CachedTokens int64
 }
 
-// LoadReport is what an endpoint said of its load, some time ago.
+// LoadReport is an endpoint's own measurement of its load, taken at MeasuredAt.
 type LoadReport struct {
 	Incarnation uint64
 	MeasuredAt  time.Time
@@ -132,17 +134,16 @@
 	Waiting     int
 }
 
-// CacheOp is what happened to cached blocks.
+// CacheOp is the type of a CacheEvent.
 type CacheOp int
 
-// The operations.
 const (
 	CacheStore CacheOp = iota
 	CacheEvict
 	CacheClear
 )
 
-// CacheEvent is one event of an endpoint's cache.
+// CacheEvent is one change of an endpoint's KV cache.
 type CacheEvent struct {
 	Seq         uint64
 	Incarnation uint64
@@ -150,20 +151,22 @@
 	Blocks      []prefix.Hash
 }
 
-// Config describes one endpoint, from its pool's record.
+// Config is the configuration of one endpoint, derived from its pool's record.
 type Config struct {
 	Name string
-	// Slots is how many requests run at a time; UrgentSlots of them are kept
-	// for urgent ones.
+	// Slots is how many requests run at a time; UrgentSlots of them are reserved for urgent
+	// ones.
 	Slots       int
 	UrgentSlots int
 	BlockTokens int64
-	// CacheBlocks bounds what is known of the cache, MaxKnowledgeBytes too.
+	// CacheBlocks is the endpoint's cache size in blocks. The cache model holds at most
+	// that many, and at most MaxKnowledgeBytes.
 	CacheBlocks int64
-	// PrefillTokensPerSecond is a first guess; the measured rate replaces it.
+	// PrefillTokensPerSecond is the initial estimate of the prefill rate; the measured rate
+	// replaces it.
 	PrefillTokensPerSecond float64
-	// FirstGrantID starts the numbering of grants. A restarted owner must
-	// choose a higher one than it ever used, such as its start time in
-	// nanoseconds, or a late report would end another request's grant.
+	// FirstGrantID is the number before the first grant's ID. After a restart the owner
+	// must choose a higher one than it ever used, such as its start time in nanoseconds;
+	// otherwise a late report about an old grant would end another request's grant.
 	FirstGrantID uint64
 }
