--- a/place/ask.go
+++ b/place/ask.go
@@ -12,11 +12,11 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// placeOnce asks the owner of the first candidate and, where that one is busy,
-// those of the others. again is set where the request has to be placed anew.
+// placeOnce asks the owner of the first candidate and, if the first candidate is busy, the
+// owners of the others. again is set if the request has to be placed anew.
 //
-// It is made for a hot prefix in a burst: one ask is enough as long as the
-// first candidate is not behind, and only when it is do the others cost asks.
+// In a burst of requests with the same prefix, one ask per request is enough as long as the
+// first candidate can start them soon. Only when it cannot do the others cost further asks.
 func (f *Fleet) placeOnce(ctx context.Context, t *placement, list []candidate) (g Grant, again bool, err error) {
 	first, ok := f.ask(ctx, t, list[0].name, func(in *fleetpb.AskRequest) { in.PatienceMs = maxFirstWait.Milliseconds() })
 	if !ok || first.GetRefusal() == string(owner.ReasonNotOwned) {
@@ -45,7 +45,7 @@
 	return f.awaitDecision(ctx, t, c, reply)
 }
 
-// withoutOwner decides from this instance's own view.
+// fallBack places the request from this instance's own view.
 func (f *Fleet) fallBack(ctx context.Context, t *placement, list []candidate) (Grant, bool, error) {
 	if err := callerError(ctx); err != nil {
 		return Grant{}, false, err
@@ -54,13 +54,14 @@
 	return g, false, err
 }
 
-// exclude leaves an endpoint out and has the request placed anew.
+// exclude removes an endpoint from the candidates and has the request placed anew.
 func (f *Fleet) exclude(t *placement, name string) (Grant, bool, error) {
 	t.request.Exclude = append(slices.Clone(t.request.Exclude), name)
 	return Grant{}, true, nil
 }
 
-// settle ends an ask that took a slot, waits for one or was refused.
+// awaitDecision returns the result of an ask that took a slot or was refused. For a queued
+// ask it polls the owner until there is a decision.
 func (f *Fleet) awaitDecision(ctx context.Context, t *placement, c candidate, reply *fleetpb.AskReply) (Grant, bool, error) {
 	instance := t.routes.owners[c.name]
 	for {
@@ -68,9 +69,10 @@
 		case reply.GetGranted() != nil:
 			o := reply.GetGranted()
 			if o.GetIncarnation() == 0 && f.leavingChecks.isLeaving(ctx, c, f.cfg.Clock.Now()) {
-				// An owner that has just started, or taken the endpoint over, has not heard it
-				// yet and takes it for usable. After a common restart a leaving endpoint would
-				// get the work of the first callers, however long ago it said so.
+				// An owner that has just started or taken the endpoint over does not know
+				// its status yet and considers it usable. Without this check, after a
+				// restart of all instances a leaving endpoint would get the first requests,
+				// however long ago it reported that it is leaving.
 				f.reports.withdraw(t, instance, c.name)
 				return f.exclude(t, c.name)
 			}
@@ -82,7 +84,7 @@
 		case reply.GetRefusal() == string(owner.ReasonEndpoint):
 			return f.exclude(t, c.name)
 		case reply.GetRefusal() == string(owner.ReasonNotOwned):
-			// The endpoint has gone to another owner; ask that one.
+			// The endpoint has another owner now; ask that one.
 			return Grant{}, true, nil
 		case reply.GetRefusal() != "":
 			return Grant{}, false, overloaded(milliseconds(reply.GetRetryAfterMs()))
@@ -106,8 +108,8 @@
 	return fault.Wrap(ctx.Err(), fault.Unavailable, "send the request again", "the caller has gone or its time is over")
 }
 
-// choose picks among the offers that start in time. It returns -1 and the
-// shortest wait where none does.
+// choose returns the index of the best offer that starts in time. If there is none, it
+// returns -1 and the shortest wait.
 func (f *Fleet) choose(t *placement, offers []*fleetpb.Offer) (int, time.Duration) {
 	left := t.deadline.Sub(f.cfg.Clock.Now())
 	shortest := time.Duration(-1)
@@ -131,8 +133,8 @@
 	return index[choice.Index], shortest
 }
 
-// retryAfter is when a slot may be free for a request that cannot start in
-// time now.
+// retryAfter returns the time after which a slot may be free for a request that cannot
+// start in time now.
 func retryAfter(t *placement, first *fleetpb.AskReply, shortest time.Duration) time.Duration {
 	after := milliseconds(first.GetRetryAfterMs())
 	if over := shortest - classWait(t.request.Class); shortest >= 0 && (after == 0 || over < after) {
@@ -141,7 +143,7 @@
 	return max(after, localRetryAfter)
 }
 
-// probe asks the owners of the candidates for offers, all at once.
+// probe asks the owners of the candidates for offers, concurrently.
 func (f *Fleet) probe(ctx context.Context, t *placement, list []candidate) []*fleetpb.Offer {
 	byOwner := map[string][]string{}
 	for _, c := range list {
@@ -163,7 +165,7 @@
 		})
 	}
 	wg.Wait()
-	// The order of the candidates, which all instances share, decides ties.
+	// Ties are decided by the order of the candidates, which is the same on all instances.
 	slices.SortStableFunc(offers, func(a, b *fleetpb.Offer) int { return position(list, a) - position(list, b) })
 	return offers
 }
@@ -172,8 +174,8 @@
 	return slices.IndexFunc(list, func(c candidate) bool { return c.name == o.GetEndpoint() })
 }
 
-// ask sends one ask to the owner of an endpoint. ok is false where the owner
-// gives no answer in time.
+// ask sends one ask to the owner of an endpoint. ok is false if the owner does not answer
+// in time.
 func (f *Fleet) ask(ctx context.Context, t *placement, name string, change func(*fleetpb.AskRequest)) (reply *fleetpb.AskReply, ok bool) {
 	in := f.askRequest(t, name)
 	change(in)
@@ -203,7 +205,7 @@
 		f.states.markUnresponsive(instance, f.cfg.Clock.Now())
 	}
 	if !in.GetProbe() {
-		// The owner may have given a slot whose reply was lost.
+		// The owner may have granted a slot and the reply was lost.
 		f.reports.withdraw(t, instance, name)
 	}
 	return nil, false
--- a/place/duty.go
+++ b/place/duty.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// dutyRing bounds what waits for the owner's goroutine. Asks that do not
-	// fit are refused at once, so that their callers decide for themselves.
+	// eventQueueSize is the capacity of the queue to the event goroutine. Asks that do not
+	// fit are refused at once, so that their callers place the requests from their own
+	// view.
 	eventQueueSize = 4096
-	// maxWait bounds how long a reply is held back, whatever the caller asks
-	// for: by then the caller wants to hear that the owner is alive.
+	// maxReplyDelay is the longest time that a reply is delayed until a decision, whatever
+	// the caller asks for. By then the caller needs a sign that the owner is alive.
 	maxReplyDelay = time.Second
-	// unclaimedBound is how long a slot is kept for a request whose caller has
-	// not come back for the answer: its reply was lost, or the caller is gone.
+	// unclaimedTimeout is how long a slot is kept for a request whose caller has not polled
+	// for the decision: its reply was lost, or the caller has disconnected.
 	unclaimedTimeout = 2 * time.Second
-	// restInterval is the time between ticks while the instance's endpoints have
-	// nothing to do. Fifty ticks a second would be most of what an instance
-	// costs at rest.
+	// idleTickInterval is the time between ticks while the instance's endpoints are idle.
+	// Ticking fifty times a second would be most of an idle instance's CPU use.
 	idleTickInterval = 500 * time.Millisecond
-	// renewEvery is how often the leases of live instances are renewed.
+	// leaseRenewInterval is the interval at which the leases of live instances are renewed.
 	leaseRenewInterval = time.Second
 )
 
@@ -38,31 +38,31 @@
 	cacheGaps       = metrics.GetOrCreateCounter("sardinedock_owner_cache_event_gaps_total")
 )
 
-// DutyConfig is what a Duty needs.
+// DutyConfig is the configuration of a Duty.
 type DutyConfig struct {
 	Self  string
 	Clock clock.Clock
-	// FirstGrantID is higher than any that an earlier start of the instance
-	// gave, such as its incarnation.
+	// FirstGrantID must be higher than any grant ID of an earlier run of the instance. Its
+	// incarnation is suitable.
 	FirstGrantID uint64
-	// Lost is told of requests that were in flight when an endpoint crashed.
-	// It is called by the duty's goroutine and must not block.
+	// Lost is called with the requests that were in flight when an endpoint crashed. It is
+	// called by the event goroutine and must not block.
 	Lost func(endpoint string, incarnation uint64, lost []owner.Fingerprint)
-	// HandOver is given the state of an endpoint that another instance owns
-	// from now on. It must not block, and has done called, by any goroutine,
-	// once the next owner has the state or cannot be given it.
+	// HandOver is called with the encoded state of an endpoint that another instance owns
+	// from now on. It must not block. It must have done called, by any goroutine, once the
+	// next owner has the state or the transfer has failed.
 	HandOver func(endpoint, next string, knowledge []byte, done func())
 }
 
-// Duty owns the state of the endpoints that this instance is the owner of. One
-// goroutine works on it; all methods may be called by any goroutine.
+// Duty runs the state machines of the endpoints that this instance owns. They are accessed
+// by one goroutine only, started by Run; all methods are safe for concurrent use.
 type Duty struct {
 	cfg    DutyConfig
 	events *ring.Ring[ownerEvent]
 
 	endpoints *owner.Book
-	// held are the replies that wait for a decision, unclaimed the grants that
-	// nobody was there to hear of.
+	// pendingReplies are the replies that wait for a decision. unclaimed are the grants for
+	// which no reply was waiting.
 	pendingReplies map[askKey]chan owner.Decision
 	unclaimed      map[askKey]unclaimedGrant
 	members        []string
@@ -77,16 +77,17 @@
 	since    time.Time
 }
 
-// restoredState was handed over before this instance knew that it is the owner.
+// earlyState is a state that was handed over before this instance knew that it owns the
+// endpoint.
 type earlyState struct {
 	knowledge []byte
 	at        time.Time
 }
 
-// dutyEvent is applied to the duty's state by its goroutine.
+// ownerEvent is applied to the state by the event goroutine.
 type ownerEvent func(d *Duty, now time.Time)
 
-// NewDuty returns a duty without endpoints, which Run starts.
+// NewDuty returns a Duty without endpoints. Run must be called to start it.
 func NewDuty(cfg DutyConfig) *Duty {
 	return &Duty{
 		cfg:            cfg,
@@ -98,7 +99,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run processes events until ctx ends.
 func (d *Duty) Run(ctx context.Context) {
 	timer := time.NewTimer(owner.TickInterval)
 	defer timer.Stop()
@@ -125,7 +126,7 @@
 	}
 }
 
-// idle reports whether nothing runs, waits or is kept for anybody.
+// idle reports whether there are no granted, queued or unclaimed requests.
 func (d *Duty) idle() bool {
 	return len(d.pendingReplies) == 0 && len(d.unclaimed) == 0 && d.endpoints.Idle()
 }
@@ -150,7 +151,7 @@
 	}
 }
 
-// decide hands decisions to the replies that are held back for them.
+// deliver sends decisions to the replies that wait for them.
 func (d *Duty) deliver(now time.Time, decisions []owner.Decision) {
 	for _, x := range decisions {
 		key := askKey{x.Caller, x.RequestID}
@@ -165,13 +166,13 @@
 	}
 }
 
-// Ask answers an ask. It blocks until the decision, at most for the ask's wait.
-// An error means that the caller has to decide for itself.
+// Ask answers an ask. If the request is queued, it blocks until the decision, at most for
+// the ask's wait. On an error the caller has to place the request from its own view.
 func (d *Duty) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	asksServed.Inc()
 	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, maxReplyDelay)
-	// Room for the first answer and for the decision after it, so that the
-	// duty never waits for a caller.
+	// Capacity for the first answer and the later decision, so that the event goroutine
+	// never blocks on a caller.
 	answer := make(chan owner.Decision, 2)
 	key := askKey{in.GetCaller().GetInstance(), in.GetRequestId()}
 	accepted := d.events.Offer(func(d *Duty, now time.Time) { d.ask(now, key, in, wait > 0, answer) })
@@ -206,7 +207,8 @@
 	}
 }
 
-// giveUp takes a held reply back. The decision may have come meanwhile.
+// stopWaiting removes a pending reply and returns the latest decision, which may have come
+// meanwhile.
 func (d *Duty) stopWaiting(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
 	done := make(chan struct{})
 	_ = d.events.Put(context.WithoutCancel(ctx), func(d *Duty, now time.Time) {
@@ -215,7 +217,7 @@
 			delete(d.pendingReplies, key)
 		}
 		for ctx.Err() != nil && len(answer) > 0 {
-			// The caller has gone, so nobody hears of the grant.
+			// The caller has disconnected, so its grant becomes unclaimed.
 			d.deliver(now, []owner.Decision{<-answer})
 		}
 	})
@@ -236,8 +238,8 @@
 	delete(d.unclaimed, key)
 	a := fromAsk(now, in)
 	if poll {
-		// It has been asked before, and this message does not hold the prompt's
-		// blocks: an ask that is not known any more cannot be queued anew.
+		// A poll does not contain the prompt's blocks, so an ask that is not known any more
+		// cannot be queued again.
 		a.Deadline = now.Add(-time.Second)
 	}
 	x := d.endpoints.Ask(now, a, in.GetEndpoints())
@@ -250,8 +252,8 @@
 	answer <- x
 }
 
-// Report takes what became of grants. A full ring gives the oldest up; their
-// grants end by themselves.
+// Report applies reports about grants from another instance. If the queue is full the
+// oldest event is dropped; the grants in it end by their timeout.
 func (d *Duty) Report(caller string, ends []*fleetpb.GrantEnd) {
 	d.events.Push(func(d *Duty, now time.Time) {
 		d.endpoints.Seen(now, caller)
--- a/place/fallback.go
+++ b/place/fallback.go
@@ -8,29 +8,28 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// ownRetryAfter is what a caller is told when this instance, without the
-// owners, has as much open as one instance may have.
+// localRetryAfter is the retry delay if this instance, without the owners, has as many
+// requests open as one instance may have.
 const localRetryAfter = time.Second
 
-// candidate is an endpoint that a decision weighs.
+// candidate is an endpoint that is considered for a request. running is the number of this
+// instance's requests on it.
 type candidate struct {
 	name    string
 	address string
 	running int
 }
 
-// chooseOwn decides from this instance's own view, for an endpoint whose owner
-// does not answer.
+// chooseLocally chooses among candidates whose owner does not answer, from this instance's
+// own view. It returns an index, or -1 if there is no choice.
 //
-// It is made for the minutes after a crash of owners, or a restart of all
-// instances at once in the burst: requests must not wait for a peer that is not
-// there. It keeps the order of the candidates, so that prompts still meet their
-// cached prefixes, as long as this instance has less than its even part of the
-// endpoint's slots in use there; without that bound, all instances would pile
-// their requests on the first candidate of a hot prefix, which nobody else
-// counts now. With all candidates at the bound it takes the one with the least
-// of its own requests, and none that already runs as many of them as the
-// endpoint has slots. It returns the index, or -1.
+// After a crash of owners, or a restart of all instances in a burst, requests must not wait
+// for an unreachable peer. The first candidates are preferred, so that prompts still find
+// their cached prefixes, as long as this instance uses less than its equal share of the
+// endpoint's slots. Without that limit all instances would send their requests to the first
+// candidate of a hot prefix, as no owner counts them. If all candidates are at the limit,
+// the one with the fewest requests of this instance is chosen, unless it already runs as
+// many of them as it has slots.
 func chooseLocally(list []candidate, slots, members int) int {
 	share := max(1, (slots+max(members, 1)-1)/max(members, 1))
 	best := -1
@@ -45,12 +44,12 @@
 	return best
 }
 
-// placeOwn grants the request without an owner, at an endpoint that does not say that it
-// leaves.
+// placeLocally grants the request without an owner, at an endpoint that does not report
+// that it is leaving.
 func (f *Fleet) placeLocally(ctx context.Context, t *placement, list []candidate) (Grant, error) {
 	if t.alone {
-		// Nobody can tell what else runs on an endpoint, so a request that
-		// may crash it cannot be put where it hurts least.
+		// Without the owner it is unknown what else runs on an endpoint, so a request that
+		// may crash it cannot be isolated.
 		err := fault.New(fault.Unavailable, "send it again after a moment", "the request was in flight when an endpoint crashed, and no owner can place it apart")
 		return Grant{}, fault.WithRetryAfter(err, localRetryAfter)
 	}
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -23,24 +23,24 @@
 )
 
 const (
-	// candidateCount is how many endpoints a decision weighs. Four get most of
-	// what the whole pool would give.
+	// candidateCount is how many endpoints are considered for a request. Four give most of
+	// the benefit of considering the whole pool.
 	candidateCount = 4
-	// patience is the wait up to which the first candidate is taken without a
-	// look at the others.
+	// maxFirstWait is the estimated time to first token up to which the first candidate is
+	// taken without asking the others.
 	maxFirstWait = 50 * time.Millisecond
-	// askBound is how long an owner may take to answer an ask that it need not
-	// hold back. A way of three milliseconds and a busy machine fit in; a
-	// request must not notice more when the owner is gone.
+	// askTimeout is how long an owner may take to answer an ask without a wait. It covers a
+	// one-way network latency of three milliseconds and a busy machine, and is the longest
+	// delay that an unreachable owner may add to a request.
 	askTimeout = 20 * time.Millisecond
-	// pollWait is how long an owner holds the reply back for a request that is
-	// queued there. Each poll is a sign of life of both ends.
+	// pollWait is how long an owner delays the reply to a poll for a queued request. Each
+	// poll shows both sides that the other is alive.
 	pollWait = 400 * time.Millisecond
-	// pollBound is twice as long and more, since a connection that has gone
-	// silent is given half of it.
+	// pollTimeout is more than twice pollWait, since an unresponsive connection is given
+	// half of it.
 	pollTimeout = 2 * (pollWait + 100*time.Millisecond)
-	// maxTries bounds how often a request is placed anew because an owner or
-	// endpoint went away while it waited.
+	// maxTries is how often a request is placed anew because an owner or endpoint became
+	// unavailable while it waited.
 	maxTries = 4
 )
 
@@ -53,7 +53,7 @@
 	refused         = metrics.GetOrCreateCounter("sardinedock_place_refused_total")
 )
 
-// Peers is how other instances are called.
+// Peers calls other instances. bound is the call's timeout.
 type Peers interface {
 	Ask(ctx context.Context, address string, bound time.Duration, in *fleetpb.AskRequest) (*fleetpb.AskReply, error)
 	Report(ctx context.Context, address string, bound time.Duration, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error)
@@ -61,24 +61,26 @@
 	Warn(ctx context.Context, address string, bound time.Duration, in *fleetpb.WarnRequest) (*fleetpb.WarnReply, error)
 }
 
-// FleetConfig is what a Fleet needs.
+// FleetConfig is the configuration of a Fleet.
 type FleetConfig struct {
-	// Caller names this instance in messages.
+	// Caller identifies this instance in messages.
 	Caller *fleetpb.Caller
 	Clock  clock.Clock
 	Peers  Peers
-	// Duty owns the endpoints of this instance.
+	// Duty runs the endpoints that this instance owns.
 	Duty *Duty
-	// AskLeaving asks the endpoint at an address whether it leaves; nil asks none.
+	// AskLeaving asks the endpoint at an address whether it is leaving. If nil, endpoints
+	// are not asked.
 	AskLeaving func(ctx context.Context, address string) (leaving bool, err error)
-	// Kept has prefixes exported and imported.
+	// Kept exports and imports the KV cache of prefixes. If nil, nothing is exported or
+	// imported.
 	Kept *kept.Keeper
-	// Publish shares a state with all instances, one version above the one
-	// held. It is called by one goroutine and may block.
+	// Publish publishes a value to all instances, one version above the current one. It is
+	// called by one goroutine and may block.
 	Publish func(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error
 }
 
-// Fleet places requests with the owners of the endpoints. It implements Placer.
+// Fleet places requests by asking the owners of the endpoints. It implements Placer.
 type Fleet struct {
 	cfg           FleetConfig
 	routes        atomic.Pointer[routes]
@@ -96,7 +98,7 @@
 	changes sync.Mutex // one change of routes at a time
 }
 
-// ticket is one request on its way through placing.
+// placement is the state of one request's placement.
 type placement struct {
 	request  Request
 	routes   *routes
@@ -104,19 +106,20 @@
 	deadline time.Time
 	weight   float64
 	alone    bool
-	// limit has to be told of the end; nil where the organisation has none.
+	// limit has to be passed to limits.done at the end; nil if the organisation has none.
 	limit  *policy.OrganisationLimit
 	blocks []byte
 	tries  int
-	// withdrawn counts the asks that were taken back.
+	// withdrawn is the number of asks that were withdrawn.
 	withdrawn int
-	// kept is the longest prefix that can be imported; none if it is empty.
+	// kept is the longest prefix that can be imported; empty if there is none.
 	kept kept.Prefix
-	// levels are the numbers of leading blocks at which a shared level ends.
+	// levels are the prefix lengths, in blocks, at which a shared level ends.
 	levels []int
 }
 
-// NewFleet returns a placer without records, which refuses all requests.
+// NewFleet returns a Fleet without records. It refuses all requests until SetRecords is
+// called.
 func NewFleet(cfg FleetConfig) *Fleet {
 	f := &Fleet{
 		cfg:           cfg,
@@ -133,14 +136,14 @@
 	return f
 }
 
-// SetRecords puts records in force.
+// SetRecords applies a snapshot of the records.
 func (f *Fleet) SetRecords(ctx context.Context, r *record.Snapshot) {
 	f.changes.Lock()
 	defer f.changes.Unlock()
 	f.setRoutes(ctx, newRoutes(f.routes.Load().view, r))
 }
 
-// SetView takes the members as they are now.
+// SetView applies a view of the fleet's members.
 func (f *Fleet) SetView(ctx context.Context, v *member.View) {
 	f.changes.Lock()
 	defer f.changes.Unlock()
@@ -161,7 +164,7 @@
 	_ = f.cfg.Duty.SetOwned(ctx, r.owned(), members, r.next)
 }
 
-// Owned lists the endpoints that this instance owns now.
+// Owned returns the names of the endpoints that this instance owns now, sorted.
 func (f *Fleet) Owned() []string {
 	var names []string
 	for _, cfg := range f.routes.Load().owned() {
@@ -190,8 +193,7 @@
 	return g, nil
 }
 
-// admit refuses requests that crashed endpoints or are over their
-// organisation's limit.
+// admit refuses requests that have crashed endpoints or exceed their organisation's limit.
 func (f *Fleet) admit(t *placement, now time.Time) error {
 	verdict, left := f.guard.verdict(now, t.request.Fingerprint)
 	if verdict == policy.CrashRefused {
@@ -208,7 +210,8 @@
 	return nil
 }
 
-// place finds an endpoint, anew when an owner or endpoint goes away meanwhile.
+// place finds an endpoint, and tries again if an owner or endpoint becomes unavailable
+// meanwhile.
 func (f *Fleet) place(ctx context.Context, t *placement) (Grant, error) {
 	for ; ; t.tries++ {
 		list, err := f.candidates(t)
@@ -226,7 +229,7 @@
 	}
 }
 
-// candidates lists the endpoints to weigh, first choice first.
+// candidates returns the endpoints to consider, in order of preference.
 func (f *Fleet) candidates(t *placement) ([]candidate, error) {
 	t.routes = f.routes.Load()
 	t.pool = t.routes.pools[t.request.PoolName]
@@ -262,8 +265,8 @@
 	return fault.WithRetryAfter(err, localRetryAfter)
 }
 
-// key is what the endpoints are ordered by: the deepest level of the prompt
-// that others share.
+// key returns the hash by which the endpoints are ordered: the deepest level of the prompt
+// that other prompts share.
 func (f *Fleet) key(t *placement) prefix.Hash {
 	r := t.request
 	salt := prefix.Salt(r.Organisation, r.Model, r.Version)
@@ -275,7 +278,7 @@
 	return key
 }
 
-// granted finishes a grant.
+// granted attaches the placement to a grant and counts the request as running.
 func (f *Fleet) granted(t *placement, g Grant) Grant {
 	g.placement = t
 	f.states.sent(g.Endpoint)
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -19,7 +19,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// fleet is a few placers that call each other directly, with faults to order.
+// fleet is a set of placers that call each other directly, with fault injection.
 type fleet struct {
 	ctx       context.Context
 	cancel    context.CancelFunc
@@ -27,17 +27,17 @@
 	duties    []*place.Duty
 	handOvers []*place.HandOvers
 
-	mu       sync.Mutex
-	silent   map[string]bool // instances that answer nothing
-	lostAsks int             // replies to asks that get lost
-	asks     int
-	versions map[exchange.Key]uint64
+	mu           sync.Mutex
+	unresponsive map[string]bool // instances that do not answer
+	lostAsks     int             // number of replies to asks still to be lost
+	asks         int
+	versions     map[exchange.Key]uint64
 }
 
 func instanceName(i int) string { return fmt.Sprintf("entry-%d", i) }
 
 func newFleet(n, slots int, endpoints int) *fleet {
-	f := &fleet{silent: map[string]bool{}, versions: map[exchange.Key]uint64{}}
+	f := &fleet{unresponsive: map[string]bool{}, versions: map[exchange.Key]uint64{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for i := range n {
 		h := place.NewHandOvers()
@@ -63,7 +63,7 @@
 	return f
 }
 
-// view is the members as instance i sees them; those from left on are leaving.
+// view returns the members as instance i sees them; those from index left on are leaving.
 func (f *fleet) view(i, left int) *member.View {
 	return f.viewBy(i, func(k int) bool { return k >= left })
 }
@@ -97,26 +97,27 @@
 	return nil
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// reach finds the placer at an address, or waits for nothing.
+// reach returns the placer at an address. For an unresponsive instance it blocks until the
+// timeout and fails.
 func (f *fleet) reach(ctx context.Context, address string, bound time.Duration) (*place.Fleet, error) {
 	f.mu.Lock()
-	silent := f.silent[address]
+	unresponsive := f.unresponsive[address]
 	f.mu.Unlock()
-	if silent {
+	if unresponsive {
 		select {
 		case <-time.After(bound):
 		case <-ctx.Done():
 		}
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
 	for i, p := range f.placers {
 		if instanceName(i) == address {
 			return p, nil
 		}
 	}
-	return nil, errSilent
+	return nil, errNoAnswer
 }
 
 func (f *fleet) Ask(ctx context.Context, address string, bound time.Duration, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
@@ -132,7 +133,7 @@
 	f.asks++
 	if f.lostAsks > 0 {
 		f.lostAsks--
-		return nil, errSilent
+		return nil, errNoAnswer
 	}
 	return reply, err
 }
@@ -220,7 +221,7 @@
 	return g
 }
 
-func TestAllInstancesPlaceAlike(t *testing.T) {
+func TestInstancesChooseTheSameEndpoint(t *testing.T) {
 	inFleet(t, 3, 16, 9, func(t *testing.T, f *fleet) {
 		first := f.mustPlace(t, 0, request("a"))
 		for i := range 3 {
@@ -232,8 +233,8 @@
 	})
 }
 
-// The only endpoint is full. A request of another instance waits at the owner
-// and has to start once a slot is free, and not a poll later.
+// A request of another instance is queued at the owner of the only endpoint, which is full.
+// It must start as soon as the slot is free, not at the next poll.
 func TestQueuedRequestStartsWhenASlotIsFree(t *testing.T) {
 	inFleet(t, 3, 1, 1, func(t *testing.T, f *fleet) {
 		held := f.mustPlace(t, 0, request("a"))
@@ -249,19 +250,19 @@
 	})
 }
 
-// The owner of an endpoint dies. Requests must not wait for it: callers would
-// see each first token late, or time out.
-func TestSilentOwnerIsPassedOver(t *testing.T) {
+// Guards against waiting for an unreachable owner: callers would get each first token late
+// or time out.
+func TestUnresponsiveOwnerDoesNotDelayRequests(t *testing.T) {
 	inFleet(t, 3, 16, 1, func(t *testing.T, f *fleet) {
 		owner := f.ownerOf("engine-0")
 		caller := (owner + 1) % 3
-		f.set(func() { f.silent[instanceName(owner)] = true })
+		f.set(func() { f.unresponsive[instanceName(owner)] = true })
 		var slow int
 		for i := range 20 {
 			begin := time.Now()
 			g := f.mustPlace(t, caller, request(fmt.Sprint(i)))
 			if g.ID != 0 {
-				t.Fatal("a silent owner gave a grant")
+				t.Fatal("got a grant from an unresponsive owner")
 			}
 			if took := time.Since(begin); took > 20*time.Millisecond {
 				t.Fatalf("placed after %v", took)
@@ -271,15 +272,15 @@
 			f.placers[caller].Done(g, place.Result{End: place.EndDone})
 		}
 		if slow != 1 {
-			t.Fatalf("%d of 20 requests waited for the silent owner", slow)
+			t.Fatalf("%d of 20 requests waited for the unresponsive owner, want 1", slow)
 		}
 	})
 }
 
-// The reply to an ask is lost after the owner has given the slot away. If
-// nobody gave it back, each lost reply would cost the endpoint a slot for as
-// long as a request may run.
-func TestSlotOfLostReplyIsGivenBack(t *testing.T) {
+// The reply to an ask is lost after the owner has granted a slot. If the slot were not
+// released, each lost reply would cost the endpoint a slot for as long as a request may
+// run.
+func TestSlotOfLostReplyIsReleased(t *testing.T) {
 	inFleet(t, 3, 1, 1, func(t *testing.T, f *fleet) {
 		caller := (f.ownerOf("engine-0") + 1) % 3
 		f.set(func() { f.lostAsks = 1 })
@@ -299,9 +300,9 @@
 	})
 }
 
-// A caller closes its connection while its request is queued. The slot that
-// comes free must go to the next one.
-func TestGoneCallerTakesNoSlot(t *testing.T) {
+// A caller disconnects while its request is queued. The next free slot must go to another
+// request.
+func TestDisconnectedCallerTakesNoSlot(t *testing.T) {
 	inFleet(t, 3, 1, 1, func(t *testing.T, f *fleet) {
 		caller := (f.ownerOf("engine-0") + 1) % 3
 		held := f.mustPlace(t, caller, request("a"))
@@ -311,21 +312,21 @@
 			cancel()
 		}()
 		if _, err := f.placers[caller].Place(ctx, request("b")); err == nil {
-			t.Fatal("placed a request whose caller has gone")
+			t.Fatal("placed a request whose caller disconnected")
 		}
 		f.placers[caller].Done(held, place.Result{End: place.EndDone})
 		time.Sleep(3 * time.Second)
 		begin := time.Now()
 		f.mustPlace(t, caller, request("c"))
 		if took := time.Since(begin); took > 0 {
-			t.Fatalf("waited %v for a slot that nobody uses", took)
+			t.Fatalf("waited %v for a free slot", took)
 		}
 	})
 }
 
-// More is asked than can start in time. Who cannot must hear so at once, and
-// when to come back.
-func TestRefusalComesAtOnceAndTellsWhenToComeBack(t *testing.T) {
+// Under overload, a request that cannot start in time must be refused at once, with a time
+// to retry after.
+func TestOverloadIsRefusedAtOnceWithRetryAfter(t *testing.T) {
 	inFleet(t, 3, 1, 1, func(t *testing.T, f *fleet) {
 		f.mustPlace(t, 0, request("a"))
 		r := request("b")
@@ -341,9 +342,9 @@
 	})
 }
 
-// One request crashes each endpoint that runs it, and its caller sends it again
-// through other instances. After the second crash it must be refused
-// everywhere, or it takes down one endpoint after the other.
+// A request crashes each endpoint that runs it, and its caller sends it again through other
+// instances. After the second crash all instances must refuse it, or it crashes one
+// endpoint after the other.
 func TestCrashingRequestIsRefusedEverywhere(t *testing.T) {
 	inFleet(t, 3, 16, 9, func(t *testing.T, f *fleet) {
 		for i := range 2 {
@@ -362,13 +363,13 @@
 		other := request("other")
 		other.Fingerprint = [16]byte{2}
 		if g := f.mustPlace(t, 2, other); g.Alone {
-			t.Fatal("another request is suspected too")
+			t.Fatal("a request with another fingerprint is suspected")
 		}
 	})
 }
 
-// An endpoint says to its owner that it is leaving. Work that other instances
-// still sent there would be cut off.
+// An endpoint reports to its owner that it is leaving. Requests that other instances still
+// sent there would be aborted.
 func TestLeavingEndpointGetsNoWork(t *testing.T) {
 	inFleet(t, 3, 16, 2, func(t *testing.T, f *fleet) {
 		leaving := f.mustPlace(t, 0, request("a")).Endpoint
@@ -384,9 +385,9 @@
 	})
 }
 
-// The owner of a full endpoint is replaced while requests run. If the next
-// owner did not know of them, it would give the same slots a second time.
-func TestLeavingOwnerHandsOver(t *testing.T) {
+// The owner of a full endpoint is replaced while requests run. If the next owner did not
+// know of them, it would grant the same slots again.
+func TestLeavingOwnerHandsOverGrants(t *testing.T) {
 	inFleet(t, 3, 2, 9, func(t *testing.T, f *fleet) {
 		endpoint := f.placers[2].Owned()[0]
 		var only []string
@@ -409,7 +410,7 @@
 		f.handOvers[2].Wait(f.ctx)
 		time.Sleep(100 * time.Millisecond)
 		if _, err := f.placers[0].Place(f.ctx, on("c")); !fault.Is(err, fault.Overloaded) {
-			t.Fatalf("the next owner gave a slot that is in use: %v", err)
+			t.Fatalf("the next owner granted a slot that is in use: %v", err)
 		}
 		f.placers[0].Done(first, place.Result{End: place.EndDone})
 		time.Sleep(100 * time.Millisecond)
@@ -419,9 +420,9 @@
 	})
 }
 
-// The owner of the only endpoint leaves while a request waits there. The request
-// must be placed through the next owner, and not be refused.
-func TestWaitingRequestFollowsTheOwner(t *testing.T) {
+// The owner of the only endpoint leaves while a request is queued there. The request must
+// be placed through the next owner, not refused.
+func TestQueuedRequestMovesToTheNextOwner(t *testing.T) {
 	inFleet(t, 3, 1, 1, func(t *testing.T, f *fleet) {
 		old := f.ownerOf("engine-0")
 		caller := (old + 1) % 3
@@ -445,9 +446,9 @@
 	})
 }
 
-// An organisation sends more than its record allows, through all instances at
-// once. Each instance alone sees too little of it to notice.
-func TestOrganisationLimitHoldsOverTheFleet(t *testing.T) {
+// An organisation exceeds its limit through all instances at once. Each instance alone sees
+// too few of its requests to notice.
+func TestOrganisationLimitIsEnforcedAcrossInstances(t *testing.T) {
 	inFleet(t, 3, 16, 9, func(t *testing.T, f *fleet) {
 		time.Sleep(3 * time.Second)
 		open := 0
@@ -464,7 +465,7 @@
 			time.Sleep(1100 * time.Millisecond)
 		}
 		if open < 3 || open > 6 {
-			t.Fatalf("%d requests are open under a limit of 4", open)
+			t.Fatalf("%d requests are open with a limit of 4", open)
 		}
 	})
 }
--- a/place/guard.go
+++ b/place/guard.go
@@ -12,11 +12,11 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// crashMemory is how long a request that crashed endpoints is remembered.
+// crashRetention is how long a fingerprint is kept after its request crashed an endpoint.
 const crashRetention = 10 * time.Minute
 
-// guard shares what instances know of requests that were in flight when an
-// endpoint crashed. Any goroutine may use it.
+// guard tracks requests that were in flight when an endpoint crashed, and publishes them to
+// the other instances. It is safe for concurrent use.
 type guard struct {
 	publish func(kind fleetpb.ItemKind, name string, value []byte, ttl time.Duration)
 
@@ -53,8 +53,9 @@
 	g.publishChanges(now)
 }
 
-// heard merges what another instance told. Where this one knows more, it tells
-// the joined state, so that of two that write at once nothing is lost.
+// merge merges a state received from another instance. If this instance knows more, it
+// publishes the merged state, so that nothing is lost if two instances write at the same
+// time.
 func (g *guard) merge(now time.Time, name string, value []byte, ttl time.Duration) {
 	raw, err := hex.DecodeString(name)
 	var s fleetpb.FingerprintState
@@ -66,8 +67,8 @@
 	g.publishChanges(now)
 }
 
-// share publishes what has changed. It takes the lock over and releases it: a
-// publication may wait for the exchange, which may wait for heard.
+// publishChanges publishes changed states. The caller must hold mu; publishChanges releases
+// it, since a publication may wait for the exchange, which may wait for merge.
 func (g *guard) publishChanges(now time.Time) {
 	type change struct {
 		name  string
@@ -91,7 +92,8 @@
 	return &fleetpb.FingerprintState{Endpoints: s.Endpoints, Cleared: s.Cleared, Crashes: int32(s.Crashes())}
 }
 
-// known returns what is known of a fingerprint and for how long, nil if nothing.
+// crashState returns the state of a fingerprint and its remaining time to live, or nil if
+// there is none.
 func (g *guard) crashState(now time.Time, fingerprint [16]byte) (*policy.CrashState, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/place/kept.go
+++ b/place/kept.go
@@ -12,27 +12,27 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// keeps reports whether the pool's endpoints export and import KV cache.
+// canImport reports whether the pool's endpoints export and import KV cache.
 func (f *Fleet) canImport(p *poolRoutes) bool {
 	return f.cfg.Kept != nil && p != nil && p.record.GetKvImportTokensPerSecond() > 0
 }
 
-// findKept notes the longest prefix of the prompt that could be imported.
+// findKept sets t.kept to the longest prefix of the prompt that can be imported.
 func (f *Fleet) findKept(t *placement) {
 	if f.canImport(t.pool) {
 		t.kept, _ = f.cfg.Kept.Deepest(t.request.Blocks)
 	}
 }
 
-// keptTokens of the prompt could be imported.
+// keptTokens is the number of prompt tokens that can be imported.
 func (t *placement) keptTokens() int64 {
 	return int64(t.kept.Blocks) * t.pool.record.GetBlockTokens()
 }
 
-// importKept has the granted endpoint import what it lacks, where that takes
-// less time than computing it. The slot is held meanwhile. It is not done for
-// an endpoint without an owner: nobody knows what is cached there, and most
-// often it is what the endpoint was chosen for.
+// importKept has the granted endpoint import the part of the prefix that it lacks, if that
+// is faster than computing it. The slot is occupied meanwhile. Nothing is imported for a
+// grant without an owner: it is unknown what is cached at the endpoint, and most often it
+// was chosen because the prefix is.
 func (f *Fleet) importKept(ctx context.Context, t *placement, g Grant) {
 	if t.kept.Blocks == 0 || g.ID == 0 || ctx.Err() != nil {
 		return
@@ -45,7 +45,8 @@
 	f.cfg.Kept.Import(ctx, g.Address, t.salt(), t.kept)
 }
 
-// keep tells the keeper that the endpoint now has the prompt's shared levels.
+// reportUse reports to the keeper that the endpoint now has the prompt's shared levels
+// cached.
 func (f *Fleet) reportUse(g Grant) {
 	t := g.placement
 	if len(t.levels) == 0 || !f.canImport(t.pool) {
@@ -54,8 +55,8 @@
 	f.cfg.Kept.Used(kept.Use{Address: g.Address, Salt: t.salt(), Chain: t.request.Blocks, Levels: t.levels})
 }
 
-// learnLevels takes over the levels that the owner knows, which has seen more of
-// the prompt's kind than this instance.
+// setLevels replaces the levels by the owner's, unless they are fewer. The owner sees more
+// prompts with the same prefix than this instance.
 func (t *placement) setLevels(ends []int32) {
 	if len(ends) < len(t.levels) {
 		return
@@ -72,7 +73,7 @@
 	return prefix.Salt(t.request.Organisation, t.request.Model, t.request.Version)
 }
 
-// PublishKept tells all instances of a kept prefix. It does not block.
+// PublishKept publishes an exported prefix to all instances. It does not block.
 func (f *Fleet) PublishKept(p kept.Prefix, ttl time.Duration) {
 	value, err := proto.Marshal(&fleetpb.KeptState{Blocks: int64(p.Blocks)})
 	if err == nil {
--- a/place/limits.go
+++ b/place/limits.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// usageEvery is how often an instance tells its use, and usageEachMember
-	// what each member adds to that, so that the bytes that reach an instance
-	// stay the same: four reports a second over the whole fleet.
+	// The interval of usage reports is minUsageInterval, or usageIntervalPerMember times
+	// the number of members if that is longer. So an instance receives at most four reports
+	// a second, whatever the size of the fleet.
 	minUsageInterval       = time.Second
 	usageIntervalPerMember = 250 * time.Millisecond
-	// usageRounds is after how many missed reports an instance's use counts
-	// for nothing.
+	// usageTTLIntervals is the number of report intervals after which an instance's usage
+	// expires.
 	usageTTLIntervals = 5
 )
 
-// limits holds organisations to what their records allow over the whole fleet.
-// Any goroutine may use it.
+// limits enforces the organisations' limits over the whole fleet. It is safe for concurrent
+// use.
 type limits struct {
 	self    string
 	publish func(kind fleetpb.ItemKind, name string, value []byte, ttl time.Duration)
@@ -44,8 +44,9 @@
 	}
 }
 
-// admit counts a request. The returned limit has to be given to done; it is nil
-// where the organisation has none.
+// admit counts a request and reports whether it is within the limit; if not, it also
+// returns the time to retry after. The returned limit must be passed to done; it is nil if
+// the organisation has none.
 func (l *limits) admit(now time.Time, organisation string) (*policy.OrganisationLimit, bool, time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -66,7 +67,7 @@
 	limit.Done()
 }
 
-// setMembers puts the records' limits in force for the members as they are.
+// setMembers applies the members and the limits from the records.
 func (l *limits) setMembers(now time.Time, view *member.View, records *record.Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -99,7 +100,7 @@
 	l.applyUsage()
 }
 
-// heard takes another instance's use.
+// merge applies the usage received from another instance.
 func (l *limits) merge(instance string, value []byte) {
 	s := &fleetpb.UsageState{}
 	if instance == l.self || proto.Unmarshal(value, s) != nil {
@@ -111,7 +112,7 @@
 	l.applyUsage()
 }
 
-// share gives each limit what the other instances reported.
+// applyUsage passes the other instances' usage to each limit.
 func (l *limits) applyUsage() {
 	others := map[string][]policy.Usage{}
 	for _, s := range l.usage {
@@ -126,7 +127,7 @@
 	}
 }
 
-// run tells this instance's use until ctx ends.
+// run publishes this instance's usage until ctx ends.
 func (l *limits) run(ctx context.Context, now func() time.Time) {
 	for {
 		interval := l.interval()
@@ -147,7 +148,8 @@
 	return max(minUsageInterval, time.Duration(l.members)*usageIntervalPerMember)
 }
 
-// report is the use of the limited organisations that have any.
+// localUsage encodes this instance's usage of the limited organisations, without the idle
+// ones.
 func (l *limits) localUsage(now time.Time) []byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -167,7 +169,7 @@
 	return value
 }
 
-// names lists the organisations that have limits.
+// names returns the organisations that have limits, sorted.
 func (l *limits) names() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/place/look.go
+++ b/place/look.go
@@ -9,32 +9,34 @@
 )
 
 const (
-	// lookBound is how long an endpoint may take to say whether it leaves. It is a way of
-	// milliseconds; one that is paused must not hold a request up for long.
+	// leavingCheckTimeout is how long an endpoint may take to answer whether it is leaving.
+	// The answer normally takes milliseconds; a paused endpoint must not delay a request
+	// for long.
 	leavingCheckTimeout = 100 * time.Millisecond
-	// lookEvery is how long such a word holds. It adds to what owners take, so that new
-	// work ends within the few seconds that an endpoint is given.
+	// leavingCheckTTL is how long an answer is valid. It adds to the owners' own detection
+	// time, and new work must end within the few seconds that an endpoint has for leaving.
 	leavingCheckTTL = time.Second
 )
 
 var leavingChecksTotal = metrics.GetOrCreateCounter("sardinedock_place_looks_total")
 
-// looks keeps what endpoints said when this instance asked them itself. Any goroutine may
-// use it.
+// leavingChecks caches the answers of endpoints that this instance asked whether they are
+// leaving. It is safe for concurrent use.
 //
-// Failure: an owner is killed, and nobody follows its endpoints until it counts as dead. One
-// that begins to leave meanwhile goes on to get work, for six seconds and more, from all who
-// decide without an owner by what they were told before. So these ask the endpoint first; and
-// so do those whom an owner answers that has not heard of the endpoint yet.
+// When an owner is killed, its endpoints are not monitored until it is declared dead. An
+// endpoint that begins to leave meanwhile would go on to get work for six seconds and more
+// from all instances that place without the owner, by the last published status. So these
+// ask the endpoint first. So do instances whose grant comes from an owner that does not
+// know the endpoint's status yet.
 type leavingChecks struct {
-	// ask asks an endpoint whether it leaves; nil asks none.
+	// ask asks an endpoint whether it is leaving; nil asks none.
 	ask func(ctx context.Context, address string) (leaving bool, err error)
 
 	mu   sync.Mutex
 	last map[string]*leavingCheck
 }
 
-// look is one question to an endpoint. leaving may be read once done is closed.
+// leavingCheck is one question to an endpoint. leaving may be read once done is closed.
 type leavingCheck struct {
 	at      time.Time
 	done    chan struct{}
@@ -45,9 +47,9 @@
 	return &leavingChecks{ask: ask, last: map[string]*leavingCheck{}}
 }
 
-// askLeaving asks the endpoint whether it leaves. Requests that come together ask once. An
-// endpoint that does not answer says nothing: a starting fleet has to serve, and a pause is no
-// leaving.
+// isLeaving reports whether the endpoint is leaving, asking it if there is no valid answer.
+// Concurrent callers share one question. An endpoint that does not answer counts as not
+// leaving: a fleet that is starting has to serve, and a paused endpoint is not leaving.
 func (l *leavingChecks) isLeaving(ctx context.Context, c candidate, now time.Time) bool {
 	if l.ask == nil {
 		return false
@@ -55,7 +57,8 @@
 	x, first := l.begin(c.name, now)
 	if first {
 		leavingChecksTotal.Inc()
-		// Not ended with the caller that happens to ask first: the others wait for the answer.
+		// The question is not cancelled with the caller that asks it, as others wait for
+		// the answer.
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), leavingCheckTimeout)
 		defer cancel()
 		leaving, err := l.ask(bounded, c.address)
@@ -70,7 +73,7 @@
 	}
 }
 
-// begin returns the question that holds now, and whether the caller has to ask it.
+// begin returns the valid question, and whether the caller has to ask it.
 func (l *leavingChecks) begin(endpoint string, now time.Time) (x *leavingCheck, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +85,8 @@
 	return x, true
 }
 
-// knownLeaving reports whether the endpoint, when it was asked lately, said that it leaves.
+// knownLeaving reports whether a valid answer says that the endpoint is leaving. It does
+// not ask.
 func (l *leavingChecks) knownLeaving(endpoint string, now time.Time) bool {
 	l.mu.Lock()
 	x := l.last[endpoint]
@@ -98,7 +102,7 @@
 	}
 }
 
-// keep forgets the endpoints that no record names any more.
+// retain drops the endpoints that are not in known.
 func (l *leavingChecks) retain(known map[string]string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/place/observe.go
+++ b/place/observe.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// maxRestored bounds the states that were handed over before this instance
-	// knew that it owns their endpoints.
+	// maxEarlyStates is the maximum number of states kept that were handed over before this
+	// instance knew that it owns their endpoints.
 	maxEarlyStates = 64
-	// restoredBound is how long such a state is worth anything. The news of the
-	// former owner's leave takes a second or two.
+	// earlyStateTTL is how long such a state is kept. The member list shows the former
+	// owner's leave after a second or two.
 	earlyStateTTL = 10 * time.Second
 )
 
-// SetOwned replaces the endpoints that this instance owns. What it owned before
-// and does not now is handed over to the instance that next names.
+// SetOwned sets the endpoints that this instance owns. Endpoints that it no longer owns are
+// handed over to the instance that next returns.
 func (d *Duty) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
 	return d.events.Put(ctx, func(d *Duty, now time.Time) {
 		d.dropCallers(now, members)
@@ -40,7 +40,7 @@
 	})
 }
 
-// loseCallers takes back what instances held that are members no more.
+// dropCallers drops the grants and queued asks of instances that are no longer members.
 func (d *Duty) dropCallers(now time.Time, members []string) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
@@ -54,14 +54,13 @@
 	d.members = members
 }
 
-// handOver gives an endpoint away. What waits there is sent to the next owner
-// once that one knows what runs: before, it would give the same slots a second
-// time.
+// handOver transfers an endpoint to its next owner. The callers of queued asks are sent to
+// the next owner only once it has the state; before, it would grant slots that are in use.
 func (d *Duty) handOver(now time.Time, name, next string) {
 	knowledge, err := d.endpoints.Endpoint(name).Snapshot(now)
 	refusals := d.endpoints.Remove(name)
 	for i := range refusals {
-		// The endpoint is well; its next owner is to be asked.
+		// The endpoint is usable; its next owner has to be asked.
 		refusals[i].Reason = owner.ReasonNotOwned
 	}
 	if err != nil || next == "" || next == d.cfg.Self {
@@ -73,7 +72,7 @@
 	})
 }
 
-// Restore takes over what the former owner of an endpoint knew.
+// Restore applies the state that the former owner of an endpoint handed over.
 func (d *Duty) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
 	return d.events.Put(ctx, func(d *Duty, now time.Time) {
 		if e := d.endpoints.Endpoint(endpoint); e != nil {
@@ -91,8 +90,8 @@
 	})
 }
 
-// Status tells how an endpoint is treated, and what it has loaded. Endpoints
-// of other owners are passed over.
+// Status applies an endpoint's status and loaded models. Endpoints of other owners are
+// ignored.
 func (d *Duty) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
 	return d.events.Put(ctx, func(d *Duty, now time.Time) {
 		e := d.endpoints.Endpoint(endpoint)
@@ -110,8 +109,7 @@
 	})
 }
 
-// Load tells what an endpoint said of its load. A full ring gives the oldest
-// reports up.
+// Load applies an endpoint's load report. If the queue is full the oldest event is dropped.
 func (d *Duty) Load(endpoint string, r owner.LoadReport) {
 	d.events.Push(func(d *Duty, now time.Time) {
 		if e := d.endpoints.Endpoint(endpoint); e != nil {
@@ -120,8 +118,8 @@
 	})
 }
 
-// CacheEvents tells what happened to an endpoint's cache. What a full ring
-// gives up is a gap like those of the engine's own stream.
+// CacheEvents applies events of an endpoint's cache. Events dropped from a full queue show
+// as a gap, like those lost in the engine's own stream.
 func (d *Duty) CacheEvents(endpoint string, events []owner.CacheEvent) {
 	d.events.Push(func(d *Duty, _ time.Time) {
 		e := d.endpoints.Endpoint(endpoint)
@@ -143,7 +141,8 @@
 	Unclaimed int      `json:"unclaimed_grants"`
 }
 
-// Dump returns the state now, or nothing where the duty does not answer.
+// Dump returns the current state, or the zero value if the event goroutine does not answer
+// before ctx ends.
 func (d *Duty) Dump(ctx context.Context) DutyDump {
 	ch := make(chan DutyDump, 1)
 	err := d.events.Put(ctx, func(d *Duty, _ time.Time) {
--- a/place/place.go
+++ b/place/place.go
@@ -1,4 +1,5 @@
-// Package place finds the endpoint that a request runs on.
+// Package place chooses the endpoint that a request runs on. Fleet asks the instances that
+// own the endpoints and decides from its own view if an owner does not answer.
 package place
 
 import (
@@ -12,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// Request is what placing needs to know of a request.
+// Request is the description of a request that placement needs.
 type Request struct {
 	ID           string
 	Organisation string
@@ -25,52 +26,53 @@
 	Blocks       []prefix.Hash
 	PromptTokens int64
 	MaxTokens    int64
-	// Fingerprint names the request's content for the crash check.
+	// Fingerprint identifies the request's content for crash detection.
 	Fingerprint [16]byte
-	// Exclude names endpoints that were tried before.
+	// Exclude lists endpoints that must not be chosen, such as those that were tried
+	// before.
 	Exclude []string
 }
 
-// Grant is the right to send one request to one endpoint.
+// Grant is the permission to send one request to one endpoint.
 type Grant struct {
-	// ID is unique at the owner that gave the grant; 0 for a grant that the
-	// instance gave itself without an owner.
+	// ID is unique at the owner that gave the grant; 0 if the instance chose the endpoint
+	// without its owner.
 	ID uint64
-	// Owner is the instance that gave it.
+	// Owner is the instance that gave the grant.
 	Owner    string
 	Endpoint string
 	Address  string
-	// Incarnation of the endpoint that the grant is for; 0 if not known.
+	// Incarnation is the endpoint's when the grant was given; 0 if not known.
 	Incarnation uint64
-	// CachedTokens of the prompt are believed to be cached there.
+	// CachedTokens is the number of prompt tokens expected to be cached at the endpoint.
 	CachedTokens int64
-	// Alone says that the request is suspected of crashing endpoints and that
-	// nothing else was put beside it.
+	// Alone is set if the request is suspected of crashing endpoints and runs there by
+	// itself.
 	Alone bool
-	// Long says that the prompt takes long to compute and that the engine
-	// should put it behind others of its class.
+	// Long is set if the prompt takes long to compute. The engine should schedule it after
+	// others of its class.
 	Long bool
 
-	// ticket is what the placer has to know of the request at its end.
+	// placement is the state that Done needs.
 	placement *placement
 }
 
-// End is the stage that a granted request reached.
+// End is the outcome of a granted request.
 type End int
 
-// The stages.
 const (
-	// EndUnused: nothing was sent.
+	// EndUnused means that the request was not sent.
 	EndUnused End = iota
-	// EndDone: the answer came whole.
+	// EndDone means that the response was received completely.
 	EndDone
-	// EndFailed: it broke off for a reason that says nothing of the endpoint.
+	// EndFailed means that the request was aborted for a reason unrelated to the endpoint's
+	// health.
 	EndFailed
-	// EndCrashed: the endpoint died while it ran the request.
+	// EndCrashed means that the endpoint died while it ran the request.
 	EndCrashed
 )
 
-// Result is what became of a granted request.
+// Result is the result of a granted request.
 type Result struct {
 	End          End
 	Incarnation  uint64
@@ -79,24 +81,24 @@
 	OutputTokens int64
 }
 
-// Placer hands out grants. All methods may be called by any goroutine.
+// Placer grants requests access to endpoints. All methods are safe for concurrent use.
 type Placer interface {
-	// Place blocks until the request may be sent, at most its class's wait. An
-	// error says that it may not: fault.Overloaded when it cannot start before
-	// its deadline, LimitExceeded, Suspect, or Unavailable. Nothing was sent.
+	// Place blocks until the request may be sent, at most for its class's maximum wait. On
+	// an error nothing was sent. The error is fault.Overloaded if the request cannot start
+	// before its deadline, or LimitExceeded, Suspect or Unavailable.
 	Place(ctx context.Context, r Request) (Grant, error)
-	// FirstToken tells that the answer began, and how long after the send. It
-	// does not block.
+	// FirstToken reports that the response began, with the time from the send to its first
+	// token. It does not block.
 	FirstToken(g Grant, cachedTokens int64, after time.Duration)
-	// Done gives the grant back, once for each grant. It does not block, but for
-	// EndCrashed: where the caller may send the request again elsewhere next,
-	// the other instances are told first, which takes 100 ms at most.
+	// Done releases the grant. It must be called once for each grant. It does not block,
+	// except for EndCrashed if the caller may send the request again through another
+	// instance next: then the other instances are notified first, which takes at most 100
+	// ms.
 	Done(g Grant, res Result)
 }
 
-// Order sorts endpoints by rendezvous hashing: all instances find the same
-// order from the list alone, and a change of the list moves only the keys of
-// the endpoints concerned.
+// Order sorts endpoints by rendezvous hashing. All instances compute the same order from
+// the list alone, and a change of the list moves only the keys of the endpoints concerned.
 func Order(key prefix.Hash, endpoints []*recordspb.Endpoint) []*recordspb.Endpoint {
 	type scored struct {
 		score    uint64
--- a/place/reports.go
+++ b/place/reports.go
@@ -13,18 +13,17 @@
 )
 
 const (
-	// reportEvery is how long reports are gathered for one message. An owner
-	// learns of a free slot that much later, which is a few percent of the
-	// shortest requests.
+	// reportInterval is how long reports are collected into one message. It delays the
+	// owner's knowledge of a free slot by a few percent of the shortest request's duration.
 	reportInterval = 10 * time.Millisecond
-	// reportBound is how long an owner may take to answer; reportRetry how
-	// long after a failure it is tried again.
+	// reportTimeout is how long an owner may take to answer; reportRetryDelay is the time
+	// until the next attempt after a failure.
 	reportTimeout    = time.Second
 	reportRetryDelay = 500 * time.Millisecond
-	// maxPending bounds the reports kept for one owner that does not answer.
-	// The oldest are given up: their grants end by their timeout.
+	// maxPending is the maximum number of reports kept for one owner that does not answer.
+	// The oldest are dropped; their grants end by their timeout.
 	maxPending = 4096
-	// maxReports bounds the reports of one message.
+	// maxReports is the maximum number of reports in one message.
 	maxReports = 512
 )
 
@@ -33,8 +32,8 @@
 	reportsLost = metrics.GetOrCreateCounter("sardinedock_place_reports_lost_total")
 )
 
-// reporter tells owners what became of their grants, in batches, and keeps what
-// an owner has not confirmed. Adding never blocks.
+// reporter sends the outcome of grants to their owners, in batches, and keeps reports until
+// the owner has confirmed them. Adding a report never blocks.
 type reporter struct {
 	f    *Fleet
 	wake chan struct{}
@@ -43,7 +42,7 @@
 	pending map[string]*pendingReports
 }
 
-// pendingReports are those for one owner.
+// pendingReports are the reports for one owner.
 type pendingReports struct {
 	ends    []*fleetpb.GrantEnd
 	sending bool
@@ -54,8 +53,8 @@
 	return &reporter{f: f, wake: make(chan struct{}, 1), pending: map[string]*pendingReports{}}
 }
 
-// add tells the owner that gave the grant and, where the endpoint has another
-// owner now, that one: the grant may have been handed over.
+// add queues a report for the owner that gave the grant and, if the endpoint has another
+// owner now, for that one too, since the grant may have been handed over.
 func (r *reporter) add(g Grant, end *fleetpb.GrantEnd) {
 	r.queue(g.Owner, end)
 	if now := r.f.routes.Load().owners[g.Endpoint]; now != g.Owner {
@@ -63,15 +62,14 @@
 	}
 }
 
-// withdraw takes back an ask, or the grant whose reply was lost. The request is
-// known by another name from now on, so that a late withdrawal cannot take back
-// a later ask.
+// withdraw cancels an ask, or the grant whose reply was lost. The request gets a new ask
+// ID, so that a late withdrawal cannot cancel a later ask.
 func (r *reporter) withdraw(t *placement, instance, endpoint string) {
 	r.queue(instance, &fleetpb.GrantEnd{Endpoint: endpoint, RequestId: t.askID(), State: fleetpb.GrantState_GRANT_STATE_UNUSED})
 	t.withdrawn++
 }
 
-// askID names the request at owners.
+// askID returns the ID that identifies the request at owners.
 func (t *placement) askID() string {
 	if t.withdrawn == 0 {
 		return t.request.ID
@@ -122,7 +120,7 @@
 	}
 }
 
-// flush starts a message to each owner that is due.
+// flush starts a message to each owner that has reports and is not in a retry delay.
 func (r *reporter) flush(ctx context.Context) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,7 +138,7 @@
 	}
 }
 
-// send sends one batch. The lock is held by the caller.
+// send sends one batch. The caller must hold mu.
 func (r *reporter) send(ctx context.Context, instance string, p *pendingReports, view *member.View) {
 	batch := p.ends[:min(len(p.ends), maxReports)]
 	p.ends = p.ends[len(batch):]
@@ -177,7 +175,7 @@
 	r.wakeAfter(reportRetryDelay)
 }
 
-// again has the reports looked at after a while.
+// wakeAfter wakes run after a delay.
 func (r *reporter) wakeAfter(after time.Duration) {
 	time.AfterFunc(after, func() {
 		select {
@@ -187,7 +185,7 @@
 	})
 }
 
-// counts is the number of reports that wait, by owner.
+// counts returns the number of pending reports by owner.
 func (r *reporter) counts() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/place/routes.go
+++ b/place/routes.go
@@ -10,28 +10,27 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// routes is what placing reads of records and members at one moment. It is
-// never changed once built.
+// routes is an immutable snapshot of the records and members that placement reads.
 type routes struct {
 	view    *member.View
 	records *record.Snapshot
 	pools   map[string]*poolRoutes
-	// owners names each endpoint's owner.
+	// owners maps endpoints to their owners.
 	owners map[string]string
 }
 
-// poolRoutes is one pool.
+// poolRoutes is the part of routes for one pool.
 type poolRoutes struct {
 	record    *recordspb.EndpointPool
 	ranking   *policy.Ranking
 	endpoints []*recordspb.Endpoint
-	// near marks the endpoints of this instance's region; all where none is.
+	// near marks the endpoints in this instance's region; all of them if there is none.
 	near []bool
 }
 
-// newRoutes works out owners and rankings. It hashes each endpoint with each
-// member, some ten milliseconds at the largest size, so it is done when records
-// or members change and not for a request.
+// newRoutes computes owners and rankings. It hashes each endpoint with each member, which
+// takes about ten milliseconds in the largest fleet, so it is called when records or
+// members change and not per request.
 func newRoutes(view *member.View, records *record.Snapshot) *routes {
 	r := &routes{view: view, records: records, pools: map[string]*poolRoutes{}, owners: map[string]string{}}
 	if records == nil {
@@ -64,16 +63,16 @@
 	return p
 }
 
-// next is the instance that owns the endpoint now.
+// next returns the instance that owns the endpoint now.
 func (r *routes) next(endpoint string) string { return r.owners[endpoint] }
 
-// address is the fleet address of a member that can be asked.
+// address returns the address of a member, if it is known.
 func (r *routes) address(instance string) (string, bool) {
 	m, ok := r.view.Find(instance)
 	return m.Address, ok && m.Address != ""
 }
 
-// owned lists the endpoints that this instance owns.
+// owned returns the configurations of the endpoints that this instance owns.
 func (r *routes) owned() []owner.Config {
 	var list []owner.Config
 	for _, p := range r.pools {
@@ -94,9 +93,9 @@
 	}
 }
 
-// regions groups members by region. An endpoint's owner is chosen in the
-// endpoint's own region: an ask across regions would take longer than it is
-// worth, and a region that is cut off keeps all its owners.
+// regions groups members by region. An endpoint's owner is chosen in the endpoint's own
+// region: an ask across regions would take longer than its benefit, and a region that is
+// cut off keeps all its owners.
 type regions struct {
 	self         string
 	byDataCentre map[string]string
@@ -118,7 +117,7 @@
 	return g
 }
 
-// members are those that may own an endpoint in the data centre.
+// members returns the members that may own an endpoint in the data centre.
 func (g *regions) members(centre string) []string {
 	if region, ok := g.byDataCentre[centre]; ok && len(g.byRegion[region]) > 0 {
 		return g.byRegion[region]
@@ -131,7 +130,7 @@
 	return !ok || region == g.self
 }
 
-// prices are what the choice between a pool's endpoints weighs.
+// prices returns the costs that the choice between a pool's endpoints weighs.
 func (p *poolRoutes) prices() policy.Prices {
 	return policy.Prices{
 		PrefillTokensPerSecond: p.record.GetPrefillTokensPerSecond(),
@@ -141,11 +140,11 @@
 	}
 }
 
-// importFixed is the time that an import of any size takes: a round trip to the
-// endpoint and its own to the KV store.
+// importFixed is the time that an import takes regardless of its size: a round trip to the
+// endpoint and one from there to the KV store.
 const importFixed = 10 * time.Millisecond
 
-// classWait is how long a request of the class may wait for its start.
+// classWait is the longest time that a request of the class may wait for its start.
 func classWait(class *recordspb.RequestClass) time.Duration {
 	return milliseconds(class.GetMaxWaitMs())
 }
--- a/place/share.go
+++ b/place/share.go
@@ -14,17 +14,17 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// shareRing bounds what waits between placing and the exchange, in both
-// directions. When it is full the oldest is given up: fingerprints and use are
-// told again, and states of endpoints follow from the next observation.
+// shareQueueSize is the capacity of the queues between placement and the exchange, in both
+// directions. If a queue is full its oldest entry is dropped: fingerprints and usage are
+// published again, and endpoint states are replaced by the next observation.
 const shareQueueSize = 1024
 
 const (
-	// handOverBound is how long the next owner may take to take an endpoint
-	// over; handOvers how many are given at once.
+	// handOverTimeout is how long the next owner may take to accept an endpoint;
+	// handOverWorkers is the number of concurrent transfers.
 	handOverTimeout = 2 * time.Second
 	handOverWorkers = 8
-	// handOverPoll is how often a leaving instance looks whether all is given.
+	// handOverPoll is how often Wait checks whether all transfers are done.
 	handOverPoll = 5 * time.Millisecond
 )
 
@@ -34,7 +34,7 @@
 	publicationsFailed = metrics.GetOrCreateCounter("sardinedock_place_publications_failed_total")
 )
 
-// publication is a state on its way into the exchange.
+// publication is a value to be published through the exchange.
 type publication struct {
 	key   exchange.Key
 	value []byte
@@ -45,11 +45,11 @@
 	f.outbox.Push(publication{exchange.Key{Kind: kind, Name: name}, value, ttl})
 }
 
-// Heard takes items that were new to the exchange. It does not block.
+// Heard processes items that the exchange received. It does not block.
 func (f *Fleet) Heard(items []exchange.Item) { f.inbox.Push(items) }
 
-// Observed takes what this instance found out of an endpoint that it owns, and
-// tells all instances.
+// Observed applies the state of an endpoint as its owner, this instance, observed it, and
+// publishes it to all instances.
 func (f *Fleet) Observed(ctx context.Context, endpoint string, s *fleetpb.EndpointState) {
 	f.states.update(endpoint, s)
 	_ = f.cfg.Duty.Status(ctx, endpoint, s)
@@ -58,7 +58,7 @@
 	}
 }
 
-// Run works until ctx ends.
+// Run runs the background tasks until ctx ends.
 func (f *Fleet) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { f.reports.run(ctx) })
@@ -116,26 +116,26 @@
 	}
 }
 
-// Fingerprint names a request's content.
+// Fingerprint identifies a request's content.
 type Fingerprint = owner.Fingerprint
 
-// Lost takes the requests that were in flight when an endpoint crashed.
+// Lost records the requests that were in flight when an endpoint crashed.
 func (f *Fleet) Lost(endpoint string, incarnation uint64, lost []owner.Fingerprint) {
 	f.guard.recordCrash(f.cfg.Clock.Now(), endpoint, incarnation, lost)
 }
 
-// Ask serves another instance's ask.
+// Ask answers an ask from another instance.
 func (f *Fleet) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	return f.cfg.Duty.Ask(ctx, in)
 }
 
-// Report serves another instance's reports.
+// Report applies reports from another instance.
 func (f *Fleet) Report(_ context.Context, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error) {
 	f.cfg.Duty.Report(in.GetCaller().GetInstance(), in.GetEnds())
 	return &fleetpb.ReportReply{}, nil
 }
 
-// HandOver serves the former owner of an endpoint.
+// HandOver accepts an endpoint's state from its former owner.
 func (f *Fleet) HandOver(ctx context.Context, in *fleetpb.HandOverRequest) (*fleetpb.HandOverReply, error) {
 	if err := f.cfg.Duty.Restore(ctx, in.GetEndpoint(), in.GetKnowledge()); err != nil {
 		return nil, err
@@ -143,25 +143,26 @@
 	return &fleetpb.HandOverReply{Accepted: true}, nil
 }
 
-// handOver is one endpoint's state on its way to its next owner.
+// handOver is one endpoint's state to be sent to its next owner.
 type handOver struct {
 	endpoint, next string
 	knowledge      []byte
 	done           func()
 }
 
-// HandOvers gives endpoints away. Its Give is the duty's hook.
+// HandOvers sends the states of endpoints to their next owners. Give is meant for
+// DutyConfig.HandOver.
 type HandOvers struct {
 	queue chan handOver
 	open  atomic.Int64
 }
 
-// NewHandOvers returns an empty queue with room for all endpoints of one
+// NewHandOvers returns an empty queue. Its capacity is enough for all endpoints of one
 // instance.
 func NewHandOvers() *HandOvers { return &HandOvers{queue: make(chan handOver, shareQueueSize)} }
 
-// Give queues an endpoint's state. What does not fit is given up: the next
-// owner then begins without it.
+// Give queues an endpoint's state. If the queue is full the state is dropped, and the next
+// owner starts without it.
 func (h *HandOvers) Give(endpoint, next string, knowledge []byte, done func()) {
 	h.open.Add(1)
 	select {
@@ -173,7 +174,7 @@
 	}
 }
 
-// Wait blocks until all that was queued is given, or ctx ends.
+// Wait blocks until all queued states are sent or have failed, or ctx ends.
 func (h *HandOvers) Wait(ctx context.Context) {
 	ticker := time.NewTicker(handOverPoll)
 	defer ticker.Stop()
@@ -220,7 +221,7 @@
 	handOversDone.Inc()
 }
 
-// EndpointStates returns what owners say of the endpoints, by name.
+// EndpointStates returns the states that owners published, by endpoint.
 func (f *Fleet) EndpointStates() map[string]*fleetpb.EndpointState { return f.states.all() }
 
 // FleetDump is the placer's part of the state dump.
@@ -234,7 +235,7 @@
 	Owner   DutyDump          `json:"owner"`
 }
 
-// Dump returns the state now.
+// Dump returns the current state.
 func (f *Fleet) Dump(ctx context.Context) FleetDump {
 	d := FleetDump{Pools: map[string]int{}, Pending: f.reports.counts(), Limits: f.limits.names(), Owner: f.cfg.Duty.Dump(ctx)}
 	for name, p := range f.routes.Load().pools {
--- a/place/states.go
+++ b/place/states.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// crashSuspicion is how long this instance avoids an endpoint that died
-	// under one of its requests, until the owner's word of it has come round.
+	// crashAvoidance is how long this instance avoids an endpoint that died while it ran
+	// one of its requests. By then the owner's published status has arrived.
 	crashAvoidance = 2 * time.Second
-	// ownerSilence is how long an owner that did not answer is not asked
-	// again. Each ask of it would cost a request the bound of an ask; one a
-	// period notices that it is back.
+	// ownerRetryInterval is how long an owner that did not answer is not asked again. Each
+	// ask to it delays a request by askTimeout; one ask per interval detects that it is
+	// reachable again.
 	ownerRetryInterval = 500 * time.Millisecond
 )
 
-// states is what this instance holds of endpoints and of owners, for the
-// choice of candidates and for the time without an owner's answer. Any
-// goroutine may use it; the lock is held for a few map accesses.
+// states is this instance's own view of endpoints and owners, for the choice of candidates
+// and for placement without an owner. It is safe for concurrent use; the lock is held only
+// for a few map accesses.
 type states struct {
 	mu           sync.Mutex
 	reported     map[string]*fleetpb.EndpointState
@@ -37,8 +37,8 @@
 	}
 }
 
-// tell takes what an owner says of an endpoint. Another incarnation ends the
-// suspicion of a crash.
+// update applies a state that the endpoint's owner published. A new incarnation ends the
+// avoidance after a crash.
 func (s *states) update(endpoint string, state *fleetpb.EndpointState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,7 +48,7 @@
 	s.reported[endpoint] = state
 }
 
-// keep forgets the endpoints that no record names any more.
+// retain drops the endpoints that are not in known.
 func (s *states) retain(known map[string]string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,8 +64,8 @@
 	}
 }
 
-// usable reports whether new work may go to the endpoint. One that nobody has
-// told of is: a starting instance has to serve before it has heard of any.
+// usable reports whether new work may go to the endpoint. An endpoint without a published
+// state is usable: a starting instance has to serve before it has received any.
 func (s *states) usable(endpoint string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,7 +86,7 @@
 	s.crashed[endpoint] = now
 }
 
-// sent counts a request of this instance on the endpoint, ended the end of it.
+// sent counts a request of this instance as running on the endpoint; ended removes it.
 func (s *states) sent(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +107,8 @@
 	return s.inFlight[endpoint]
 }
 
-// mayAsk reports whether the owner is worth an ask. After a silence one ask a
-// period goes through.
+// canAsk reports whether the owner should be asked. For an unresponsive owner it returns
+// true once per ownerRetryInterval.
 func (s *states) canAsk(instance string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,16 +135,15 @@
 	s.unresponsive[instance] = now.Add(ownerRetryInterval)
 }
 
-// all copies what owners say of endpoints. The states themselves are never
-// changed.
+// all returns the published states, which are never modified.
 func (s *states) all() map[string]*fleetpb.EndpointState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.reported)
 }
 
-// dump copies what is held: the status of endpoints, this instance's requests
-// on them, and the owners that did not answer.
+// dump returns copies for the state dump: the status of endpoints, this instance's requests
+// on them, and the unresponsive owners.
 func (s *states) dump() (reported map[string]string, running map[string]int, unresponsive []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/place/warn.go
+++ b/place/warn.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// warnBound is how long the answer of a crash-causing request is held for
-	// the other instances to hear of it. A round trip to all of them takes
-	// milliseconds; one that does not answer hears it by the exchange.
+	// warnTimeout is how long the response to a request that crashed an endpoint is delayed
+	// while the other instances are notified. A round trip to all of them takes
+	// milliseconds; one that does not answer receives the state through the exchange.
 	warnTimeout = 100 * time.Millisecond
-	// warnAtOnce bounds the calls that are open at a time.
+	// maxConcurrentWarnings is the maximum number of concurrent calls.
 	maxConcurrentWarnings = 32
 )
 
@@ -28,17 +28,16 @@
 	warningsFailed = metrics.GetOrCreateCounter("sardinedock_place_warnings_failed_total")
 )
 
-// warn tells all other instances of a request that an endpoint has died of, if
-// its caller hears of it next.
+// warn notifies all other instances that a request crashed an endpoint, if the caller
+// receives a response next.
 //
-// A caller whose request crashed two endpoints reads an error and sends it
-// again a moment later, through the balancer and so at another instance. The
-// exchange takes about a second to reach that one, and until then it would run
-// the request like any other: each instance would lose two endpoints. A request
-// that is not refused yet and may be repeated is run again here, so its caller
-// hears nothing yet; for that the exchange is quick enough. So a crash costs no
-// calls for each of the many requests that were in flight beside the one that
-// caused it.
+// A caller whose request crashed two endpoints gets an error and sends the request again a
+// moment later, through the load balancer and so probably to another instance. The exchange
+// takes about a second to reach that one, which would run the request until then, and each
+// instance would lose two endpoints. A request that is not refused yet and may be repeated
+// is run again by this instance, so its caller gets no response yet and the exchange is
+// fast enough. This way a crash causes no calls for the many other requests that were in
+// flight at the endpoint.
 func (f *Fleet) warn(now time.Time, t *placement) {
 	fingerprint := t.request.Fingerprint
 	verdict, _ := f.guard.verdict(now, fingerprint)
@@ -79,13 +78,13 @@
 	wg.Wait()
 }
 
-// canHear reports whether a member may be serving callers.
+// canServe reports whether a member is another instance that may be serving callers.
 func (f *Fleet) canServe(m member.Member) bool {
 	gone := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_DEAD || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT
 	return !gone && m.Name != f.cfg.Caller.GetInstance() && m.Address != ""
 }
 
-// Warn takes another instance's warning. It counts before the reply is sent.
+// Warn applies a warning from another instance. The warning is in force when Warn returns.
 func (f *Fleet) Warn(_ context.Context, in *fleetpb.WarnRequest) (*fleetpb.WarnReply, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(in.GetState())
 	if err != nil {
--- a/place/wire.go
+++ b/place/wire.go
@@ -14,8 +14,8 @@
 
 func milliseconds(ms int64) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// fromAsk reads an ask. Its times are left ones, so that the clocks of two
-// instances are not compared.
+// fromAsk converts an ask. The message holds remaining times instead of points in time, so
+// that the clocks of two instances are not compared.
 func fromAsk(now time.Time, in *fleetpb.AskRequest) owner.Ask {
 	a := owner.Ask{
 		Caller:       in.GetCaller().GetInstance(),
