--- a/owner/book.go
+++ b/owner/book.go
@@ -140,8 +140,8 @@
 	return true
 }
 
-// Seen renews the lease of an instance. It must be called for each message from the
-// instance.
+// Seen renews the lease of an instance. It is called when a message from the instance
+// arrives or while the instance is a live member.
 func (b *Book) Seen(now time.Time, caller string) { b.lastSeen[caller] = now }
 
 // CallerLost drops the grants and queued asks of an instance that has failed or left.
--- a/owner/endpoint.go
+++ b/owner/endpoint.go
@@ -23,8 +23,8 @@
 	// defaultTimeout is the timeout of a grant whose ask specified none.
 	defaultTimeout = 10 * time.Minute
 	// longPrefillTokens is the number of uncached tokens above which a prefill counts as
-	// long: a few chunks of an engine. Uncached document prompts are far above it, cached
-	// ones far below.
+	// long: a few chunks of an engine. Prompts with a large shared prefix are far above it
+	// if the prefix is not cached, and far below it otherwise.
 	longPrefillTokens = 1536
 	// chunkTokens is how many tokens an engine computes at a time. Work of a higher
 	// priority waits at most until the end of the current chunk.
@@ -38,7 +38,8 @@
 	timeoutMargin = 5 * time.Second
 )
 
-// lane is one of an endpoint's two queues.
+// lane is one of an endpoint's two queues. The normal lane is for requests that are not
+// urgent; texts call these waiting requests.
 type lane int
 
 const (
--- a/owner/levels_test.go
+++ b/owner/levels_test.go
@@ -9,9 +9,9 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Each of many instances places a shared document rarely, so none sees it from two
-// customers for minutes. Its endpoint's owner does. If the owner does not report the shared
-// prefix length, the prefix is not exported until the engines have computed it many times.
+// Each of many instances places a shared prefix rarely, so none sees it from two customers
+// for minutes. The owner of its endpoint does. If the owner does not report the prefix
+// length, the prefix is not exported until the engines have computed it many times.
 func TestGrantReportsSharedLevels(t *testing.T) {
 	b := NewBook(policy.Prices{})
 	b.Add(config()).Status(epoch, live, 1)
@@ -34,6 +34,6 @@
 		t.Fatalf("levels %v of a prompt that is not shared yet", d.Levels)
 	}
 	if d := granted(2); !slices.Equal(d.Levels, []int{40}) {
-		t.Fatalf("levels %v, want the shared document's 40 blocks", d.Levels)
+		t.Fatalf("levels %v, want the shared prefix's 40 blocks", d.Levels)
 	}
 }
