--- a/internal/slopes/owner.go
+++ b/internal/slopes/owner.go
@@ -68,7 +68,7 @@
 }
 
 // askAndEnd is all that an owner does for one request.
-func askAndEnd(b *owner.Book, now time.Time, i int) {
+func askAndEnd(b *owner.Registry, now time.Time, i int) {
 	name := fmt.Sprintf("engine-%d", i%7)
 	d := b.Ask(now, owner.Ask{
 		Caller: "entry", RequestID: fmt.Sprint(i), Organisation: "accra", Blocks: chain(64, i), PromptTokens: 64 * blockTokens,
@@ -79,7 +79,7 @@
 	e.End(now, owner.End{GrantID: d.Offer.GrantID, Stage: owner.Done})
 }
 
-func cacheEvent(b *owner.Book, i int) {
+func cacheEvent(b *owner.Registry, i int) {
 	blocks := make([]prefix.Hash, eventBlocks)
 	for k := range blocks {
 		blocks[k] = chain(1, i*eventBlocks+k)[0]
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -66,7 +66,7 @@
 	return t
 }
 
-func bookOf(endpoints, blocks int) *owner.Book {
+func bookOf(endpoints, blocks int) *owner.Registry {
 	b := owner.NewBook(policy.Prices{Recompute: policy.DefaultRecompute})
 	now := time.Now()
 	for e := range endpoints {
--- a/owner/book.go
+++ b/owner/book.go
@@ -14,8 +14,8 @@
 // slots would be lost until the requests time out.
 const callerLease = 10 * time.Second
 
-// Book is the set of endpoints that an instance owns.
-type Book struct {
+// Registry is the set of endpoints that an instance owns.
+type Registry struct {
 	endpoints map[string]*Endpoint
 	lastSeen  map[string]time.Time
 	prices    policy.Prices
@@ -25,15 +25,15 @@
 	levels *prefix.Levels
 }
 
-// NewBook returns a Book without endpoints. The prices decide between endpoints if an ask
+// NewBook returns a Registry without endpoints. The prices decide between endpoints if an ask
 // names several.
-func NewBook(prices policy.Prices) *Book {
-	return &Book{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
+func NewBook(prices policy.Prices) *Registry {
+	return &Registry{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
 }
 
 // Add adds an endpoint. If the endpoint exists, it keeps its state and gets the new
 // configuration.
-func (b *Book) Add(cfg Config) *Endpoint {
+func (b *Registry) Add(cfg Config) *Endpoint {
 	e, ok := b.endpoints[cfg.Name]
 	if !ok {
 		e = New(cfg)
@@ -46,7 +46,7 @@
 }
 
 // Remove removes an endpoint and refuses the asks queued for it.
-func (b *Book) Remove(name string) []Decision {
+func (b *Registry) Remove(name string) []Decision {
 	e, ok := b.endpoints[name]
 	if !ok {
 		return nil
@@ -56,11 +56,11 @@
 	return e.refuseQueued()
 }
 
-// Endpoint returns the named endpoint, or nil if it is not in the book.
-func (b *Book) Endpoint(name string) *Endpoint { return b.endpoints[name] }
+// Endpoint returns the named endpoint, or nil if it is not in the registry.
+func (b *Registry) Endpoint(name string) *Endpoint { return b.endpoints[name] }
 
 // Names returns the names of the endpoints, sorted.
-func (b *Book) Names() []string {
+func (b *Registry) Names() []string {
 	names := make([]string, 0, len(b.endpoints))
 	for name := range b.endpoints {
 		names = append(names, name)
@@ -71,7 +71,7 @@
 
 // Ask answers an ask for one of the named endpoints. Probe returns the offers of all of
 // them; Take asks the best one for a slot.
-func (b *Book) Ask(now time.Time, a Ask, names []string) Decision {
+func (b *Registry) Ask(now time.Time, a Ask, names []string) Decision {
 	b.Seen(now, a.Caller)
 	offers := b.offers(now, a, names)
 	if len(offers) == 0 {
@@ -96,7 +96,7 @@
 
 // findExisting returns the named endpoint at which the ask is already granted or queued, or
 // nil.
-func (b *Book) findExisting(a Ask, names []string) *Endpoint {
+func (b *Registry) findExisting(a Ask, names []string) *Endpoint {
 	for _, name := range names {
 		e := b.endpoints[name]
 		if e == nil {
@@ -111,7 +111,7 @@
 	return nil
 }
 
-func (b *Book) offers(now time.Time, a Ask, names []string) []policy.Offer {
+func (b *Registry) offers(now time.Time, a Ask, names []string) []policy.Offer {
 	offers := make([]policy.Offer, 0, len(names))
 	for _, name := range names {
 		if e := b.endpoints[name]; e != nil && e.live() {
@@ -121,7 +121,7 @@
 	return offers
 }
 
-func (b *Book) noOfferReason(names []string) Reason {
+func (b *Registry) noOfferReason(names []string) Reason {
 	for _, name := range names {
 		if b.endpoints[name] != nil {
 			return ReasonEndpoint
@@ -131,7 +131,7 @@
 }
 
 // Idle reports whether no endpoint has granted or queued requests.
-func (b *Book) Idle() bool {
+func (b *Registry) Idle() bool {
 	for _, e := range b.endpoints {
 		if len(e.grants)+len(e.queued) > 0 {
 			return false
@@ -142,10 +142,10 @@
 
 // Seen renews the lease of an instance. It is called when a message from the instance
 // arrives or while the instance is a live member.
-func (b *Book) Seen(now time.Time, caller string) { b.lastSeen[caller] = now }
+func (b *Registry) Seen(now time.Time, caller string) { b.lastSeen[caller] = now }
 
 // CallerLost drops the grants and queued asks of an instance that has failed or left.
-func (b *Book) CallerLost(now time.Time, caller string) []Decision {
+func (b *Registry) CallerLost(now time.Time, caller string) []Decision {
 	delete(b.lastSeen, caller)
 	var decisions []Decision
 	for _, name := range b.Names() {
@@ -155,7 +155,7 @@
 }
 
 // Tick expires leases, grants and deadlines. It must be called every TickInterval.
-func (b *Book) Tick(now time.Time) []Decision {
+func (b *Registry) Tick(now time.Time) []Decision {
 	var decisions []Decision
 	for _, caller := range b.expired(now) {
 		decisions = append(decisions, b.CallerLost(now, caller)...)
@@ -166,7 +166,7 @@
 	return decisions
 }
 
-func (b *Book) expired(now time.Time) []string {
+func (b *Registry) expired(now time.Time) []string {
 	var expired []string
 	for caller, seen := range b.lastSeen {
 		if now.Sub(seen) > callerLease {
--- a/owner/endpoint.go
+++ b/owner/endpoint.go
@@ -109,7 +109,7 @@
 	incarnation uint64
 	models      []string
 	known       *cacheModel
-	// levels is shared with the book's other endpoints; nil for an endpoint outside a book.
+	// levels is shared with the registry's other endpoints; nil for an endpoint outside one.
 	levels        *prefix.Levels
 	window        policy.Window
 	grants        map[uint64]*grant
--- a/owner/owner.go
+++ b/owner/owner.go
@@ -1,7 +1,7 @@
 // Package owner is the state machine of the endpoints that an instance owns: the requests
 // running on each, the requests queued for it, and a model of its prefix cache. Methods
 // take events and the current time and return decisions; they do no I/O and start no
-// goroutines. A Book and its endpoints must be used by one goroutine only.
+// goroutines. A Registry and its endpoints must be used by one goroutine only.
 package owner
 
 import "github.com/sardinedock/sardinedock/rendezvous"
--- a/place/duty.go
+++ b/place/duty.go
@@ -60,7 +60,7 @@
 	cfg    DutyConfig
 	events *ring.Ring[ownerEvent]
 
-	endpoints *owner.Book
+	endpoints *owner.Registry
 	// pendingReplies are the replies that wait for a decision. unclaimed are the grants for
 	// which no reply was waiting.
 	pendingReplies map[askKey]chan owner.Decision
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -48,7 +48,7 @@
 	policy  string
 	ranking *policy.Ranking
 	engines []*engine
-	books   []*owner.Book
+	books   []*owner.Registry
 	ownerOf []int
 	// secondOwner lets every other instance take the next one for the owner.
 	secondOwner bool
@@ -166,7 +166,7 @@
 	return m.ranking.Top(nil, key, n, func(i int) bool { return !m.engines[i].paused })
 }
 
-func (m *sim) book(r *request, endpoint int) *owner.Book {
+func (m *sim) book(r *request, endpoint int) *owner.Registry {
 	if m.policy == ownView {
 		return m.books[r.instance]
 	}
