--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -67,7 +67,7 @@
 }
 
 func bookOf(endpoints, blocks int) *owner.Registry {
-	b := owner.NewBook(policy.Prices{Recompute: policy.DefaultRecompute})
+	b := owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute})
 	now := time.Now()
 	for e := range endpoints {
 		name := fmt.Sprintf("engine-%d", e)
--- a/owner/book.go
+++ b/owner/book.go
@@ -25,9 +25,9 @@
 	levels *prefix.Levels
 }
 
-// NewBook returns a Registry without endpoints. The prices decide between endpoints if an ask
+// NewRegistry returns a Registry without endpoints. The prices decide between endpoints if an ask
 // names several.
-func NewBook(prices policy.Prices) *Registry {
+func NewRegistry(prices policy.Prices) *Registry {
 	return &Registry{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
 }
 
--- a/place/duty.go
+++ b/place/duty.go
@@ -92,7 +92,7 @@
 	return &Duty{
 		cfg:            cfg,
 		events:         ring.New[ownerEvent]("owner_events", eventQueueSize),
-		endpoints:      owner.NewBook(policy.Prices{Recompute: policy.DefaultRecompute}),
+		endpoints:      owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute}),
 		pendingReplies: map[askKey]chan owner.Decision{},
 		unclaimed:      map[askKey]unclaimedGrant{},
 		earlyStates:    map[string]earlyState{},
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -86,7 +86,7 @@
 func (m *sim) restart() {
 	m.books, m.levels = nil, nil
 	for i := range m.s.instances {
-		b := owner.NewBook(m.prices)
+		b := owner.NewRegistry(m.prices)
 		for e := range m.s.endpoints {
 			if m.policy != owners || m.ownerOf[e] == i {
 				b.Add(m.config(e))
--- a/policy/policybench/sim_test.go
+++ b/policy/policybench/sim_test.go
@@ -232,7 +232,7 @@
 	m := run(s, owners, 0.7, func(m *sim) {
 		m.after(s.warm+2*time.Second, func() {
 			lost := m.ownerOf[0]
-			m.books[lost] = owner.NewBook(m.prices)
+			m.books[lost] = owner.NewRegistry(m.prices)
 			for e, o := range m.ownerOf {
 				if o == lost {
 					m.books[lost].Add(m.config(e))
