--- a/owner/book.go
+++ b/owner/book.go
@@ -72,7 +72,7 @@
 // Ask answers an ask for one of the named endpoints. Probe returns the offers of all of
 // them; Take asks the best one for a slot.
 func (b *Registry) Ask(now time.Time, a Ask, names []string) Decision {
-	b.Seen(now, a.Caller)
+	b.RenewLease(now, a.Caller)
 	offers := b.offers(now, a, names)
 	if len(offers) == 0 {
 		return refuse(a, b.noOfferReason(names), 0)
@@ -140,9 +140,9 @@
 	return true
 }
 
-// Seen renews the lease of an instance. It is called when a message from the instance
+// RenewLease renews the lease of an instance. It is called when a message from the instance
 // arrives or while the instance is a live member.
-func (b *Registry) Seen(now time.Time, caller string) { b.lastSeen[caller] = now }
+func (b *Registry) RenewLease(now time.Time, caller string) { b.lastSeen[caller] = now }
 
 // CallerLost drops the grants and queued asks of an instance that has failed or left.
 func (b *Registry) CallerLost(now time.Time, caller string) []Decision {
--- a/owner/knowledge_test.go
+++ b/owner/knowledge_test.go
@@ -170,7 +170,7 @@
 	if d := b.Ask(epoch, other, []string{"engine-1"}); d.Kind != Queued {
 		t.Fatalf("%+v", d)
 	}
-	b.Seen(epoch.Add(callerLease), "i2")
+	b.RenewLease(epoch.Add(callerLease), "i2")
 	out := b.Tick(epoch.Add(callerLease + time.Second))
 	if len(out) != 1 || out[0].Kind != Granted || out[0].Caller != "i2" {
 		t.Fatalf("%+v", out)
--- a/place/duty.go
+++ b/place/duty.go
@@ -135,7 +135,7 @@
 	if now.Sub(d.leasesRenewed) >= leaseRenewInterval {
 		d.leasesRenewed = now
 		for _, m := range d.members {
-			d.endpoints.Seen(now, m)
+			d.endpoints.RenewLease(now, m)
 		}
 	}
 	d.deliver(now, d.endpoints.Tick(now))
@@ -256,7 +256,7 @@
 // oldest event is dropped; the grants in it end by their timeout.
 func (d *Duty) Report(caller string, ends []*fleetpb.GrantEnd) {
 	d.events.Push(func(d *Duty, now time.Time) {
-		d.endpoints.Seen(now, caller)
+		d.endpoints.RenewLease(now, caller)
 		for _, e := range ends {
 			d.end(now, caller, e)
 		}
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -110,7 +110,7 @@
 	end := m.s.warm + m.s.measured + m.s.maxWait + 30*time.Second
 	m.every(owner.TickInterval, func() {
 		for _, b := range m.books {
-			b.Seen(m.time(), caller)
+			b.RenewLease(m.time(), caller)
 			m.take(b.Tick(m.time()))
 		}
 	})
