--- a/owner/types.go
+++ b/owner/types.go
@@ -101,12 +101,12 @@
 	RetryAfter time.Duration
 }
 
-// Stage is the outcome of a granted request.
-type Stage int
+// Outcome is the outcome of a granted request.
+type Outcome int
 
 const (
 	// Unused means that the request was not sent.
-	Unused Stage = iota
+	Unused Outcome = iota
 	// Done means that the response was received completely.
 	Done
 	// Failed means that the request was aborted for a reason unrelated to the endpoint's
@@ -119,7 +119,7 @@
 // End reports the outcome of a granted request and releases its grant.
 type End struct {
 	GrantID uint64
-	Stage   Stage
+	Stage   Outcome
 	// Incarnation is the one that responded; 0 if none did.
 	Incarnation uint64
 	// CachedTokens is the number of cached prompt tokens that the response reported.
