--- a/internal/slopes/owner.go
+++ b/internal/slopes/owner.go
@@ -76,7 +76,7 @@
 	}, []string{name})
 	e := b.Endpoint(name)
 	e.FirstToken(now, d.Offer.GrantID, 0, time.Millisecond)
-	e.End(now, owner.End{GrantID: d.Offer.GrantID, Stage: owner.Done})
+	e.End(now, owner.End{GrantID: d.Offer.GrantID, Outcome: owner.Done})
 }
 
 func cacheEvent(b *owner.Registry, i int) {
--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -147,7 +147,7 @@
 	delete(m.running, id)
 	m.finished++
 	stage := rapid.SampledFrom([]Outcome{Unused, Done, Failed}).Draw(t, "stage")
-	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Stage: stage})...)
+	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Outcome: stage})...)
 }
 
 func (m *model) withdraw(t *rapid.T) {
--- a/owner/events.go
+++ b/owner/events.go
@@ -14,7 +14,7 @@
 		e.dequeue(w)
 	}
 	if id, ok := e.granted[key]; ok {
-		return e.End(now, End{GrantID: id, Stage: Unused})
+		return e.End(now, End{GrantID: id, Outcome: Unused})
 	}
 	return e.grantQueued(now)
 }
@@ -60,11 +60,11 @@
 	if !ok {
 		return nil
 	}
-	if end.Stage == Done {
+	if end.Outcome == Done {
 		took := now.Sub(g.since)
 		e.meanHold[g.lane] += time.Duration(holdTimeSmoothing * float64(took-e.meanHold[g.lane]))
 	}
-	if end.Stage == Unused || end.Stage == Failed && !g.started {
+	if end.Outcome == Unused || end.Outcome == Failed && !g.started {
 		e.forgetExpected(g)
 	}
 	e.release(g)
--- a/owner/knowledge_test.go
+++ b/owner/knowledge_test.go
@@ -27,7 +27,7 @@
 		t.Fatalf("%+v", d)
 	}
 	e.FirstToken(epoch, d.Offer.GrantID, 0, time.Millisecond)
-	e.End(epoch, End{GrantID: d.Offer.GrantID, Stage: Done})
+	e.End(epoch, End{GrantID: d.Offer.GrantID, Outcome: Done})
 }
 
 // Guards against stale cache estimates. If blocks of another organisation, of older weights
@@ -76,7 +76,7 @@
 	e := New(config())
 	blocks := chain("a", "1", 1, 10)
 	d := e.Ask(epoch, ask("r", "a", false, blocks))
-	e.End(epoch, End{GrantID: d.Offer.GrantID, Stage: Unused})
+	e.End(epoch, End{GrantID: d.Offer.GrantID, Outcome: Unused})
 	if got := offeredCachedTokens(e, blocks); got != 0 {
 		t.Fatalf("%d tokens estimated as cached", got)
 	}
@@ -148,7 +148,7 @@
 	if next.inUse[laneUrgent] != 1 || next.incarnation != 5 {
 		t.Errorf("%d urgent slots in use at incarnation %d", next.inUse[laneUrgent], next.incarnation)
 	}
-	next.End(epoch, End{GrantID: held.Offer.GrantID, Stage: Done})
+	next.End(epoch, End{GrantID: held.Offer.GrantID, Outcome: Done})
 	if len(next.grants) != 0 {
 		t.Error("End did not release a restored grant")
 	}
@@ -200,7 +200,7 @@
 	for b.Loop() {
 		d := e.Ask(epoch, ask("r", "a", false, blocks))
 		e.FirstToken(epoch, d.Offer.GrantID, 0, time.Millisecond)
-		e.End(epoch, End{GrantID: d.Offer.GrantID, Stage: Done})
+		e.End(epoch, End{GrantID: d.Offer.GrantID, Outcome: Done})
 	}
 }
 
--- a/owner/patience_test.go
+++ b/owner/patience_test.go
@@ -27,7 +27,7 @@
 	if first.Kind != Granted {
 		t.Fatalf("without Patience: %+v, want a grant", first)
 	}
-	e.End(epoch, End{GrantID: first.Offer.GrantID, Stage: Done, Incarnation: 1})
+	e.End(epoch, End{GrantID: first.Offer.GrantID, Outcome: Done, Incarnation: 1})
 	again := ask("r3", "accra", false, long.Blocks)
 	again.Patience = 50 * time.Millisecond
 	if d := e.Ask(epoch, again); d.Kind != Granted {
--- a/owner/types.go
+++ b/owner/types.go
@@ -119,7 +119,7 @@
 // End reports the outcome of a granted request and releases its grant.
 type End struct {
 	GrantID uint64
-	Stage   Outcome
+	Outcome Outcome
 	// Incarnation is the one that responded; 0 if none did.
 	Incarnation uint64
 	// CachedTokens is the number of cached prompt tokens that the response reported.
--- a/place/duty.go
+++ b/place/duty.go
@@ -279,6 +279,6 @@
 		return
 	}
 	d.deliver(now, e.End(now, owner.End{
-		GrantID: in.GetGrantId(), Stage: stageOf(in.GetState()), Incarnation: in.GetIncarnation(), CachedTokens: in.GetCachedTokens(),
+		GrantID: in.GetGrantId(), Outcome: stageOf(in.GetState()), Incarnation: in.GetIncarnation(), CachedTokens: in.GetCachedTokens(),
 	}))
 }
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -265,7 +265,7 @@
 
 func (m *sim) done(r *request) {
 	if e := m.held(r); e != nil {
-		m.take(e.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Done, CachedTokens: int64(r.cached)}))
+		m.take(e.End(m.time(), owner.End{GrantID: r.grant, Outcome: owner.Done, CachedTokens: int64(r.cached)}))
 	}
 }
 
@@ -321,7 +321,7 @@
 	e.prefill, e.queue = nil, nil
 	for _, r := range list {
 		if o := m.held(r); o != nil {
-			m.take(o.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Failed}))
+			m.take(o.End(m.time(), owner.End{GrantID: r.grant, Outcome: owner.Failed}))
 		}
 		r.attempts++
 		r.endpoint, r.grant = -1, 0
--- a/policy/policybench/sim_test.go
+++ b/policy/policybench/sim_test.go
@@ -273,7 +273,7 @@
 	m.now = time.Minute
 	next := owner.New(m.config(0))
 	granted := next.Ask(m.time(), owner.Ask{Caller: "i", RequestID: "2", PromptTokens: 64, Deadline: m.time().Add(time.Second)})
-	next.End(m.time(), owner.End{GrantID: old.Offer.GrantID, Stage: owner.Done})
+	next.End(m.time(), owner.End{GrantID: old.Offer.GrantID, Outcome: owner.Done})
 	again := next.Ask(m.time(), owner.Ask{Caller: "i", RequestID: "2", PromptTokens: 64, Deadline: m.time().Add(time.Second)})
 	if granted.Kind != owner.Granted || again.Offer.GrantID != granted.Offer.GrantID {
 		t.Fatalf("the grant %+v was ended by a report on %+v", granted.Offer, old.Offer)
