--- a/owner/knowledge.go
+++ b/owner/knowledge.go
@@ -9,10 +9,10 @@
 const (
 	// blockBytes is the memory per cached block: its entry and its part of the index.
 	blockBytes = 40
-	// MaxKnowledgeBytes is the maximum size of one endpoint's cache model. For an engine
+	// MaxCacheModelBytes is the maximum size of one endpoint's cache model. For an engine
 	// with a larger cache the model holds the most recently used blocks.
-	MaxKnowledgeBytes = 4 << 20
-	noBlock           = int32(-1)
+	MaxCacheModelBytes = 4 << 20
+	noBlock            = int32(-1)
 )
 
 // blockKey is the first half of a block's hash, which is enough for the model. Hashes are
@@ -46,7 +46,7 @@
 }
 
 func newCacheModel(cacheBlocks int64) *cacheModel {
-	k := &cacheModel{capacity: int(min(max(cacheBlocks, 1), MaxKnowledgeBytes/blockBytes))}
+	k := &cacheModel{capacity: int(min(max(cacheBlocks, 1), MaxCacheModelBytes/blockBytes))}
 	k.clear()
 	return k
 }
--- a/owner/types.go
+++ b/owner/types.go
@@ -160,7 +160,7 @@
 	UrgentSlots int
 	BlockTokens int64
 	// CacheBlocks is the endpoint's cache size in blocks. The cache model holds at most
-	// that many, and at most MaxKnowledgeBytes.
+	// that many, and at most MaxCacheModelBytes.
 	CacheBlocks int64
 	// PrefillTokensPerSecond is the initial estimate of the prefill rate; the measured rate
 	// replaces it.
