--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -44,7 +44,7 @@
 type peers struct {
 	node      *fleet.Node
 	placer    *place.Fleet
-	duty      *place.Duty
+	duty      *place.OwnerServer
 	handOvers *place.HandOvers
 	kept      *kept.Keeper
 	client    *transport.Client
--- a/place/duty.go
+++ b/place/duty.go
@@ -38,7 +38,7 @@
 	cacheGaps       = metrics.GetOrCreateCounter("sardinedock_owner_cache_event_gaps_total")
 )
 
-// DutyConfig is the configuration of a Duty.
+// DutyConfig is the configuration of an OwnerServer.
 type DutyConfig struct {
 	Self  string
 	Clock clock.Clock
@@ -54,9 +54,9 @@
 	HandOver func(endpoint, next string, knowledge []byte, done func())
 }
 
-// Duty runs the state machines of the endpoints that this instance owns. They are accessed
+// OwnerServer runs the state machines of the endpoints that this instance owns. They are accessed
 // by one goroutine only, started by Run; all methods are safe for concurrent use.
-type Duty struct {
+type OwnerServer struct {
 	cfg    DutyConfig
 	events *ring.Ring[ownerEvent]
 
@@ -85,11 +85,11 @@
 }
 
 // ownerEvent is applied to the state by the event goroutine.
-type ownerEvent func(d *Duty, now time.Time)
+type ownerEvent func(d *OwnerServer, now time.Time)
 
-// NewDuty returns a Duty without endpoints. Run must be called to start it.
-func NewDuty(cfg DutyConfig) *Duty {
-	return &Duty{
+// NewDuty returns an OwnerServer without endpoints. Run must be called to start it.
+func NewDuty(cfg DutyConfig) *OwnerServer {
+	return &OwnerServer{
 		cfg:            cfg,
 		events:         ring.New[ownerEvent]("owner_events", eventQueueSize),
 		endpoints:      owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute}),
@@ -100,7 +100,7 @@
 }
 
 // Run processes events until ctx ends.
-func (d *Duty) Run(ctx context.Context) {
+func (d *OwnerServer) Run(ctx context.Context) {
 	timer := time.NewTimer(owner.TickInterval)
 	defer timer.Stop()
 	slowTicks := false
@@ -127,11 +127,11 @@
 }
 
 // idle reports whether there are no granted, queued or unclaimed requests.
-func (d *Duty) idle() bool {
+func (d *OwnerServer) idle() bool {
 	return len(d.pendingReplies) == 0 && len(d.unclaimed) == 0 && d.endpoints.Idle()
 }
 
-func (d *Duty) tick(now time.Time) {
+func (d *OwnerServer) tick(now time.Time) {
 	if now.Sub(d.leasesRenewed) >= leaseRenewInterval {
 		d.leasesRenewed = now
 		for _, m := range d.members {
@@ -152,7 +152,7 @@
 }
 
 // deliver sends decisions to the replies that wait for them.
-func (d *Duty) deliver(now time.Time, decisions []owner.Decision) {
+func (d *OwnerServer) deliver(now time.Time, decisions []owner.Decision) {
 	for _, x := range decisions {
 		key := askKey{x.Caller, x.RequestID}
 		if ch := d.pendingReplies[key]; ch != nil {
@@ -168,14 +168,14 @@
 
 // Ask answers an ask. If the request is queued, it blocks until the decision, at most for
 // the ask's wait. On an error the caller has to place the request from its own view.
-func (d *Duty) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
+func (d *OwnerServer) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	asksServed.Inc()
 	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, maxReplyDelay)
 	// Capacity for the first answer and the later decision, so that the event goroutine
 	// never blocks on a caller.
 	answer := make(chan owner.Decision, 2)
 	key := askKey{in.GetCaller().GetInstance(), in.GetRequestId()}
-	accepted := d.events.Offer(func(d *Duty, now time.Time) { d.ask(now, key, in, wait > 0, answer) })
+	accepted := d.events.Offer(func(d *OwnerServer, now time.Time) { d.ask(now, key, in, wait > 0, answer) })
 	if !accepted {
 		asksOverBound.Inc()
 		return nil, errOwnerBusy
@@ -209,9 +209,9 @@
 
 // stopWaiting removes a pending reply and returns the latest decision, which may have come
 // meanwhile.
-func (d *Duty) stopWaiting(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
+func (d *OwnerServer) stopWaiting(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
 	done := make(chan struct{})
-	_ = d.events.Put(context.WithoutCancel(ctx), func(d *Duty, now time.Time) {
+	_ = d.events.Put(context.WithoutCancel(ctx), func(d *OwnerServer, now time.Time) {
 		defer close(done)
 		if d.pendingReplies[key] == answer {
 			delete(d.pendingReplies, key)
@@ -234,7 +234,7 @@
 	}
 }
 
-func (d *Duty) ask(now time.Time, key askKey, in *fleetpb.AskRequest, poll bool, answer chan owner.Decision) {
+func (d *OwnerServer) ask(now time.Time, key askKey, in *fleetpb.AskRequest, poll bool, answer chan owner.Decision) {
 	delete(d.unclaimed, key)
 	a := fromAsk(now, in)
 	if poll {
@@ -254,8 +254,8 @@
 
 // Report applies reports about grants from another instance. If the queue is full the
 // oldest event is dropped; the grants in it end by their timeout.
-func (d *Duty) Report(caller string, ends []*fleetpb.GrantEnd) {
-	d.events.Push(func(d *Duty, now time.Time) {
+func (d *OwnerServer) Report(caller string, ends []*fleetpb.GrantEnd) {
+	d.events.Push(func(d *OwnerServer, now time.Time) {
 		d.endpoints.RenewLease(now, caller)
 		for _, e := range ends {
 			d.end(now, caller, e)
@@ -263,7 +263,7 @@
 	})
 }
 
-func (d *Duty) end(now time.Time, caller string, in *fleetpb.GrantEnd) {
+func (d *OwnerServer) end(now time.Time, caller string, in *fleetpb.GrantEnd) {
 	e := d.endpoints.Endpoint(in.GetEndpoint())
 	if e == nil {
 		return
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -68,7 +68,7 @@
 	Clock  clock.Clock
 	Peers  Peers
 	// Duty runs the endpoints that this instance owns.
-	Duty *Duty
+	Duty *OwnerServer
 	// AskLeaving asks the endpoint at an address whether it is leaving. If nil, endpoints
 	// are not asked.
 	AskLeaving func(ctx context.Context, address string) (leaving bool, err error)
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -24,7 +24,7 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	placers   []*place.Fleet
-	duties    []*place.Duty
+	duties    []*place.OwnerServer
 	handOvers []*place.HandOvers
 
 	mu           sync.Mutex
--- a/place/observe.go
+++ b/place/observe.go
@@ -19,8 +19,8 @@
 
 // SetOwned sets the endpoints that this instance owns. Endpoints that it no longer owns are
 // handed over to the instance that next returns.
-func (d *Duty) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
-	return d.events.Put(ctx, func(d *Duty, now time.Time) {
+func (d *OwnerServer) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
+	return d.events.Put(ctx, func(d *OwnerServer, now time.Time) {
 		d.dropCallers(now, members)
 		keep := make(map[string]bool, len(owned))
 		for _, cfg := range owned {
@@ -41,7 +41,7 @@
 }
 
 // dropCallers drops the grants and queued asks of instances that are no longer members.
-func (d *Duty) dropCallers(now time.Time, members []string) {
+func (d *OwnerServer) dropCallers(now time.Time, members []string) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
 		live[m] = true
@@ -56,7 +56,7 @@
 
 // handOver transfers an endpoint to its next owner. The callers of queued asks are sent to
 // the next owner only once it has the state; before, it would grant slots that are in use.
-func (d *Duty) handOver(now time.Time, name, next string) {
+func (d *OwnerServer) handOver(now time.Time, name, next string) {
 	knowledge, err := d.endpoints.Endpoint(name).Snapshot(now)
 	refusals := d.endpoints.Remove(name)
 	for i := range refusals {
@@ -68,13 +68,13 @@
 		return
 	}
 	d.cfg.HandOver(name, next, knowledge, func() {
-		d.events.Offer(func(d *Duty, now time.Time) { d.deliver(now, refusals) })
+		d.events.Offer(func(d *OwnerServer, now time.Time) { d.deliver(now, refusals) })
 	})
 }
 
 // Restore applies the state that the former owner of an endpoint handed over.
-func (d *Duty) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
-	return d.events.Put(ctx, func(d *Duty, now time.Time) {
+func (d *OwnerServer) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
+	return d.events.Put(ctx, func(d *OwnerServer, now time.Time) {
 		if e := d.endpoints.Endpoint(endpoint); e != nil {
 			_ = e.Restore(now, knowledge)
 			return
@@ -92,8 +92,8 @@
 
 // Status applies an endpoint's status and loaded models. Endpoints of other owners are
 // ignored.
-func (d *Duty) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
-	return d.events.Put(ctx, func(d *Duty, now time.Time) {
+func (d *OwnerServer) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
+	return d.events.Put(ctx, func(d *OwnerServer, now time.Time) {
 		e := d.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
@@ -110,8 +110,8 @@
 }
 
 // Load applies an endpoint's load report. If the queue is full the oldest event is dropped.
-func (d *Duty) Load(endpoint string, r owner.LoadReport) {
-	d.events.Push(func(d *Duty, now time.Time) {
+func (d *OwnerServer) Load(endpoint string, r owner.LoadReport) {
+	d.events.Push(func(d *OwnerServer, now time.Time) {
 		if e := d.endpoints.Endpoint(endpoint); e != nil {
 			d.deliver(now, e.LoadReport(now, r))
 		}
@@ -120,8 +120,8 @@
 
 // CacheEvents applies events of an endpoint's cache. Events dropped from a full queue show
 // as a gap, like those lost in the engine's own stream.
-func (d *Duty) CacheEvents(endpoint string, events []owner.CacheEvent) {
-	d.events.Push(func(d *Duty, _ time.Time) {
+func (d *OwnerServer) CacheEvents(endpoint string, events []owner.CacheEvent) {
+	d.events.Push(func(d *OwnerServer, _ time.Time) {
 		e := d.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
@@ -143,9 +143,9 @@
 
 // Dump returns the current state, or the zero value if the event goroutine does not answer
 // before ctx ends.
-func (d *Duty) Dump(ctx context.Context) DutyDump {
+func (d *OwnerServer) Dump(ctx context.Context) DutyDump {
 	ch := make(chan DutyDump, 1)
-	err := d.events.Put(ctx, func(d *Duty, _ time.Time) {
+	err := d.events.Put(ctx, func(d *OwnerServer, _ time.Time) {
 		ch <- DutyDump{Owned: d.endpoints.Names(), Held: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
 	})
 	if err != nil {
