--- a/place/duty.go
+++ b/place/duty.go
@@ -38,8 +38,8 @@
 	cacheGaps       = metrics.GetOrCreateCounter("sardinedock_owner_cache_event_gaps_total")
 )
 
-// DutyConfig is the configuration of an OwnerServer.
-type DutyConfig struct {
+// OwnerServerConfig is the configuration of an OwnerServer.
+type OwnerServerConfig struct {
 	Self  string
 	Clock clock.Clock
 	// FirstGrantID must be higher than any grant ID of an earlier run of the instance. Its
@@ -57,7 +57,7 @@
 // OwnerServer runs the state machines of the endpoints that this instance owns. They are accessed
 // by one goroutine only, started by Run; all methods are safe for concurrent use.
 type OwnerServer struct {
-	cfg    DutyConfig
+	cfg    OwnerServerConfig
 	events *ring.Ring[ownerEvent]
 
 	endpoints *owner.Registry
@@ -88,7 +88,7 @@
 type ownerEvent func(d *OwnerServer, now time.Time)
 
 // NewDuty returns an OwnerServer without endpoints. Run must be called to start it.
-func NewDuty(cfg DutyConfig) *OwnerServer {
+func NewDuty(cfg OwnerServerConfig) *OwnerServer {
 	return &OwnerServer{
 		cfg:            cfg,
 		events:         ring.New[ownerEvent]("owner_events", eventQueueSize),
--- a/place/share.go
+++ b/place/share.go
@@ -151,7 +151,7 @@
 }
 
 // HandOvers sends the states of endpoints to their next owners. Give is meant for
-// DutyConfig.HandOver.
+// OwnerServerConfig.HandOver.
 type HandOvers struct {
 	queue chan handOver
 	open  atomic.Int64
