--- a/internal/slopes/ask.go
+++ b/internal/slopes/ask.go
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	p := &placer{traffic: &transport.Traffic{}, address: ln.Addr().String()}
-	duty := place.NewDuty(place.OwnerServerConfig{
+	duty := place.NewOwnerServer(place.OwnerServerConfig{
 		Self: name, Clock: clock.System{}, FirstGrantID: 1, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
--- a/internal/slopes/decision.go
+++ b/internal/slopes/decision.go
@@ -56,7 +56,7 @@
 	for i := range instances {
 		names, addresses = append(names, fmt.Sprintf("entry-%03d", i)), append(addresses, "peer")
 	}
-	duty := place.NewDuty(place.OwnerServerConfig{
+	duty := place.NewOwnerServer(place.OwnerServerConfig{
 		Self: "entry", Clock: clock.System{}, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -97,7 +97,7 @@
 
 // fleetOf is a placer that knows a pool of n endpoints.
 func fleetOf(n int) *place.Fleet {
-	duty := place.NewDuty(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
+	duty := place.NewOwnerServer(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
 	f := place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, Duty: duty,
 	})
--- a/place/duty.go
+++ b/place/duty.go
@@ -87,8 +87,8 @@
 // ownerEvent is applied to the state by the event goroutine.
 type ownerEvent func(d *OwnerServer, now time.Time)
 
-// NewDuty returns an OwnerServer without endpoints. Run must be called to start it.
-func NewDuty(cfg OwnerServerConfig) *OwnerServer {
+// NewOwnerServer returns an OwnerServer without endpoints. Run must be called to start it.
+func NewOwnerServer(cfg OwnerServerConfig) *OwnerServer {
 	return &OwnerServer{
 		cfg:            cfg,
 		events:         ring.New[ownerEvent]("owner_events", eventQueueSize),
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -41,7 +41,7 @@
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for i := range n {
 		h := place.NewHandOvers()
-		d := place.NewDuty(place.OwnerServerConfig{
+		d := place.NewOwnerServer(place.OwnerServerConfig{
 			Self: instanceName(i), Clock: clock.System{}, FirstGrantID: uint64(i+1) << 32, HandOver: h.Give,
 			Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
 				f.placers[i].Lost(endpoint, incarnation, lost)
