--- a/place/observe.go
+++ b/place/observe.go
@@ -134,8 +134,8 @@
 	})
 }
 
-// DutyDump is the owner's part of the state dump.
-type DutyDump struct {
+// OwnerDump is the owner's part of the state dump.
+type OwnerDump struct {
 	Owned     []string `json:"owned"`
 	Held      int      `json:"held_replies"`
 	Unclaimed int      `json:"unclaimed_grants"`
@@ -143,18 +143,18 @@
 
 // Dump returns the current state, or the zero value if the event goroutine does not answer
 // before ctx ends.
-func (d *OwnerServer) Dump(ctx context.Context) DutyDump {
-	ch := make(chan DutyDump, 1)
+func (d *OwnerServer) Dump(ctx context.Context) OwnerDump {
+	ch := make(chan OwnerDump, 1)
 	err := d.events.Put(ctx, func(d *OwnerServer, _ time.Time) {
-		ch <- DutyDump{Owned: d.endpoints.Names(), Held: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
+		ch <- OwnerDump{Owned: d.endpoints.Names(), Held: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
 	})
 	if err != nil {
-		return DutyDump{}
+		return OwnerDump{}
 	}
 	select {
 	case dump := <-ch:
 		return dump
 	case <-ctx.Done():
-		return DutyDump{}
+		return OwnerDump{}
 	}
 }
--- a/place/share.go
+++ b/place/share.go
@@ -232,7 +232,7 @@
 	Silent  []string          `json:"silent_owners"`
 	Limits  []string          `json:"limited_organisations"`
 	Pending map[string]int    `json:"reports_pending"`
-	Owner   DutyDump          `json:"owner"`
+	Owner   OwnerDump         `json:"owner"`
 }
 
 // Dump returns the current state.
