--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -148,7 +148,7 @@
 	p.kept = i.newKept()
 	p.placer = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: i.settings.GetFleet(), Instance: self.Name, Incarnation: self.Incarnation},
-		Clock:  clock.System{}, Peers: p.client, Duty: p.duty, Kept: p.kept,
+		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.duty, Kept: p.kept,
 		AskLeaving: func(ctx context.Context, address string) (bool, error) {
 			s, err := i.clients.Engine(address).State(ctx)
 			return s.Leaving, err
--- a/internal/slopes/ask.go
+++ b/internal/slopes/ask.go
@@ -60,7 +60,7 @@
 	})
 	p.fleet = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: name, Incarnation: uint64(time.Now().UnixNano())},
-		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), Duty: duty,
+		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), OwnerServer: duty,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
 	})
 	server, err := transport.NewServer(fleetName, p, nil, p.traffic)
--- a/internal/slopes/decision.go
+++ b/internal/slopes/decision.go
@@ -62,7 +62,7 @@
 	})
 	go duty.Run(ctx)
 	f := place.NewFleet(place.FleetConfig{
-		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, Duty: duty,
+		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, OwnerServer: duty,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
 	})
 	f.SetRecords(ctx, poolRecord(endpoints))
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -99,7 +99,7 @@
 func fleetOf(n int) *place.Fleet {
 	duty := place.NewOwnerServer(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
 	f := place.NewFleet(place.FleetConfig{
-		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, Duty: duty,
+		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, OwnerServer: duty,
 	})
 	if n > 0 {
 		f.SetRecords(context.Background(), poolRecord(n))
--- a/place/ask.go
+++ b/place/ask.go
@@ -187,7 +187,7 @@
 	if instance == f.cfg.Caller.GetInstance() {
 		ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 		defer cancel()
-		reply, err := f.cfg.Duty.Ask(ctx, in)
+		reply, err := f.cfg.OwnerServer.Ask(ctx, in)
 		return reply, err == nil
 	}
 	address, known := t.routes.address(instance)
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -67,8 +67,8 @@
 	Caller *fleetpb.Caller
 	Clock  clock.Clock
 	Peers  Peers
-	// Duty runs the endpoints that this instance owns.
-	Duty *OwnerServer
+	// OwnerServer runs the endpoints that this instance owns.
+	OwnerServer *OwnerServer
 	// AskLeaving asks the endpoint at an address whether it is leaving. If nil, endpoints
 	// are not asked.
 	AskLeaving func(ctx context.Context, address string) (leaving bool, err error)
@@ -161,7 +161,7 @@
 			members = append(members, m.Name)
 		}
 	}
-	_ = f.cfg.Duty.SetOwned(ctx, r.owned(), members, r.next)
+	_ = f.cfg.OwnerServer.SetOwned(ctx, r.owned(), members, r.next)
 }
 
 // Owned returns the names of the endpoints that this instance owns now, sorted.
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -49,7 +49,7 @@
 		})
 		p := place.NewFleet(place.FleetConfig{
 			Caller: &fleetpb.Caller{Fleet: "test", Instance: instanceName(i)},
-			Clock:  clock.System{}, Peers: f, Duty: d, Publish: f.publish,
+			Clock:  clock.System{}, Peers: f, OwnerServer: d, Publish: f.publish,
 		})
 		f.duties, f.placers, f.handOvers = append(f.duties, d), append(f.placers, p), append(f.handOvers, h)
 	}
--- a/place/reports.go
+++ b/place/reports.go
@@ -143,7 +143,7 @@
 	batch := p.ends[:min(len(p.ends), maxReports)]
 	p.ends = p.ends[len(batch):]
 	if instance == view.Self {
-		r.f.cfg.Duty.Report(instance, batch)
+		r.f.cfg.OwnerServer.Report(instance, batch)
 		r.wakeAfter(0)
 		return
 	}
--- a/place/share.go
+++ b/place/share.go
@@ -52,7 +52,7 @@
 // publishes it to all instances.
 func (f *Fleet) Observed(ctx context.Context, endpoint string, s *fleetpb.EndpointState) {
 	f.states.update(endpoint, s)
-	_ = f.cfg.Duty.Status(ctx, endpoint, s)
+	_ = f.cfg.OwnerServer.Status(ctx, endpoint, s)
 	if value, err := (proto.MarshalOptions{Deterministic: true}).Marshal(s); err == nil {
 		f.publish(fleetpb.ItemKind_ITEM_KIND_ENDPOINT, endpoint, value, 0)
 	}
@@ -106,7 +106,7 @@
 			return
 		}
 		f.states.update(it.Key.Name, s)
-		_ = f.cfg.Duty.Status(ctx, it.Key.Name, s)
+		_ = f.cfg.OwnerServer.Status(ctx, it.Key.Name, s)
 	case fleetpb.ItemKind_ITEM_KIND_FINGERPRINT:
 		f.guard.merge(f.cfg.Clock.Now(), it.Key.Name, it.Value, it.TTL)
 	case fleetpb.ItemKind_ITEM_KIND_USAGE:
@@ -126,18 +126,18 @@
 
 // Ask answers an ask from another instance.
 func (f *Fleet) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
-	return f.cfg.Duty.Ask(ctx, in)
+	return f.cfg.OwnerServer.Ask(ctx, in)
 }
 
 // Report applies reports from another instance.
 func (f *Fleet) Report(_ context.Context, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error) {
-	f.cfg.Duty.Report(in.GetCaller().GetInstance(), in.GetEnds())
+	f.cfg.OwnerServer.Report(in.GetCaller().GetInstance(), in.GetEnds())
 	return &fleetpb.ReportReply{}, nil
 }
 
 // HandOver accepts an endpoint's state from its former owner.
 func (f *Fleet) HandOver(ctx context.Context, in *fleetpb.HandOverRequest) (*fleetpb.HandOverReply, error) {
-	if err := f.cfg.Duty.Restore(ctx, in.GetEndpoint(), in.GetKnowledge()); err != nil {
+	if err := f.cfg.OwnerServer.Restore(ctx, in.GetEndpoint(), in.GetKnowledge()); err != nil {
 		return nil, err
 	}
 	return &fleetpb.HandOverReply{Accepted: true}, nil
@@ -237,7 +237,7 @@
 
 // Dump returns the current state.
 func (f *Fleet) Dump(ctx context.Context) FleetDump {
-	d := FleetDump{Pools: map[string]int{}, Pending: f.reports.counts(), Limits: f.limits.names(), Owner: f.cfg.Duty.Dump(ctx)}
+	d := FleetDump{Pools: map[string]int{}, Pending: f.reports.counts(), Limits: f.limits.names(), Owner: f.cfg.OwnerServer.Dump(ctx)}
 	for name, p := range f.routes.Load().pools {
 		d.Pools[name] = len(p.endpoints)
 	}
