--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -190,7 +190,7 @@
 	if len(records) > 0 {
 		i.keeper.Offer(records...)
 	}
-	i.peers.placer.Heard(items)
+	i.peers.placer.HandleItems(items)
 }
 
 // latest puts v into a channel of one place, in the place of what is there.
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -92,7 +92,7 @@
 	it := exchange.Item{Key: key, Version: f.versions[key], Value: value, TTL: ttl}
 	f.mu.Unlock()
 	for _, p := range f.placers {
-		p.Heard([]exchange.Item{it})
+		p.HandleItems([]exchange.Item{it})
 	}
 	return nil
 }
--- a/place/share.go
+++ b/place/share.go
@@ -45,8 +45,8 @@
 	f.outbox.Push(publication{exchange.Key{Kind: kind, Name: name}, value, ttl})
 }
 
-// Heard processes items that the exchange received. It does not block.
-func (f *Fleet) Heard(items []exchange.Item) { f.inbox.Push(items) }
+// HandleItems processes items that the exchange received. It does not block.
+func (f *Fleet) HandleItems(items []exchange.Item) { f.inbox.Push(items) }
 
 // Observed applies the state of an endpoint as its owner, this instance, observed it, and
 // publishes it to all instances.
