--- a/instance/monitor.go
+++ b/instance/monitor.go
@@ -183,5 +183,5 @@
 		return
 	}
 	f.told[e.Endpoint] = s
-	f.instance.peers.placer.Observed(ctx, e.Endpoint, s)
+	f.instance.peers.placer.PublishEndpointState(ctx, e.Endpoint, s)
 }
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -373,7 +373,7 @@
 func TestLeavingEndpointGetsNoWork(t *testing.T) {
 	inFleet(t, 3, 16, 2, func(t *testing.T, f *fleet) {
 		leaving := f.mustPlace(t, 0, request("a")).Endpoint
-		f.placers[f.ownerOf(leaving)].Observed(f.ctx, leaving, &fleetpb.EndpointState{
+		f.placers[f.ownerOf(leaving)].PublishEndpointState(f.ctx, leaving, &fleetpb.EndpointState{
 			Status: fleetpb.EndpointStatus_ENDPOINT_STATUS_LEAVING, Incarnation: 1,
 		})
 		time.Sleep(100 * time.Millisecond)
--- a/place/share.go
+++ b/place/share.go
@@ -48,9 +48,9 @@
 // HandleItems processes items that the exchange received. It does not block.
 func (f *Fleet) HandleItems(items []exchange.Item) { f.inbox.Push(items) }
 
-// Observed applies the state of an endpoint as its owner, this instance, observed it, and
+// PublishEndpointState applies the state that this instance observed of an endpoint it owns, and
 // publishes it to all instances.
-func (f *Fleet) Observed(ctx context.Context, endpoint string, s *fleetpb.EndpointState) {
+func (f *Fleet) PublishEndpointState(ctx context.Context, endpoint string, s *fleetpb.EndpointState) {
 	f.states.update(endpoint, s)
 	_ = f.cfg.OwnerServer.Status(ctx, endpoint, s)
 	if value, err := (proto.MarshalOptions{Deterministic: true}).Marshal(s); err == nil {
