--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -140,7 +140,7 @@
 func (i *Instance) provisionPlacer(self member.Member) {
 	p := i.peers
 	p.duty = place.NewOwnerServer(place.OwnerServerConfig{
-		Self: self.Name, Clock: clock.System{}, FirstGrantID: self.Incarnation, HandOver: p.handOvers.Give,
+		Self: self.Name, Clock: clock.System{}, FirstGrantID: self.Incarnation, HandOver: p.handOvers.Enqueue,
 		Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
 			p.placer.Lost(endpoint, incarnation, lost)
 		},
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -42,7 +42,7 @@
 	for i := range n {
 		h := place.NewHandOvers()
 		d := place.NewOwnerServer(place.OwnerServerConfig{
-			Self: instanceName(i), Clock: clock.System{}, FirstGrantID: uint64(i+1) << 32, HandOver: h.Give,
+			Self: instanceName(i), Clock: clock.System{}, FirstGrantID: uint64(i+1) << 32, HandOver: h.Enqueue,
 			Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
 				f.placers[i].Lost(endpoint, incarnation, lost)
 			},
--- a/place/share.go
+++ b/place/share.go
@@ -150,7 +150,7 @@
 	done           func()
 }
 
-// HandOvers sends the states of endpoints to their next owners. Give is meant for
+// HandOvers sends the states of endpoints to their next owners. Enqueue is meant for
 // OwnerServerConfig.HandOver.
 type HandOvers struct {
 	queue chan handOver
@@ -161,9 +161,9 @@
 // instance.
 func NewHandOvers() *HandOvers { return &HandOvers{queue: make(chan handOver, shareQueueSize)} }
 
-// Give queues an endpoint's state. If the queue is full the state is dropped, and the next
+// Enqueue queues an endpoint's state. If the queue is full the state is dropped, and the next
 // owner starts without it.
-func (h *HandOvers) Give(endpoint, next string, knowledge []byte, done func()) {
+func (h *HandOvers) Enqueue(endpoint, next string, knowledge []byte, done func()) {
 	h.open.Add(1)
 	select {
 	case h.queue <- handOver{endpoint, next, knowledge, done}:
