--- a/place/share.go
+++ b/place/share.go
@@ -226,13 +226,13 @@
 
 // FleetDump is the placer's part of the state dump.
 type FleetDump struct {
-	Pools          map[string]int    `json:"endpoints_by_pool"`
-	EndpointStatus map[string]string `json:"endpoint_status"`
-	Running        map[string]int    `json:"running_here"`
-	Silent         []string          `json:"silent_owners"`
-	Limits         []string          `json:"limited_organisations"`
-	Pending        map[string]int    `json:"reports_pending"`
-	Owner          OwnerDump         `json:"owner"`
+	Pools              map[string]int    `json:"endpoints_by_pool"`
+	EndpointStatus     map[string]string `json:"endpoint_status"`
+	Running            map[string]int    `json:"running_here"`
+	UnresponsiveOwners []string          `json:"silent_owners"`
+	Limits             []string          `json:"limited_organisations"`
+	Pending            map[string]int    `json:"reports_pending"`
+	Owner              OwnerDump         `json:"owner"`
 }
 
 // Dump returns the current state.
@@ -241,6 +241,6 @@
 	for name, p := range f.routes.Load().pools {
 		d.Pools[name] = len(p.endpoints)
 	}
-	d.EndpointStatus, d.Running, d.Silent = f.states.dump()
+	d.EndpointStatus, d.Running, d.UnresponsiveOwners = f.states.dump()
 	return d
 }
