--- a/place/observe.go
+++ b/place/observe.go
@@ -136,9 +136,9 @@
 
 // OwnerDump is the owner's part of the state dump.
 type OwnerDump struct {
-	Owned     []string `json:"owned"`
-	Held      int      `json:"held_replies"`
-	Unclaimed int      `json:"unclaimed_grants"`
+	Owned          []string `json:"owned"`
+	PendingReplies int      `json:"held_replies"`
+	Unclaimed      int      `json:"unclaimed_grants"`
 }
 
 // Dump returns the current state, or the zero value if the event goroutine does not answer
@@ -146,7 +146,7 @@
 func (d *OwnerServer) Dump(ctx context.Context) OwnerDump {
 	ch := make(chan OwnerDump, 1)
 	err := d.events.Put(ctx, func(d *OwnerServer, _ time.Time) {
-		ch <- OwnerDump{Owned: d.endpoints.Names(), Held: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
+		ch <- OwnerDump{Owned: d.endpoints.Names(), PendingReplies: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
 	})
 	if err != nil {
 		return OwnerDump{}
