--- a/owner/book.go
+++ b/owner/book.go
@@ -33,12 +33,12 @@
 
 // Add adds an endpoint. If the endpoint exists, it keeps its state and gets the new
 // configuration.
-func (b *Registry) Add(cfg Config) *Endpoint {
-	e, ok := b.endpoints[cfg.Name]
+func (r *Registry) Add(cfg Config) *Endpoint {
+	e, ok := r.endpoints[cfg.Name]
 	if !ok {
 		e = New(cfg)
-		e.levels = b.levels
-		b.endpoints[cfg.Name] = e
+		e.levels = r.levels
+		r.endpoints[cfg.Name] = e
 		return e
 	}
 	e.reconfigure(cfg)
@@ -46,23 +46,23 @@
 }
 
 // Remove removes an endpoint and refuses the asks queued for it.
-func (b *Registry) Remove(name string) []Decision {
-	e, ok := b.endpoints[name]
+func (r *Registry) Remove(name string) []Decision {
+	e, ok := r.endpoints[name]
 	if !ok {
 		return nil
 	}
-	delete(b.endpoints, name)
+	delete(r.endpoints, name)
 	e.status = fleetpb.EndpointStatus_ENDPOINT_STATUS_LEAVING
 	return e.refuseQueued()
 }
 
 // Endpoint returns the named endpoint, or nil if it is not in the registry.
-func (b *Registry) Endpoint(name string) *Endpoint { return b.endpoints[name] }
+func (r *Registry) Endpoint(name string) *Endpoint { return r.endpoints[name] }
 
 // Names returns the names of the endpoints, sorted.
-func (b *Registry) Names() []string {
-	names := make([]string, 0, len(b.endpoints))
-	for name := range b.endpoints {
+func (r *Registry) Names() []string {
+	names := make([]string, 0, len(r.endpoints))
+	for name := range r.endpoints {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -71,21 +71,21 @@
 
 // Ask answers an ask for one of the named endpoints. Probe returns the offers of all of
 // them; Take asks the best one for a slot.
-func (b *Registry) Ask(now time.Time, a Ask, names []string) Decision {
-	b.RenewLease(now, a.Caller)
-	offers := b.offers(now, a, names)
+func (r *Registry) Ask(now time.Time, a Ask, names []string) Decision {
+	r.RenewLease(now, a.Caller)
+	offers := r.offers(now, a, names)
 	if len(offers) == 0 {
-		return refuse(a, b.noOfferReason(names), 0)
+		return refuse(a, r.noOfferReason(names), 0)
 	}
 	if a.Mode == Probe {
 		return Decision{Kind: Offered, Caller: a.Caller, RequestID: a.RequestID, Offers: offers}
 	}
-	best := b.findExisting(a, names)
+	best := r.findExisting(a, names)
 	if best == nil {
-		prices := b.prices
+		prices := r.prices
 		prices.Urgent = a.Urgent
 		choice := policy.Choose(a.PromptTokens, 0, offers, prices)
-		best = b.endpoints[offers[choice.Index].Endpoint]
+		best = r.endpoints[offers[choice.Index].Endpoint]
 	}
 	d := best.Ask(now, a)
 	if d.Kind == Offered {
@@ -96,9 +96,9 @@
 
 // findExisting returns the named endpoint at which the ask is already granted or queued, or
 // nil.
-func (b *Registry) findExisting(a Ask, names []string) *Endpoint {
+func (r *Registry) findExisting(a Ask, names []string) *Endpoint {
 	for _, name := range names {
-		e := b.endpoints[name]
+		e := r.endpoints[name]
 		if e == nil {
 			continue
 		}
@@ -111,19 +111,19 @@
 	return nil
 }
 
-func (b *Registry) offers(now time.Time, a Ask, names []string) []policy.Offer {
+func (r *Registry) offers(now time.Time, a Ask, names []string) []policy.Offer {
 	offers := make([]policy.Offer, 0, len(names))
 	for _, name := range names {
-		if e := b.endpoints[name]; e != nil && e.live() {
+		if e := r.endpoints[name]; e != nil && e.live() {
 			offers = append(offers, e.offer(now, a, e.estimateCache(now, a)))
 		}
 	}
 	return offers
 }
 
-func (b *Registry) noOfferReason(names []string) Reason {
+func (r *Registry) noOfferReason(names []string) Reason {
 	for _, name := range names {
-		if b.endpoints[name] != nil {
+		if r.endpoints[name] != nil {
 			return ReasonEndpoint
 		}
 	}
@@ -131,8 +131,8 @@
 }
 
 // Idle reports whether no endpoint has granted or queued requests.
-func (b *Registry) Idle() bool {
-	for _, e := range b.endpoints {
+func (r *Registry) Idle() bool {
+	for _, e := range r.endpoints {
 		if len(e.grants)+len(e.queued) > 0 {
 			return false
 		}
@@ -142,33 +142,33 @@
 
 // RenewLease renews the lease of an instance. It is called when a message from the instance
 // arrives or while the instance is a live member.
-func (b *Registry) RenewLease(now time.Time, caller string) { b.lastSeen[caller] = now }
+func (r *Registry) RenewLease(now time.Time, caller string) { r.lastSeen[caller] = now }
 
 // CallerLost drops the grants and queued asks of an instance that has failed or left.
-func (b *Registry) CallerLost(now time.Time, caller string) []Decision {
-	delete(b.lastSeen, caller)
+func (r *Registry) CallerLost(now time.Time, caller string) []Decision {
+	delete(r.lastSeen, caller)
 	var decisions []Decision
-	for _, name := range b.Names() {
-		decisions = append(decisions, b.endpoints[name].CallerLost(now, caller)...)
+	for _, name := range r.Names() {
+		decisions = append(decisions, r.endpoints[name].CallerLost(now, caller)...)
 	}
 	return decisions
 }
 
 // Tick expires leases, grants and deadlines. It must be called every TickInterval.
-func (b *Registry) Tick(now time.Time) []Decision {
+func (r *Registry) Tick(now time.Time) []Decision {
 	var decisions []Decision
-	for _, caller := range b.expired(now) {
-		decisions = append(decisions, b.CallerLost(now, caller)...)
+	for _, caller := range r.expired(now) {
+		decisions = append(decisions, r.CallerLost(now, caller)...)
 	}
-	for _, name := range b.Names() {
-		decisions = append(decisions, b.endpoints[name].Tick(now)...)
+	for _, name := range r.Names() {
+		decisions = append(decisions, r.endpoints[name].Tick(now)...)
 	}
 	return decisions
 }
 
-func (b *Registry) expired(now time.Time) []string {
+func (r *Registry) expired(now time.Time) []string {
 	var expired []string
-	for caller, seen := range b.lastSeen {
+	for caller, seen := range r.lastSeen {
 		if now.Sub(seen) > callerLease {
 			expired = append(expired, caller)
 		}
--- a/place/duty.go
+++ b/place/duty.go
@@ -85,7 +85,7 @@
 }
 
 // ownerEvent is applied to the state by the event goroutine.
-type ownerEvent func(d *OwnerServer, now time.Time)
+type ownerEvent func(o *OwnerServer, now time.Time)
 
 // NewOwnerServer returns an OwnerServer without endpoints. Run must be called to start it.
 func NewOwnerServer(cfg OwnerServerConfig) *OwnerServer {
@@ -100,7 +100,7 @@
 }
 
 // Run processes events until ctx ends.
-func (d *OwnerServer) Run(ctx context.Context) {
+func (o *OwnerServer) Run(ctx context.Context) {
 	timer := time.NewTimer(owner.TickInterval)
 	defer timer.Stop()
 	slowTicks := false
@@ -108,15 +108,15 @@
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-d.events.C():
-			e(d, d.cfg.Clock.Now())
-			if slowTicks && !d.idle() {
+		case e := <-o.events.C():
+			e(o, o.cfg.Clock.Now())
+			if slowTicks && !o.idle() {
 				slowTicks = false
 				timer.Reset(owner.TickInterval)
 			}
 		case <-timer.C:
-			d.tick(d.cfg.Clock.Now())
-			slowTicks = d.idle()
+			o.tick(o.cfg.Clock.Now())
+			slowTicks = o.idle()
 			if slowTicks {
 				timer.Reset(idleTickInterval)
 			} else {
@@ -127,62 +127,62 @@
 }
 
 // idle reports whether there are no granted, queued or unclaimed requests.
-func (d *OwnerServer) idle() bool {
-	return len(d.pendingReplies) == 0 && len(d.unclaimed) == 0 && d.endpoints.Idle()
+func (o *OwnerServer) idle() bool {
+	return len(o.pendingReplies) == 0 && len(o.unclaimed) == 0 && o.endpoints.Idle()
 }
 
-func (d *OwnerServer) tick(now time.Time) {
-	if now.Sub(d.leasesRenewed) >= leaseRenewInterval {
-		d.leasesRenewed = now
-		for _, m := range d.members {
-			d.endpoints.RenewLease(now, m)
+func (o *OwnerServer) tick(now time.Time) {
+	if now.Sub(o.leasesRenewed) >= leaseRenewInterval {
+		o.leasesRenewed = now
+		for _, m := range o.members {
+			o.endpoints.RenewLease(now, m)
 		}
 	}
-	d.deliver(now, d.endpoints.Tick(now))
-	for key, g := range d.unclaimed {
+	o.deliver(now, o.endpoints.Tick(now))
+	for key, g := range o.unclaimed {
 		if now.Sub(g.since) < unclaimedTimeout {
 			continue
 		}
-		delete(d.unclaimed, key)
-		if e := d.endpoints.Endpoint(g.endpoint); e != nil {
+		delete(o.unclaimed, key)
+		if e := o.endpoints.Endpoint(g.endpoint); e != nil {
 			grantsUnclaimed.Inc()
-			d.deliver(now, e.Withdraw(now, key.caller, key.request))
+			o.deliver(now, e.Withdraw(now, key.caller, key.request))
 		}
 	}
 }
 
 // deliver sends decisions to the replies that wait for them.
-func (d *OwnerServer) deliver(now time.Time, decisions []owner.Decision) {
+func (o *OwnerServer) deliver(now time.Time, decisions []owner.Decision) {
 	for _, x := range decisions {
 		key := askKey{x.Caller, x.RequestID}
-		if ch := d.pendingReplies[key]; ch != nil {
-			delete(d.pendingReplies, key)
+		if ch := o.pendingReplies[key]; ch != nil {
+			delete(o.pendingReplies, key)
 			ch <- x
 			continue
 		}
 		if x.Kind == owner.Granted {
-			d.unclaimed[key] = unclaimedGrant{x.Offer.Endpoint, now}
+			o.unclaimed[key] = unclaimedGrant{x.Offer.Endpoint, now}
 		}
 	}
 }
 
 // Ask answers an ask. If the request is queued, it blocks until the decision, at most for
 // the ask's wait. On an error the caller has to place the request from its own view.
-func (d *OwnerServer) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
+func (o *OwnerServer) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	asksServed.Inc()
 	wait := min(time.Duration(in.GetWaitMs())*time.Millisecond, maxReplyDelay)
 	// Capacity for the first answer and the later decision, so that the event goroutine
 	// never blocks on a caller.
 	answer := make(chan owner.Decision, 2)
 	key := askKey{in.GetCaller().GetInstance(), in.GetRequestId()}
-	accepted := d.events.Offer(func(d *OwnerServer, now time.Time) { d.ask(now, key, in, wait > 0, answer) })
+	accepted := o.events.Offer(func(o *OwnerServer, now time.Time) { o.ask(now, key, in, wait > 0, answer) })
 	if !accepted {
 		asksOverBound.Inc()
 		return nil, errOwnerBusy
 	}
 	first, err := receive(ctx, answer)
 	if err != nil {
-		return d.stopWaiting(ctx, key, answer, first)
+		return o.stopWaiting(ctx, key, answer, first)
 	}
 	if first.Kind != owner.Queued || wait <= 0 {
 		return toReply(first), nil
@@ -195,7 +195,7 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	return d.stopWaiting(ctx, key, answer, first)
+	return o.stopWaiting(ctx, key, answer, first)
 }
 
 func receive(ctx context.Context, answer chan owner.Decision) (owner.Decision, error) {
@@ -209,16 +209,16 @@
 
 // stopWaiting removes a pending reply and returns the latest decision, which may have come
 // meanwhile.
-func (d *OwnerServer) stopWaiting(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
+func (o *OwnerServer) stopWaiting(ctx context.Context, key askKey, answer chan owner.Decision, queued owner.Decision) (*fleetpb.AskReply, error) {
 	done := make(chan struct{})
-	_ = d.events.Put(context.WithoutCancel(ctx), func(d *OwnerServer, now time.Time) {
+	_ = o.events.Put(context.WithoutCancel(ctx), func(o *OwnerServer, now time.Time) {
 		defer close(done)
-		if d.pendingReplies[key] == answer {
-			delete(d.pendingReplies, key)
+		if o.pendingReplies[key] == answer {
+			delete(o.pendingReplies, key)
 		}
 		for ctx.Err() != nil && len(answer) > 0 {
 			// The caller has disconnected, so its grant becomes unclaimed.
-			d.deliver(now, []owner.Decision{<-answer})
+			o.deliver(now, []owner.Decision{<-answer})
 		}
 	})
 	select {
@@ -234,51 +234,51 @@
 	}
 }
 
-func (d *OwnerServer) ask(now time.Time, key askKey, in *fleetpb.AskRequest, poll bool, answer chan owner.Decision) {
-	delete(d.unclaimed, key)
+func (o *OwnerServer) ask(now time.Time, key askKey, in *fleetpb.AskRequest, poll bool, answer chan owner.Decision) {
+	delete(o.unclaimed, key)
 	a := fromAsk(now, in)
 	if poll {
 		// A poll does not contain the prompt's blocks, so an ask that is not known any more
 		// cannot be queued again.
 		a.Deadline = now.Add(-time.Second)
 	}
-	x := d.endpoints.Ask(now, a, in.GetEndpoints())
+	x := o.endpoints.Ask(now, a, in.GetEndpoints())
 	if poll && x.Kind == owner.Refused && x.Reason == owner.ReasonDeadline {
 		x.Reason = owner.ReasonNotOwned
 	}
 	if x.Kind == owner.Queued && poll {
-		d.pendingReplies[key] = answer
+		o.pendingReplies[key] = answer
 	}
 	answer <- x
 }
 
 // Report applies reports about grants from another instance. If the queue is full the
 // oldest event is dropped; the grants in it end by their timeout.
-func (d *OwnerServer) Report(caller string, ends []*fleetpb.GrantEnd) {
-	d.events.Push(func(d *OwnerServer, now time.Time) {
-		d.endpoints.RenewLease(now, caller)
+func (o *OwnerServer) Report(caller string, ends []*fleetpb.GrantEnd) {
+	o.events.Push(func(o *OwnerServer, now time.Time) {
+		o.endpoints.RenewLease(now, caller)
 		for _, e := range ends {
-			d.end(now, caller, e)
+			o.end(now, caller, e)
 		}
 	})
 }
 
-func (d *OwnerServer) end(now time.Time, caller string, in *fleetpb.GrantEnd) {
-	e := d.endpoints.Endpoint(in.GetEndpoint())
+func (o *OwnerServer) end(now time.Time, caller string, in *fleetpb.GrantEnd) {
+	e := o.endpoints.Endpoint(in.GetEndpoint())
 	if e == nil {
 		return
 	}
 	if in.GetGrantId() == 0 {
-		delete(d.unclaimed, askKey{caller, in.GetRequestId()})
-		d.deliver(now, e.Withdraw(now, caller, in.GetRequestId()))
+		delete(o.unclaimed, askKey{caller, in.GetRequestId()})
+		o.deliver(now, e.Withdraw(now, caller, in.GetRequestId()))
 		return
 	}
 	if in.GetState() == fleetpb.GrantState_GRANT_STATE_FIRST_TOKEN {
 		after := time.Duration(in.GetFirstTokenMs()) * time.Millisecond
-		d.deliver(now, e.FirstToken(now, in.GetGrantId(), in.GetCachedTokens(), after))
+		o.deliver(now, e.FirstToken(now, in.GetGrantId(), in.GetCachedTokens(), after))
 		return
 	}
-	d.deliver(now, e.End(now, owner.End{
-		GrantID: in.GetGrantId(), Outcome: stageOf(in.GetState()), Incarnation: in.GetIncarnation(), CachedTokens: in.GetCachedTokens(),
+	o.deliver(now, e.End(now, owner.End{
+		GrantID: in.GetGrantId(), Outcome: outcomeOf(in.GetState()), Incarnation: in.GetIncarnation(), CachedTokens: in.GetCachedTokens(),
 	}))
 }
--- a/place/fleet_test.go
+++ b/place/fleet_test.go
@@ -24,7 +24,7 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	placers   []*place.Fleet
-	duties    []*place.OwnerServer
+	servers   []*place.OwnerServer
 	handOvers []*place.HandOvers
 
 	mu           sync.Mutex
@@ -41,7 +41,7 @@
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for i := range n {
 		h := place.NewHandOvers()
-		d := place.NewOwnerServer(place.OwnerServerConfig{
+		s := place.NewOwnerServer(place.OwnerServerConfig{
 			Self: instanceName(i), Clock: clock.System{}, FirstGrantID: uint64(i+1) << 32, HandOver: h.Enqueue,
 			Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
 				f.placers[i].Lost(endpoint, incarnation, lost)
@@ -49,12 +49,12 @@
 		})
 		p := place.NewFleet(place.FleetConfig{
 			Caller: &fleetpb.Caller{Fleet: "test", Instance: instanceName(i)},
-			Clock:  clock.System{}, Peers: f, OwnerServer: d, Publish: f.publish,
+			Clock:  clock.System{}, Peers: f, OwnerServer: s, Publish: f.publish,
 		})
-		f.duties, f.placers, f.handOvers = append(f.duties, d), append(f.placers, p), append(f.handOvers, h)
+		f.servers, f.placers, f.handOvers = append(f.servers, s), append(f.placers, p), append(f.handOvers, h)
 	}
 	for i := range n {
-		go f.duties[i].Run(f.ctx)
+		go f.servers[i].Run(f.ctx)
 		go f.placers[i].Run(f.ctx)
 		go f.handOvers[i].Run(f.ctx, f.placers[i])
 		f.placers[i].SetView(f.ctx, f.view(i, n))
--- a/place/observe.go
+++ b/place/observe.go
@@ -19,82 +19,82 @@
 
 // SetOwned sets the endpoints that this instance owns. Endpoints that it no longer owns are
 // handed over to the instance that next returns.
-func (d *OwnerServer) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
-	return d.events.Put(ctx, func(d *OwnerServer, now time.Time) {
-		d.dropCallers(now, members)
+func (o *OwnerServer) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
+	return o.events.Put(ctx, func(o *OwnerServer, now time.Time) {
+		o.dropCallers(now, members)
 		keep := make(map[string]bool, len(owned))
 		for _, cfg := range owned {
 			keep[cfg.Name] = true
-			cfg.FirstGrantID = d.cfg.FirstGrantID
-			e := d.endpoints.Add(cfg)
-			if r, ok := d.earlyStates[cfg.Name]; ok && now.Sub(r.at) < earlyStateTTL {
+			cfg.FirstGrantID = o.cfg.FirstGrantID
+			e := o.endpoints.Add(cfg)
+			if r, ok := o.earlyStates[cfg.Name]; ok && now.Sub(r.at) < earlyStateTTL {
 				_ = e.Restore(now, r.knowledge)
 			}
-			delete(d.earlyStates, cfg.Name)
+			delete(o.earlyStates, cfg.Name)
 		}
-		for _, name := range d.endpoints.Names() {
+		for _, name := range o.endpoints.Names() {
 			if !keep[name] {
-				d.handOver(now, name, next(name))
+				o.handOver(now, name, next(name))
 			}
 		}
 	})
 }
 
 // dropCallers drops the grants and queued asks of instances that are no longer members.
-func (d *OwnerServer) dropCallers(now time.Time, members []string) {
+func (o *OwnerServer) dropCallers(now time.Time, members []string) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
 		live[m] = true
 	}
-	for _, m := range d.members {
+	for _, m := range o.members {
 		if !live[m] {
-			d.deliver(now, d.endpoints.CallerLost(now, m))
+			o.deliver(now, o.endpoints.CallerLost(now, m))
 		}
 	}
-	d.members = members
+	o.members = members
 }
 
 // handOver transfers an endpoint to its next owner. The callers of queued asks are sent to
 // the next owner only once it has the state; before, it would grant slots that are in use.
-func (d *OwnerServer) handOver(now time.Time, name, next string) {
-	knowledge, err := d.endpoints.Endpoint(name).Snapshot(now)
-	refusals := d.endpoints.Remove(name)
+func (o *OwnerServer) handOver(now time.Time, name, next string) {
+	knowledge, err := o.endpoints.Endpoint(name).Snapshot(now)
+	refusals := o.endpoints.Remove(name)
 	for i := range refusals {
 		// The endpoint is usable; its next owner has to be asked.
 		refusals[i].Reason = owner.ReasonNotOwned
 	}
-	if err != nil || next == "" || next == d.cfg.Self {
-		d.deliver(now, refusals)
+	if err != nil || next == "" || next == o.cfg.Self {
+		o.deliver(now, refusals)
 		return
 	}
-	d.cfg.HandOver(name, next, knowledge, func() {
-		d.events.Offer(func(d *OwnerServer, now time.Time) { d.deliver(now, refusals) })
+	o.cfg.HandOver(name, next, knowledge, func() {
+		o.events.Offer(func(o *OwnerServer, now time.Time) { o.deliver(now, refusals) })
 	})
 }
 
 // Restore applies the state that the former owner of an endpoint handed over.
-func (d *OwnerServer) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
-	return d.events.Put(ctx, func(d *OwnerServer, now time.Time) {
-		if e := d.endpoints.Endpoint(endpoint); e != nil {
+func (o *OwnerServer) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
+	return o.events.Put(ctx, func(o *OwnerServer, now time.Time) {
+		if e := o.endpoints.Endpoint(endpoint); e != nil {
 			_ = e.Restore(now, knowledge)
 			return
 		}
-		for name, r := range d.earlyStates {
+		for name, r := range o.earlyStates {
 			if now.Sub(r.at) >= earlyStateTTL {
-				delete(d.earlyStates, name)
+				delete(o.earlyStates, name)
 			}
 		}
-		if len(d.earlyStates) < maxEarlyStates {
-			d.earlyStates[endpoint] = earlyState{knowledge, now}
+		if len(o.earlyStates) < maxEarlyStates {
+			o.earlyStates[endpoint] = earlyState{knowledge, now}
 		}
 	})
 }
 
 // Status applies an endpoint's status and loaded models. Endpoints of other owners are
 // ignored.
-func (d *OwnerServer) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
-	return d.events.Put(ctx, func(d *OwnerServer, now time.Time) {
-		e := d.endpoints.Endpoint(endpoint)
+func (o *OwnerServer) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
+	return o.events.Put(ctx, func(o *OwnerServer, now time.Time) {
+		e := o.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
 		}
@@ -103,26 +103,26 @@
 		}
 		change := e.Status(now, s.GetStatus(), s.GetIncarnation())
 		if len(change.Lost) > 0 {
-			d.cfg.Lost(endpoint, s.GetIncarnation(), change.Lost)
+			o.cfg.Lost(endpoint, s.GetIncarnation(), change.Lost)
 		}
-		d.deliver(now, change.Decisions)
+		o.deliver(now, change.Decisions)
 	})
 }
 
 // Load applies an endpoint's load report. If the queue is full the oldest event is dropped.
-func (d *OwnerServer) Load(endpoint string, r owner.LoadReport) {
-	d.events.Push(func(d *OwnerServer, now time.Time) {
-		if e := d.endpoints.Endpoint(endpoint); e != nil {
-			d.deliver(now, e.LoadReport(now, r))
+func (o *OwnerServer) Load(endpoint string, r owner.LoadReport) {
+	o.events.Push(func(o *OwnerServer, now time.Time) {
+		if e := o.endpoints.Endpoint(endpoint); e != nil {
+			o.deliver(now, e.LoadReport(now, r))
 		}
 	})
 }
 
 // CacheEvents applies events of an endpoint's cache. Events dropped from a full queue show
 // as a gap, like those lost in the engine's own stream.
-func (d *OwnerServer) CacheEvents(endpoint string, events []owner.CacheEvent) {
-	d.events.Push(func(d *OwnerServer, _ time.Time) {
-		e := d.endpoints.Endpoint(endpoint)
+func (o *OwnerServer) CacheEvents(endpoint string, events []owner.CacheEvent) {
+	o.events.Push(func(o *OwnerServer, _ time.Time) {
+		e := o.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
 		}
@@ -143,10 +143,10 @@
 
 // Dump returns the current state, or the zero value if the event goroutine does not answer
 // before ctx ends.
-func (d *OwnerServer) Dump(ctx context.Context) OwnerDump {
+func (o *OwnerServer) Dump(ctx context.Context) OwnerDump {
 	ch := make(chan OwnerDump, 1)
-	err := d.events.Put(ctx, func(d *OwnerServer, _ time.Time) {
-		ch <- OwnerDump{Owned: d.endpoints.Names(), PendingReplies: len(d.pendingReplies), Unclaimed: len(d.unclaimed)}
+	err := o.events.Put(ctx, func(o *OwnerServer, _ time.Time) {
+		ch <- OwnerDump{Owned: o.endpoints.Names(), PendingReplies: len(o.pendingReplies), Unclaimed: len(o.unclaimed)}
 	})
 	if err != nil {
 		return OwnerDump{}
--- a/place/wire.go
+++ b/place/wire.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func stageOf(s fleetpb.GrantState) owner.Outcome {
+func outcomeOf(s fleetpb.GrantState) owner.Outcome {
 	switch s {
 	case fleetpb.GrantState_GRANT_STATE_DONE:
 		return owner.Done
