--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -44,7 +44,7 @@
 type peers struct {
 	node      *fleet.Node
 	placer    *place.Fleet
-	duty      *place.Duty
+	duty      *place.OwnerServer
 	handOvers *place.HandOvers
 	kept      *kept.Keeper
 	client    *transport.Client
@@ -139,8 +139,8 @@
 
 func (i *Instance) provisionPlacer(self member.Member) {
 	p := i.peers
-	p.duty = place.NewDuty(place.DutyConfig{
-		Self: self.Name, Clock: clock.System{}, FirstGrantID: self.Incarnation, HandOver: p.handOvers.Give,
+	p.duty = place.NewOwnerServer(place.OwnerServerConfig{
+		Self: self.Name, Clock: clock.System{}, FirstGrantID: self.Incarnation, HandOver: p.handOvers.Enqueue,
 		Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
 			p.placer.Lost(endpoint, incarnation, lost)
 		},
@@ -148,7 +148,7 @@
 	p.kept = i.newKept()
 	p.placer = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: i.settings.GetFleet(), Instance: self.Name, Incarnation: self.Incarnation},
-		Clock:  clock.System{}, Peers: p.client, Duty: p.duty, Kept: p.kept,
+		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.duty, Kept: p.kept,
 		AskLeaving: func(ctx context.Context, address string) (bool, error) {
 			s, err := i.clients.Engine(address).State(ctx)
 			return s.Leaving, err
@@ -190,7 +190,7 @@
 	if len(records) > 0 {
 		i.keeper.Offer(records...)
 	}
-	i.peers.placer.Heard(items)
+	i.peers.placer.HandleItems(items)
 }
 
 // latest puts v into a channel of one place, in the place of what is there.
--- a/internal/slopes/ask.go
+++ b/internal/slopes/ask.go
@@ -54,13 +54,13 @@
 		return nil, err
 	}
 	p := &placer{traffic: &transport.Traffic{}, address: ln.Addr().String()}
-	duty := place.NewDuty(place.DutyConfig{
+	duty := place.NewOwnerServer(place.OwnerServerConfig{
 		Self: name, Clock: clock.System{}, FirstGrantID: 1, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
 	p.fleet = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: name, Incarnation: uint64(time.Now().UnixNano())},
-		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), Duty: duty,
+		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), OwnerServer: duty,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
 	})
 	server, err := transport.NewServer(fleetName, p, nil, p.traffic)
--- a/internal/slopes/decision.go
+++ b/internal/slopes/decision.go
@@ -56,13 +56,13 @@
 	for i := range instances {
 		names, addresses = append(names, fmt.Sprintf("entry-%03d", i)), append(addresses, "peer")
 	}
-	duty := place.NewDuty(place.DutyConfig{
+	duty := place.NewOwnerServer(place.OwnerServerConfig{
 		Self: "entry", Clock: clock.System{}, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
 	go duty.Run(ctx)
 	f := place.NewFleet(place.FleetConfig{
-		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, Duty: duty,
+		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, OwnerServer: duty,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
 	})
 	f.SetRecords(ctx, poolRecord(endpoints))
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -66,8 +66,8 @@
 	return t
 }
 
-func bookOf(endpoints, blocks int) *owner.Book {
-	b := owner.NewBook(policy.Prices{Recompute: policy.DefaultRecompute})
+func bookOf(endpoints, blocks int) *owner.Registry {
+	b := owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute})
 	now := time.Now()
 	for e := range endpoints {
 		name := fmt.Sprintf("engine-%d", e)
@@ -97,9 +97,9 @@
 
 // fleetOf is a placer that knows a pool of n endpoints.
 func fleetOf(n int) *place.Fleet {
-	duty := place.NewDuty(place.DutyConfig{Self: "entry", Clock: clock.System{}})
+	duty := place.NewOwnerServer(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
 	f := place.NewFleet(place.FleetConfig{
-		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, Duty: duty,
+		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, OwnerServer: duty,
 	})
 	if n > 0 {
 		f.SetRecords(context.Background(), poolRecord(n))
--- a/owner/levels_test.go
+++ b/owner/levels_test.go
@@ -9,11 +9,11 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Of many instances each places a catalogue rarely, and none of them sees it
-// with two customers for minutes. Its owner does, and unless it tells, nothing
-// of the catalogue is kept until the engines have computed it many times.
-func TestGrantTellsWhereLevelsEnd(t *testing.T) {
-	b := NewBook(policy.Prices{})
+// Each of many instances places a shared prefix rarely, so none sees it from two customers
+// for minutes. The owner of its endpoint does. If the owner does not report the prefix
+// length, the prefix is not exported until the engines have computed it many times.
+func TestGrantReportsSharedLevels(t *testing.T) {
+	b := NewRegistry(policy.Prices{})
 	b.Add(config()).Status(epoch, live, 1)
 	catalogue := make([]byte, 40*256)
 	salt := prefix.Salt("accra", "m", "1")
@@ -31,9 +31,9 @@
 		return d
 	}
 	if d := granted(1); len(d.Levels) != 0 {
-		t.Fatalf("levels %v of a prompt that nobody shares yet", d.Levels)
+		t.Fatalf("levels %v of a prompt that is not shared yet", d.Levels)
 	}
 	if d := granted(2); !slices.Equal(d.Levels, []int{40}) {
-		t.Fatalf("levels %v, want the catalogue's 40 blocks", d.Levels)
+		t.Fatalf("levels %v, want the shared prefix's 40 blocks", d.Levels)
 	}
 }
--- a/owner/queue.go
+++ b/owner/queue.go
@@ -5,16 +5,17 @@
 	"strings"
 )
 
-// waiter is an ask that waits for a slot.
+// waiter is an ask that is queued for a slot.
 type waiter struct {
 	ask Ask
-	// tokens that had to be computed when it was queued, and its rank by them.
+	// tokens is the number of uncached tokens when the ask was queued; rank follows from
+	// it.
 	tokens int64
 	rank   rank
 }
 
-// line is what one organisation has waiting.
-type line struct {
+// orgQueue is the queue of one organisation.
+type orgQueue struct {
 	organisation string
 	weight       float64
 	// finish is the virtual time up to which the organisation has been served.
@@ -23,11 +24,11 @@
 	work    work
 }
 
-// work is an amount of waiting requests.
+// work is the sum of queued requests and their uncached tokens.
 type work struct {
 	requests int
 	// tokens to compute, by rank.
-	tokens [ranks]int64
+	tokens [rankCount]int64
 }
 
 func (w *work) add(r rank, tokens int64) {
@@ -40,7 +41,7 @@
 	w.tokens[r] -= tokens
 }
 
-// upTo is the tokens of a rank and those before it.
+// upTo returns the tokens of all ranks up to and including r.
 func (w work) upTo(r rank) int64 {
 	sum := int64(0)
 	for i := rankUrgent; i <= r; i++ {
@@ -49,29 +50,28 @@
 	return sum
 }
 
-// fairQueue shares one endpoint among organisations by weight: start-time fair
-// queueing over the endpoint's time that each request is charged for.
+// fairQueue shares one endpoint among organisations by weight. It is start-time fair
+// queueing (SFQ) over the endpoint time that each request is charged for.
 //
-// It is made for one large organisation whose burst fills the queue: with one
-// list for all, a small organisation's request would wait behind thousands of
-// others. Here it starts after at most one request of each other organisation
-// for its own share. An idle organisation saves up nothing. Lines of idle
-// organisations are dropped once the virtual time has passed them, so the queue
-// holds no more lines than organisations that were served lately.
+// In a single FIFO, a small organisation's request would wait behind thousands of others
+// when one large organisation's burst fills the queue. Here it starts after at most one
+// request of each other organisation, as far as its own share allows. An idle organisation
+// accumulates no credit. Queues of idle organisations are dropped once the virtual time has
+// passed their finish time, so that only recently served organisations take memory.
 type fairQueue struct {
-	lines  map[string]*line
-	clock  float64
-	length int
-	work   work
+	queues      map[string]*orgQueue
+	virtualTime float64
+	length      int
+	work        work
 }
 
-func newFairQueue() *fairQueue { return &fairQueue{lines: map[string]*line{}} }
+func newFairQueue() *fairQueue { return &fairQueue{queues: map[string]*orgQueue{}} }
 
-func (q *fairQueue) line(organisation string, weight float64) *line {
-	l, ok := q.lines[organisation]
+func (q *fairQueue) orgQueue(organisation string, weight float64) *orgQueue {
+	l, ok := q.queues[organisation]
 	if !ok {
-		l = &line{organisation: organisation, finish: q.clock}
-		q.lines[organisation] = l
+		l = &orgQueue{organisation: organisation, finish: q.virtualTime}
+		q.queues[organisation] = l
 	}
 	if weight <= 0 {
 		weight = 1
@@ -80,73 +80,74 @@
 	return l
 }
 
-// push puts a waiter at the end of its organisation's line.
+// push appends a waiter to its organisation's queue.
 func (q *fairQueue) push(w *waiter) {
-	l := q.line(w.ask.Organisation, w.ask.Weight)
+	l := q.orgQueue(w.ask.Organisation, w.ask.Weight)
 	l.waiters = append(l.waiters, w)
 	l.work.add(w.rank, w.tokens)
 	q.work.add(w.rank, w.tokens)
 	q.length++
 }
 
-// head returns the waiter whose turn it is of those whose rank may start, nil
-// when there is none. Ties go by name, so that equal states decide equally.
-func (q *fairQueue) head(may func(rank) bool) *waiter {
-	var best *line
+// pick returns the next waiter in fair order among those whose rank is allowed, or nil.
+// Ties are broken by the organisation's name, so that equal states give equal decisions.
+func (q *fairQueue) pick(allowed func(rank) bool) *waiter {
+	var best *orgQueue
 	var first *waiter
-	for _, l := range q.lines {
-		if best != nil && !q.before(l, best) {
+	for _, l := range q.queues {
+		if best != nil && !q.less(l, best) {
 			continue
 		}
-		if w := l.first(may); w != nil {
+		if w := l.first(allowed); w != nil {
 			best, first = l, w
 		}
 	}
 	return first
 }
 
-func (l *line) first(may func(rank) bool) *waiter {
+func (l *orgQueue) first(allowed func(rank) bool) *waiter {
 	for _, w := range l.waiters {
-		if may(w.rank) {
+		if allowed(w.rank) {
 			return w
 		}
 	}
 	return nil
 }
 
-func (q *fairQueue) before(a, b *line) bool {
-	sa, sb := max(a.finish, q.clock), max(b.finish, q.clock)
+func (q *fairQueue) less(a, b *orgQueue) bool {
+	sa, sb := max(a.finish, q.virtualTime), max(b.finish, q.virtualTime)
 	if sa != sb {
 		return sa < sb
 	}
 	return a.organisation < b.organisation
 }
 
-// charge counts served time against the organisation, queued for or not.
+// charge charges an organisation for served time, whether the request was queued or not.
 func (q *fairQueue) charge(organisation string, weight, cost float64) {
-	l := q.line(organisation, weight)
-	start := max(l.finish, q.clock)
+	l := q.orgQueue(organisation, weight)
+	start := max(l.finish, q.virtualTime)
 	l.finish = start + cost/l.weight
 	if q.length > 0 {
-		q.clock = max(q.clock, start)
+		q.virtualTime = max(q.virtualTime, start)
 	} else {
-		q.clock = l.finish
+		q.virtualTime = l.finish
 	}
 	q.prune()
 }
 
-// prune drops lines that hold neither a waiter nor served time ahead.
+// prune drops the queues of organisations that have no waiter and whose finish time the
+// virtual time has reached.
 func (q *fairQueue) prune() {
-	for name, l := range q.lines {
-		if len(l.waiters) == 0 && l.finish <= q.clock {
-			delete(q.lines, name)
+	for name, l := range q.queues {
+		if len(l.waiters) == 0 && l.finish <= q.virtualTime {
+			delete(q.queues, name)
 		}
 	}
 }
 
-// remove takes a waiter out; it reports whether it was there.
+// remove removes a waiter and reports whether it was queued.
 func (q *fairQueue) remove(w *waiter) bool {
-	l := q.lines[w.ask.Organisation]
+	l := q.queues[w.ask.Organisation]
 	if l == nil {
 		return false
 	}
@@ -162,15 +163,15 @@
 	return false
 }
 
-// ahead is the work that is served before a request of the rank that would
-// stand behind own work of its organisation: that, and of each other
-// organisation at most its share by weight.
+// ahead returns the requests and tokens that are served before a request of the rank queued
+// behind own, the work of its organisation: that work, and of each other organisation at
+// most its share by weight.
 func (q *fairQueue) ahead(organisation string, weight float64, r rank, own work) (int, int64) {
 	if weight <= 0 {
 		weight = 1
 	}
 	count, sum := own.requests, own.upTo(r)
-	for name, l := range q.lines {
+	for name, l := range q.queues {
 		if name == organisation || len(l.waiters) == 0 {
 			continue
 		}
@@ -181,12 +182,12 @@
 	return count, sum
 }
 
-// sorted lists the organisations' lines by name.
-func (q *fairQueue) sorted() []*line {
-	list := make([]*line, 0, len(q.lines))
-	for _, l := range q.lines {
+// sorted returns the organisations' queues sorted by name.
+func (q *fairQueue) sorted() []*orgQueue {
+	list := make([]*orgQueue, 0, len(q.queues))
+	for _, l := range q.queues {
 		list = append(list, l)
 	}
-	slices.SortFunc(list, func(a, b *line) int { return strings.Compare(a.organisation, b.organisation) })
+	slices.SortFunc(list, func(a, b *orgQueue) int { return strings.Compare(a.organisation, b.organisation) })
 	return list
 }
--- a/place/observe.go
+++ b/place/observe.go
@@ -9,93 +9,92 @@
 )
 
 const (
-	// maxRestored bounds the states that were handed over before this instance
-	// knew that it owns their endpoints.
-	maxRestored = 64
-	// restoredBound is how long such a state is worth anything. The news of the
-	// former owner's leave takes a second or two.
-	restoredBound = 10 * time.Second
+	// maxEarlyStates is the maximum number of states kept that were handed over before this
+	// instance knew that it owns their endpoints.
+	maxEarlyStates = 64
+	// earlyStateTTL is how long such a state is kept. The member list shows the former
+	// owner's leave after a second or two.
+	earlyStateTTL = 10 * time.Second
 )
 
-// SetOwned replaces the endpoints that this instance owns. What it owned before
-// and does not now is handed over to the instance that next names.
-func (d *Duty) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
-	return d.events.Put(ctx, func(d *Duty, now time.Time) {
-		d.loseCallers(now, members)
+// SetOwned sets the endpoints that this instance owns. Endpoints that it no longer owns are
+// handed over to the instance that next returns.
+func (o *OwnerServer) SetOwned(ctx context.Context, owned []owner.Config, members []string, next func(endpoint string) string) error {
+	return o.events.Put(ctx, func(o *OwnerServer, now time.Time) {
+		o.dropCallers(now, members)
 		keep := make(map[string]bool, len(owned))
 		for _, cfg := range owned {
 			keep[cfg.Name] = true
-			cfg.FirstGrantID = d.cfg.FirstGrantID
-			e := d.book.Add(cfg)
-			if r, ok := d.restored[cfg.Name]; ok && now.Sub(r.at) < restoredBound {
+			cfg.FirstGrantID = o.cfg.FirstGrantID
+			e := o.endpoints.Add(cfg)
+			if r, ok := o.earlyStates[cfg.Name]; ok && now.Sub(r.at) < earlyStateTTL {
 				_ = e.Restore(now, r.knowledge)
 			}
-			delete(d.restored, cfg.Name)
+			delete(o.earlyStates, cfg.Name)
 		}
-		for _, name := range d.book.Names() {
+		for _, name := range o.endpoints.Names() {
 			if !keep[name] {
-				d.handOver(now, name, next(name))
+				o.handOver(now, name, next(name))
 			}
 		}
 	})
 }
 
-// loseCallers takes back what instances held that are members no more.
-func (d *Duty) loseCallers(now time.Time, members []string) {
+// dropCallers drops the grants and queued asks of instances that are no longer members.
+func (o *OwnerServer) dropCallers(now time.Time, members []string) {
 	live := make(map[string]bool, len(members))
 	for _, m := range members {
 		live[m] = true
 	}
-	for _, m := range d.members {
+	for _, m := range o.members {
 		if !live[m] {
-			d.decide(now, d.book.CallerLost(now, m))
+			o.deliver(now, o.endpoints.CallerLost(now, m))
 		}
 	}
-	d.members = members
+	o.members = members
 }
 
-// handOver gives an endpoint away. What waits there is sent to the next owner
-// once that one knows what runs: before, it would give the same slots a second
-// time.
-func (d *Duty) handOver(now time.Time, name, next string) {
-	knowledge, err := d.book.Endpoint(name).Snapshot(now)
-	away := d.book.Remove(name)
-	for i := range away {
-		// The endpoint is well; its next owner is to be asked.
-		away[i].Reason = owner.ReasonNotOwned
+// handOver transfers an endpoint to its next owner. The callers of queued asks are sent to
+// the next owner only once it has the state; before, it would grant slots that are in use.
+func (o *OwnerServer) handOver(now time.Time, name, next string) {
+	knowledge, err := o.endpoints.Endpoint(name).Snapshot(now)
+	refusals := o.endpoints.Remove(name)
+	for i := range refusals {
+		// The endpoint is usable; its next owner has to be asked.
+		refusals[i].Reason = owner.ReasonNotOwned
 	}
-	if err != nil || next == "" || next == d.cfg.Self {
-		d.decide(now, away)
+	if err != nil || next == "" || next == o.cfg.Self {
+		o.deliver(now, refusals)
 		return
 	}
-	d.cfg.HandOver(name, next, knowledge, func() {
-		d.events.Offer(func(d *Duty, now time.Time) { d.decide(now, away) })
+	o.cfg.HandOver(name, next, knowledge, func() {
+		o.events.Offer(func(o *OwnerServer, now time.Time) { o.deliver(now, refusals) })
 	})
 }
 
-// Restore takes over what the former owner of an endpoint knew.
-func (d *Duty) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
-	return d.events.Put(ctx, func(d *Duty, now time.Time) {
-		if e := d.book.Endpoint(endpoint); e != nil {
+// Restore applies the state that the former owner of an endpoint handed over.
+func (o *OwnerServer) Restore(ctx context.Context, endpoint string, knowledge []byte) error {
+	return o.events.Put(ctx, func(o *OwnerServer, now time.Time) {
+		if e := o.endpoints.Endpoint(endpoint); e != nil {
 			_ = e.Restore(now, knowledge)
 			return
 		}
-		for name, r := range d.restored {
-			if now.Sub(r.at) >= restoredBound {
-				delete(d.restored, name)
+		for name, r := range o.earlyStates {
+			if now.Sub(r.at) >= earlyStateTTL {
+				delete(o.earlyStates, name)
 			}
 		}
-		if len(d.restored) < maxRestored {
-			d.restored[endpoint] = restoredState{knowledge, now}
+		if len(o.earlyStates) < maxEarlyStates {
+			o.earlyStates[endpoint] = earlyState{knowledge, now}
 		}
 	})
 }
 
-// Status tells how an endpoint is treated, and what it has loaded. Endpoints
-// of other owners are passed over.
-func (d *Duty) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
-	return d.events.Put(ctx, func(d *Duty, now time.Time) {
-		e := d.book.Endpoint(endpoint)
+// Status applies an endpoint's status and loaded models. Endpoints of other owners are
+// ignored.
+func (o *OwnerServer) Status(ctx context.Context, endpoint string, s *fleetpb.EndpointState) error {
+	return o.events.Put(ctx, func(o *OwnerServer, now time.Time) {
+		e := o.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
 		}
@@ -104,27 +103,26 @@
 		}
 		change := e.Status(now, s.GetStatus(), s.GetIncarnation())
 		if len(change.Lost) > 0 {
-			d.cfg.Lost(endpoint, s.GetIncarnation(), change.Lost)
+			o.cfg.Lost(endpoint, s.GetIncarnation(), change.Lost)
 		}
-		d.decide(now, change.Decisions)
+		o.deliver(now, change.Decisions)
 	})
 }
 
-// Load tells what an endpoint said of its load. A full ring gives the oldest
-// reports up.
-func (d *Duty) Load(endpoint string, r owner.LoadReport) {
-	d.events.Push(func(d *Duty, now time.Time) {
-		if e := d.book.Endpoint(endpoint); e != nil {
-			d.decide(now, e.LoadReport(now, r))
+// Load applies an endpoint's load report. If the queue is full the oldest event is dropped.
+func (o *OwnerServer) Load(endpoint string, r owner.LoadReport) {
+	o.events.Push(func(o *OwnerServer, now time.Time) {
+		if e := o.endpoints.Endpoint(endpoint); e != nil {
+			o.deliver(now, e.LoadReport(now, r))
 		}
 	})
 }
 
-// CacheEvents tells what happened to an endpoint's cache. What a full ring
-// gives up is a gap like those of the engine's own stream.
-func (d *Duty) CacheEvents(endpoint string, events []owner.CacheEvent) {
-	d.events.Push(func(d *Duty, _ time.Time) {
-		e := d.book.Endpoint(endpoint)
+// CacheEvents applies events of an endpoint's cache. Events dropped from a full queue show
+// as a gap, like those lost in the engine's own stream.
+func (o *OwnerServer) CacheEvents(endpoint string, events []owner.CacheEvent) {
+	o.events.Push(func(o *OwnerServer, _ time.Time) {
+		e := o.endpoints.Endpoint(endpoint)
 		if e == nil {
 			return
 		}
@@ -136,26 +134,27 @@
 	})
 }
 
-// DutyDump is the owner's part of the state dump.
-type DutyDump struct {
-	Owned     []string `json:"owned"`
-	Held      int      `json:"held_replies"`
-	Unclaimed int      `json:"unclaimed_grants"`
+// OwnerDump is the owner's part of the state dump.
+type OwnerDump struct {
+	Owned          []string `json:"owned"`
+	PendingReplies int      `json:"held_replies"`
+	Unclaimed      int      `json:"unclaimed_grants"`
 }
 
-// Dump returns the state now, or nothing where the duty does not answer.
-func (d *Duty) Dump(ctx context.Context) DutyDump {
-	ch := make(chan DutyDump, 1)
-	err := d.events.Put(ctx, func(d *Duty, _ time.Time) {
-		ch <- DutyDump{Owned: d.book.Names(), Held: len(d.held), Unclaimed: len(d.unclaimed)}
+// Dump returns the current state, or the zero value if the event goroutine does not answer
+// before ctx ends.
+func (o *OwnerServer) Dump(ctx context.Context) OwnerDump {
+	ch := make(chan OwnerDump, 1)
+	err := o.events.Put(ctx, func(o *OwnerServer, _ time.Time) {
+		ch <- OwnerDump{Owned: o.endpoints.Names(), PendingReplies: len(o.pendingReplies), Unclaimed: len(o.unclaimed)}
 	})
 	if err != nil {
-		return DutyDump{}
+		return OwnerDump{}
 	}
 	select {
 	case dump := <-ch:
 		return dump
 	case <-ctx.Done():
-		return DutyDump{}
+		return OwnerDump{}
 	}
 }
--- a/place/warn.go
+++ b/place/warn.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// warnBound is how long the answer of a crash-causing request is held for
-	// the other instances to hear of it. A round trip to all of them takes
-	// milliseconds; one that does not answer hears it by the exchange.
-	warnBound = 100 * time.Millisecond
-	// warnAtOnce bounds the calls that are open at a time.
-	warnAtOnce = 32
+	// warnTimeout is how long the response to a request that crashed an endpoint is delayed
+	// while the other instances are notified. A round trip to all of them takes
+	// milliseconds; one that does not answer receives the state through the exchange.
+	warnTimeout = 100 * time.Millisecond
+	// maxConcurrentWarnings is the maximum number of concurrent calls.
+	maxConcurrentWarnings = 32
 )
 
 var (
@@ -28,50 +28,49 @@
 	warningsFailed = metrics.GetOrCreateCounter("sardinedock_place_warnings_failed_total")
 )
 
-// warn tells all other instances of a request that an endpoint has died of, if
-// its caller hears of it next.
+// warn notifies all other instances that a request crashed an endpoint, if the caller
+// receives a response next.
 //
-// A caller whose request crashed two endpoints reads an error and sends it
-// again a moment later, through the balancer and so at another instance. The
-// exchange takes about a second to reach that one, and until then it would run
-// the request like any other: each instance would lose two endpoints. A request
-// that is not refused yet and may be repeated is run again here, so its caller
-// hears nothing yet; for that the exchange is quick enough. So a crash costs no
-// calls for each of the many requests that were in flight beside the one that
-// caused it.
-func (f *Fleet) warn(now time.Time, t *ticket) {
+// A caller whose request crashed two endpoints gets an error and sends the request again a
+// moment later, through the load balancer and so probably to another instance. The exchange
+// takes about a second to reach that one, which would run the request until then, and each
+// instance would lose two endpoints. A request that is not refused yet and may be repeated
+// is run again by this instance, so its caller gets no response yet and the exchange is
+// fast enough. This way a crash causes no calls for the many other requests that were in
+// flight at the endpoint.
+func (f *Fleet) warn(now time.Time, t *placement) {
 	fingerprint := t.request.Fingerprint
 	verdict, _ := f.guard.verdict(now, fingerprint)
 	if verdict != policy.CrashRefused && !t.request.Class.GetNonIdempotent() {
 		return
 	}
-	state, ttl := f.guard.known(now, fingerprint)
+	state, ttl := f.guard.crashState(now, fingerprint)
 	if state == nil {
 		return
 	}
 	in := &fleetpb.WarnRequest{Caller: f.cfg.Caller, Fingerprint: fingerprint[:], State: crashMessage(state), TtlMs: ttl.Milliseconds()}
-	ctx, cancel := context.WithTimeout(context.Background(), warnBound)
+	ctx, cancel := context.WithTimeout(context.Background(), warnTimeout)
 	defer cancel()
 	f.warnAll(ctx, in)
 }
 
 func (f *Fleet) warnAll(ctx context.Context, in *fleetpb.WarnRequest) {
 	var wg sync.WaitGroup
-	places := make(chan struct{}, warnAtOnce)
+	slots := make(chan struct{}, maxConcurrentWarnings)
 	for _, m := range f.routes.Load().view.Members {
-		if !f.canHear(m) {
+		if !f.canServe(m) {
 			continue
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			warningsFailed.Inc()
 			continue
 		}
 		wg.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			warnings.Inc()
-			if _, err := f.cfg.Peers.Warn(ctx, m.Address, warnBound, in); err != nil {
+			if _, err := f.cfg.Peers.Warn(ctx, m.Address, warnTimeout, in); err != nil {
 				warningsFailed.Inc()
 			}
 		})
@@ -79,18 +78,18 @@
 	wg.Wait()
 }
 
-// canHear reports whether a member may be serving callers.
-func (f *Fleet) canHear(m member.Member) bool {
+// canServe reports whether a member is another instance that may be serving callers.
+func (f *Fleet) canServe(m member.Member) bool {
 	gone := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_DEAD || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT
 	return !gone && m.Name != f.cfg.Caller.GetInstance() && m.Address != ""
 }
 
-// Warn takes another instance's warning. It counts before the reply is sent.
+// Warn applies a warning from another instance. The warning is in force when Warn returns.
 func (f *Fleet) Warn(_ context.Context, in *fleetpb.WarnRequest) (*fleetpb.WarnReply, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(in.GetState())
 	if err != nil {
 		return nil, err
 	}
-	f.guard.heard(f.cfg.Clock.Now(), hex.EncodeToString(in.GetFingerprint()), value, milliseconds(in.GetTtlMs()))
+	f.guard.merge(f.cfg.Clock.Now(), hex.EncodeToString(in.GetFingerprint()), value, milliseconds(in.GetTtlMs()))
 	return &fleetpb.WarnReply{}, nil
 }
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -49,7 +49,7 @@
 	policy  string
 	ranking *policy.Ranking
 	engines []*engine
-	books   []*owner.Book
+	books   []*owner.Registry
 	ownerOf []int
 	// secondOwner makes every other instance treat the next instance as the owner of an endpoint.
 	secondOwner bool
@@ -87,7 +87,7 @@
 func (m *sim) restart() {
 	m.books, m.levels = nil, nil
 	for i := range m.s.instances {
-		b := owner.NewBook(m.prices)
+		b := owner.NewRegistry(m.prices)
 		for e := range m.s.endpoints {
 			if m.policy != owners || m.ownerOf[e] == i {
 				b.Add(m.config(e))
@@ -111,7 +111,7 @@
 	end := m.s.warm + m.s.measured + m.s.maxWait + 30*time.Second
 	m.every(owner.TickInterval, func() {
 		for _, b := range m.books {
-			b.Seen(m.time(), caller)
+			b.RenewLease(m.time(), caller)
 			m.apply(b.Tick(m.time()))
 		}
 	})
@@ -167,7 +167,7 @@
 	return m.ranking.Top(nil, key, n, func(i int) bool { return !m.engines[i].paused })
 }
 
-func (m *sim) book(r *request, endpoint int) *owner.Book {
+func (m *sim) book(r *request, endpoint int) *owner.Registry {
 	if m.policy == ownView {
 		return m.books[r.instance]
 	}
@@ -266,7 +266,7 @@
 
 func (m *sim) done(r *request) {
 	if e := m.grantingEndpoint(r); e != nil {
-		m.apply(e.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Done, CachedTokens: int64(r.cached)}))
+		m.apply(e.End(m.time(), owner.End{GrantID: r.grant, Outcome: owner.Done, CachedTokens: int64(r.cached)}))
 	}
 }
 
@@ -322,7 +322,7 @@
 	e.prefill, e.queue = nil, nil
 	for _, r := range list {
 		if o := m.grantingEndpoint(r); o != nil {
-			m.apply(o.End(m.time(), owner.End{GrantID: r.grant, Stage: owner.Failed}))
+			m.apply(o.End(m.time(), owner.End{GrantID: r.grant, Outcome: owner.Failed}))
 		}
 		r.attempts++
 		r.endpoint, r.grant = -1, 0
--- a/policy/policybench/sim_test.go
+++ b/policy/policybench/sim_test.go
@@ -231,7 +231,7 @@
 	m := run(s, owners, 0.7, func(m *sim) {
 		m.after(s.warm+2*time.Second, func() {
 			lost := m.ownerOf[0]
-			m.books[lost] = owner.NewBook(m.prices)
+			m.books[lost] = owner.NewRegistry(m.prices)
 			for e, o := range m.ownerOf {
 				if o == lost {
 					m.books[lost].Add(m.config(e))
@@ -271,7 +271,7 @@
 	m.now = time.Minute
 	next := owner.New(m.config(0))
 	granted := next.Ask(m.time(), owner.Ask{Caller: "i", RequestID: "2", PromptTokens: 64, Deadline: m.time().Add(time.Second)})
-	next.End(m.time(), owner.End{GrantID: old.Offer.GrantID, Stage: owner.Done})
+	next.End(m.time(), owner.End{GrantID: old.Offer.GrantID, Outcome: owner.Done})
 	again := next.Ask(m.time(), owner.Ask{Caller: "i", RequestID: "2", PromptTokens: 64, Deadline: m.time().Add(time.Second)})
 	if granted.Kind != owner.Granted || again.Offer.GrantID != granted.Offer.GrantID {
 		t.Fatalf("the grant %+v was ended by a report on %+v", granted.Offer, old.Offer)
