--- a/entry/answer.go
+++ b/entry/answer.go
@@ -17,11 +17,11 @@
 
 const (
 	// maxStarted bounds how often one request is begun by an endpoint.
-	maxStarted = 6
+	maxStarts = 6
 	// firstPause and maxPause bound the waits before all endpoints are tried
 	// once more.
-	firstPause = 50 * time.Millisecond
-	maxPause   = time.Second
+	minRetryDelay = 50 * time.Millisecond
+	maxRetryDelay = time.Second
 	// cancelTimeout bounds the telling of an engine that its work is not
 	// wanted any more.
 	cancelTimeout = time.Second
@@ -34,7 +34,7 @@
 	srv      *Server
 	call     *call
 	req      *modelRequest
-	account  *outcome.Request
+	tracker  *outcome.Request
 	progress progress
 	run      *run
 	exclude  []string
@@ -43,11 +43,11 @@
 	sends, started int
 	// startBy is when a request that no endpoint takes is given up, pause the
 	// last wait before all were tried again.
-	startBy time.Time
-	pause   time.Duration
+	startDeadline time.Time
+	retryDelay    time.Duration
 	// broke is why the last run broke off.
-	broke  error
-	ticket *ticket
+	lastErr    error
+	claimGuard *claimGuard
 	// endpoint that runs the request, or ran it last.
 	endpoint string
 	// verdict holds once closed is set.
@@ -76,19 +76,19 @@
 }
 
 func (s *Server) newAnswer(c *call, req *modelRequest) *answer {
-	a := &answer{srv: s, call: c, req: req, account: outcome.New(req.once)}
-	a.ticket = s.newTicket(a.account, req.key, claim.Request{
+	a := &answer{srv: s, call: c, req: req, tracker: outcome.New(req.nonIdempotent)}
+	a.claimGuard = s.newClaimGuard(a.tracker, req.key, claim.Request{
 		Key:     claim.NewKey(req.place.Organisation, req.key),
 		Body:    claim.Hash(req.place.Fingerprint),
 		Attempt: req.id,
 	}, req.place.Class)
-	a.waitFrom(time.Now())
+	a.resetStartDeadline(time.Now())
 	return a
 }
 
 // look finds out whether the request's key is known; see ticket.
-func (a *answer) look() error {
-	err := a.ticket.look(a.call.ctx)
+func (a *answer) lookupKey() error {
+	err := a.claimGuard.lookupKey(a.call.ctx)
 	if err == nil {
 		return nil
 	}
@@ -101,7 +101,7 @@
 func (a *answer) Next() ([]byte, error) {
 	for {
 		if a.run == nil {
-			if err := a.begin(); err != nil {
+			if err := a.startRun(); err != nil {
 				return nil, a.fail(err)
 			}
 		}
@@ -142,7 +142,7 @@
 	r := a.run
 	quoted := strconv.AppendQuote(nil, r.id)
 	if p.ID != r.id || p.Index != r.next || !bytes.Contains(p.Data, quoted) {
-		a.srv.metrics.crossed.Inc()
+		a.srv.metrics.outOfOrder.Inc()
 		return nil, fault.New(fault.Broken, "look at the endpoint's log", "piece %s/%d came where %s/%d was due", p.ID, p.Index, r.id, r.next)
 	}
 	c, err := parseChunk(p.Data)
@@ -170,17 +170,17 @@
 }
 
 // begin places and sends the request until an endpoint takes it.
-func (a *answer) begin() error {
+func (a *answer) startRun() error {
 	for {
-		if a.started >= maxStarted {
+		if a.started >= maxStarts {
 			return fault.New(fault.Broken, "send the request again later", "the request broke off %d times", a.started)
 		}
 		grant, err := a.place()
 		if err != nil {
-			return a.unplaced(err)
+			return a.placementError(err)
 		}
-		a.account.Admit()
-		if err := a.ticket.take(a.call.ctx); err != nil {
+		a.tracker.Admit()
+		if err := a.claimGuard.acquire(a.call.ctx); err != nil {
 			a.srv.cfg.Placer.Done(grant, place.Result{End: place.EndUnused})
 			return err
 		}
@@ -204,7 +204,7 @@
 		req.Exclude = a.exclude
 		grant, err := a.srv.cfg.Placer.Place(a.call.ctx, req)
 		tried := len(a.exclude) > 0 || a.started > 0
-		if !fault.Is(err, fault.Unavailable) || !tried || !a.rest() {
+		if !fault.Is(err, fault.Unavailable) || !tried || !a.waitRetry() {
 			return grant, err
 		}
 		a.exclude = nil
@@ -213,19 +213,19 @@
 
 // unplaced is the error of a request that no endpoint takes. Of an answer that
 // has begun the caller is told why it broke off.
-func (a *answer) unplaced(err error) error {
+func (a *answer) placementError(err error) error {
 	if cause := a.call.cause(); cause != nil {
-		return a.late(cause)
+		return a.unplacedCause(cause)
 	}
-	if a.broke == nil || a.progress.pieces == 0 {
+	if a.lastErr == nil || a.progress.pieces == 0 {
 		return err
 	}
-	return fault.Wrap(a.broke, fault.Broken, "send the request again", "the answer broke off and no endpoint could go on with it")
+	return fault.Wrap(a.lastErr, fault.Broken, "send the request again", "the answer broke off and no endpoint could go on with it")
 }
 
 // late is the error of a call that ended before it was placed.
-func (a *answer) late(cause error) error {
-	if errors.Is(cause, errTimeout) && a.account.Unrun() {
+func (a *answer) unplacedCause(cause error) error {
+	if errors.Is(cause, errTimeout) && a.tracker.Unrun() {
 		return fault.New(fault.Overloaded, "send the request again later", "the request could not start before its class's timeout")
 	}
 	return cause
@@ -233,12 +233,12 @@
 
 // rest pauses before all endpoints are tried once more; false when the time to
 // start is over.
-func (a *answer) rest() bool {
-	a.pause = min(max(2*a.pause, firstPause), maxPause)
-	if time.Now().Add(a.pause).After(a.startBy) {
+func (a *answer) waitRetry() bool {
+	a.retryDelay = min(max(2*a.retryDelay, minRetryDelay), maxRetryDelay)
+	if time.Now().Add(a.retryDelay).After(a.startDeadline) {
 		return false
 	}
-	t := time.NewTimer(a.pause)
+	t := time.NewTimer(a.retryDelay)
 	defer t.Stop()
 	select {
 	case <-a.call.ctx.Done():
@@ -249,15 +249,15 @@
 }
 
 // waitFrom sets the time by which the request has to start.
-func (a *answer) waitFrom(now time.Time) {
-	a.pause = 0
-	a.startBy = now.Add(time.Duration(a.req.place.Class.GetMaxWaitMs()) * time.Millisecond)
+func (a *answer) resetStartDeadline(now time.Time) {
+	a.retryDelay = 0
+	a.startDeadline = now.Add(time.Duration(a.req.place.Class.GetMaxWaitMs()) * time.Millisecond)
 }
 
-func (a *answer) excludeRun() { a.exclude = append(a.exclude, a.run.grant.Endpoint) }
+func (a *answer) excludeEndpoint() { a.exclude = append(a.exclude, a.run.grant.Endpoint) }
 
 // leave ends the present run and gives its grant back.
-func (a *answer) leave(end place.End) {
+func (a *answer) endRun(end place.End) {
 	r := a.run
 	if r == nil {
 		return
@@ -293,7 +293,7 @@
 
 func (a *answer) complete() {
 	a.run.send.Done()
-	a.leave(place.EndDone)
+	a.endRun(place.EndDone)
 	_ = a.close(nil)
 }
 
@@ -303,7 +303,7 @@
 		if !errors.Is(a.call.cause(), errKilled) {
 			a.cancel()
 		}
-		a.leave(place.EndFailed)
+		a.endRun(place.EndFailed)
 	}
 	return a.close(err)
 }
@@ -314,8 +314,8 @@
 		return err
 	}
 	a.closed = true
-	err = a.ticket.settle(err)
-	a.verdict = a.account.Finish()
+	err = a.claimGuard.recordNotRun(err)
+	a.verdict = a.tracker.Finish()
 	a.srv.metrics.outcome(a.verdict)
 	// A complete answer is recorded by whoever has put it together.
 	if !a.verdict.Complete() {
@@ -327,7 +327,7 @@
 // record tells the claim's record what became of the request, with the answer's
 // body where there is one.
 func (a *answer) record(status int, contentType string, body []byte) {
-	a.ticket.end(a.verdict, claim.Answer{
+	a.claimGuard.finish(a.verdict, claim.Answer{
 		Status:      status,
 		ContentType: contentType,
 		Body:        body,
@@ -339,6 +339,6 @@
 // Close ends an answer that nobody reads any more.
 func (a *answer) Close() {
 	if !a.closed {
-		_ = a.fail(errGone)
+		_ = a.fail(errCallerClosed)
 	}
 }
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWholeAnswersForAnOrdinaryClient(t *testing.T) {
+func TestUnstreamedAnswersWithOpenAIClient(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 2})
 	c := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL(r.url+"/v1"), option.WithMaxRetries(0))
 	got, err := c.Chat.Completions.New(context.Background(), openai.ChatCompletionNewParams{
@@ -67,7 +67,7 @@
 
 // A chat's engine dies in the middle of the answer, for a caller that did not
 // ask for a stream and so sees nothing of it.
-func TestWholeAnswerSurvivesACrash(t *testing.T) {
+func TestUnstreamedAnswerSurvivesCrash(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 2})
 	type result struct {
@@ -165,7 +165,7 @@
 }
 
 // Every endpoint is away. The refusal says truly that nothing ran.
-func TestNobodyListens(t *testing.T) {
+func TestAllEndpointsClosed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 2})
 	for _, e := range r.Engines {
@@ -211,7 +211,7 @@
 // request id, so that nobody could tell which attempt was refused: a run with all faults took
 // a later attempt of the same request, which ran, for the refused one, and called a true "not
 // run" false.
-func TestEachRefusalNamesItsAttempt(t *testing.T) {
+func TestEachRefusalHasItsOwnRequestID(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	without := entry.NewServer(r.config)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/entry/body.go
+++ b/entry/body.go
@@ -136,7 +136,7 @@
 // the caller already has. The prompt stays as it is up to its end, so that its
 // blocks keep their names. ok is false where the prompt's form does not
 // allow it.
-func (f fields) continued(chat bool, text []byte, tokens int64) (out fields, ok bool) {
+func (f fields) continuation(chat bool, text []byte, tokens int64) (out fields, ok bool) {
 	out = f.clone()
 	quoted, err := json.Marshal(string(text))
 	if err != nil {
@@ -147,7 +147,7 @@
 	} else {
 		ok = out.appendPrompt(quoted)
 	}
-	return out, ok && out.lessTokens(tokens)
+	return out, ok && out.reduceTokenLimits(tokens)
 }
 
 func (f fields) appendPrompt(quoted []byte) bool {
@@ -174,7 +174,7 @@
 }
 
 // lessTokens takes the tokens that the caller has off the bound of the answer.
-func (f fields) lessTokens(tokens int64) bool {
+func (f fields) reduceTokenLimits(tokens int64) bool {
 	for _, name := range [...]string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		var limit int64
 		if !f.has(name) || f.value(name, &limit) != nil {
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -4,10 +4,10 @@
 
 const (
 	// rerunShare is how many reruns each accepted request pays for.
-	rerunShare = 0.2
+	rerunRatio = 0.2
 	// rerunReserve is how many reruns may come at once. One endpoint's crash
 	// asks for as many as it has slots; this covers several such crashes.
-	rerunReserve = 256
+	maxReruns = 256
 )
 
 // rerunBudget bounds the requests that are run a second time after they may
@@ -17,26 +17,26 @@
 // is what a fleet with the usual headroom can carry; the reserve lets a few
 // crashes through in a quiet hour. Any goroutine may use it.
 type rerunBudget struct {
-	mu   sync.Mutex
-	left float64
+	mu        sync.Mutex
+	remaining float64
 }
 
-func newRerunBudget() *rerunBudget { return &rerunBudget{left: rerunReserve} }
+func newRerunBudget() *rerunBudget { return &rerunBudget{remaining: maxReruns} }
 
 // accepted books one accepted request.
-func (b *rerunBudget) accepted() {
+func (b *rerunBudget) credit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.left = min(b.left+rerunShare, rerunReserve)
+	b.remaining = min(b.remaining+rerunRatio, maxReruns)
 }
 
 // take takes one rerun, or reports that none is left.
 func (b *rerunBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.left < 1 {
+	if b.remaining < 1 {
 		return false
 	}
-	b.left--
+	b.remaining--
 	return true
 }
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -13,17 +13,17 @@
 
 // sweepEvery is how often open callers' connections are looked at. A caller
 // that went away holds its place at an engine for at most this long.
-const sweepEvery = 250 * time.Millisecond
+const disconnectCheckInterval = 250 * time.Millisecond
 
 // maxDumped bounds the open calls that a dump lists.
 const maxDumped = 100
 
 // Causes for which a call ends before its answer.
 var (
-	errGone     = fault.New(fault.Broken, "none: the caller has gone", "the caller closed its connection")
-	errTimeout  = fault.New(fault.Unknown, "raise timeout_ms in the class's record, or ask for less", "the class's timeout has passed")
-	errKilled   = fault.New(fault.Broken, "send the request again", "this instance was killed")
-	errDraining = fault.New(fault.Broken, "send the request again", "this instance ends and its time to drain is over")
+	errCallerClosed = fault.New(fault.Broken, "none: the caller has gone", "the caller closed its connection")
+	errTimeout      = fault.New(fault.Unknown, "raise timeout_ms in the class's record, or ask for less", "the class's timeout has passed")
+	errKilled       = fault.New(fault.Broken, "send the request again", "this instance was killed")
+	errDraining     = fault.New(fault.Broken, "send the request again", "this instance ends and its time to drain is over")
 )
 
 // call is one open request of a caller.
@@ -96,8 +96,8 @@
 // sweep ends the calls whose callers have gone, until ctx ends. While nothing
 // is written to a caller, nothing else would show that it has gone, and its
 // request would hold a slot or a place in a queue for nobody.
-func (cs *calls) sweep(ctx context.Context) {
-	t := time.NewTicker(sweepEvery)
+func (cs *calls) cancelDisconnected(ctx context.Context) {
+	t := time.NewTicker(disconnectCheckInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -107,7 +107,7 @@
 		}
 		for _, c := range cs.snapshot() {
 			if !c.keepRunning && sockstate.Of(c.conn) == sockstate.Closed {
-				c.cancel(errGone)
+				c.cancel(errCallerClosed)
 			}
 		}
 	}
--- a/entry/chunk.go
+++ b/entry/chunk.go
@@ -83,7 +83,7 @@
 	text   []byte
 	// special says that something other than plain text was delivered, which
 	// can't be given to another engine to go on from.
-	special bool
+	notText bool
 	// finished is set by the piece that gives the reason for the end.
 	finished bool
 	// version of the weights that made the text.
@@ -111,7 +111,7 @@
 		p.text = append(append(p.text, c.Text...), c.Delta.Content...)
 	}
 	if c.Index != 0 || c.Logprobs != nil || len(c.Delta.ToolCalls) > 0 || c.Delta.ReasoningContent != "" || c.Delta.Refusal != "" {
-		p.special = true
+		p.notText = true
 	}
 	if c.FinishReason != nil {
 		p.finished = true
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -65,9 +65,9 @@
 	if errors.As(err, &rec) && writeRecorded(ctx, rec.found.Answer) {
 		return
 	}
-	status, again := answerTo(err)
+	status, retryable := statusFor(err)
 	ctx.SetStatusCode(status)
-	if again && len(ctx.Response.Header.Peek(fasthttp.HeaderRetryAfter)) == 0 {
+	if retryable && len(ctx.Response.Header.Peek(fasthttp.HeaderRetryAfter)) == 0 {
 		ctx.Response.Header.Set(fasthttp.HeaderRetryAfter, retryAfter(err))
 	}
 	ctx.SetContentType("application/json")
@@ -76,7 +76,7 @@
 
 // answerTo returns the status of an error, and whether it makes sense to come
 // back.
-func answerTo(err error) (status int, again bool) {
+func statusFor(err error) (status int, retryable bool) {
 	var rec *recordedError
 	if errors.As(err, &rec) {
 		return fasthttp.StatusConflict, rec.found.Answer == nil
@@ -85,8 +85,8 @@
 		return own.Status, false
 	}
 	status, _ = statusOf(fault.KindOf(err))
-	again = status == fasthttp.StatusTooManyRequests || status == fasthttp.StatusServiceUnavailable
-	return status, again || fault.RetryAfter(err) > 0
+	retryable = status == fasthttp.StatusTooManyRequests || status == fasthttp.StatusServiceUnavailable
+	return status, retryable || fault.RetryAfter(err) > 0
 }
 
 // errorBody is the API's error body. An endpoint's own words on the request's
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -21,7 +21,7 @@
 
 // Pieces of a stream come crossed with another's, twice, late, or not at all.
 // A caller would read another customer's words, or a text with a hole.
-func TestPieceFaultsAreMended(t *testing.T) {
+func TestPieceFaultsAreRepaired(t *testing.T) {
 	t.Parallel()
 	tests := map[string]emulator.EngineFaults{
 		"crossed":  {CrossNext: 1},
@@ -49,7 +49,7 @@
 
 // The very first piece is lost or another's. Nothing has reached the caller
 // yet, and nothing false may.
-func TestFirstPieceFaultsAreMended(t *testing.T) {
+func TestFirstPieceFaultsAreRepaired(t *testing.T) {
 	for name, faults := range map[string]emulator.EngineFaults{"crossed": {CrossNext: 1}, "lost": {LoseNext: 1}} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, rigConfig{engines: 1})
@@ -83,7 +83,7 @@
 
 // The connection to an engine goes silent for good while new ones work. The
 // engine lives and goes on; taking it for dead would compute the prompt again.
-func TestSilentConnectionIsResumed(t *testing.T) {
+func TestUnresponsiveConnectionIsResumed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 2})
 	rd := r.askFor(t, prompt, 60, nil)
@@ -97,7 +97,7 @@
 
 // A connection goes silent and the engine behind it crashes, so that nothing
 // ever says so on the open connection.
-func TestSilentConnectionAndCrash(t *testing.T) {
+func TestUnresponsiveConnectionAndCrash(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 2})
 	rd := r.askFor(t, prompt, 60, nil)
 	rd.piece()
@@ -239,7 +239,7 @@
 
 // A caller goes away, or never reads on. The engine's work for it is cancelled,
 // so that its slot is free long before the answer's end.
-func TestGoneCallerCancels(t *testing.T) {
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	rd := r.askFor(t, prompt, 90000, nil)
 	rd.piece()
@@ -249,7 +249,7 @@
 
 // A caller goes away while its request is still computed and nothing is
 // written to it.
-func TestCallerGoneBeforeTheFirstPiece(t *testing.T) {
+func TestCallerDisconnectBeforeFirstPiece(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 1, engine: emulator.EngineConfig{PrefillRate: 0.001, Heartbeat: 50 * time.Millisecond}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -291,7 +291,7 @@
 
 // A request that was given an endpoint for itself crashes it. It is the cause,
 // and is not given another one.
-func TestAloneAndCrashedIsTheEnd(t *testing.T) {
+func TestCrashWhileAloneIsNotRetried(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 3, engine: emulator.EngineConfig{DownTime: time.Millisecond}})
 	r.placer.alone = true
 	resp := r.do(t, "POST", "/v1/completions", nil, `{"model":"counter","prompt":"`+emulator.PoisonText+`","max_tokens":3}`)
@@ -306,7 +306,7 @@
 // A caller asks for a long answer and stops reading. Its stream ends after the
 // write timeout; otherwise each such caller would hold a connection, and what
 // is buffered for it, for as long as it likes.
-func TestCallerThatDoesNotReadIsDropped(t *testing.T) {
+func TestCallerThatStopsReadingIsDisconnected(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 1, engine: emulator.EngineConfig{Pace: 10000}})
 	rd := r.askFor(t, prompt, 99000, nil)
@@ -335,9 +335,9 @@
 }
 
 // stuckPlacer places nothing.
-type stuckPlacer struct{ staticPlacer }
+type blockedPlacer struct{ staticPlacer }
 
-func (stuckPlacer) Place(ctx context.Context, _ place.Request) (place.Grant, error) {
+func (blockedPlacer) Place(ctx context.Context, _ place.Request) (place.Grant, error) {
 	<-ctx.Done()
 	return place.Grant{}, ctx.Err()
 }
@@ -347,7 +347,7 @@
 func TestTimeoutInTheQueueIsNotRun(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 50, TimeoutMs: 100}
-	r := newRig(t, rigConfig{engines: 1, class: class, configure: func(c *entry.Config) { c.Placer = stuckPlacer{} }})
+	r := newRig(t, rigConfig{engines: 1, class: class, configure: func(c *entry.Config) { c.Placer = blockedPlacer{} }})
 	resp := r.do(t, "POST", "/v1/completions", nil, `{"model":"counter","prompt":"x","max_tokens":1}`)
 	if resp.StatusCode != 503 || resp.Header.Get("X-Sardinedock-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" {
 		t.Fatalf("status %d, headers %v", resp.StatusCode, resp.Header)
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -23,7 +23,7 @@
 		in.setString(fieldSalt, "0123")
 		out := in.encode()
 		checkBody(t, out)
-		if more, ok := in.continued(chat, []byte(text), 1); ok {
+		if more, ok := in.continuation(chat, []byte(text), 1); ok {
 			checkBody(t, more.encode())
 		}
 		if !bytes.Equal(in.encode(), out) {
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -64,8 +64,8 @@
 		s.refuse(ctx, err)
 		return
 	}
-	s.reruns.accepted()
-	c := &call{id: id, organisation: organisation, class: req.place.ClassName, conn: ctx.Conn(), keepRunning: req.once}
+	s.reruns.credit()
+	c := &call{id: id, organisation: organisation, class: req.place.ClassName, conn: ctx.Conn(), keepRunning: req.nonIdempotent}
 	s.calls.begin(c, timeout(req.place.Class))
 	a := s.newAnswer(c, req)
 	first, err := a.first()
@@ -85,7 +85,7 @@
 
 // first reads the first piece.
 func (a *answer) first() ([]byte, error) {
-	if err := a.look(); err != nil {
+	if err := a.lookupKey(); err != nil {
 		return nil, err
 	}
 	return a.Next()
--- a/entry/kill_test.go
+++ b/entry/kill_test.go
@@ -14,11 +14,11 @@
 // gatedPlacer places nothing before its gate opens.
 type gatedPlacer struct {
 	staticPlacer
-	asked, gate chan struct{}
+	called, gate chan struct{}
 }
 
 func (p *gatedPlacer) Place(ctx context.Context, r place.Request) (place.Grant, error) {
-	close(p.asked)
+	close(p.called)
 	select {
 	case <-p.gate:
 		return p.staticPlacer.Place(ctx, r)
@@ -32,7 +32,7 @@
 // an engine that was leaving since. No crashed process does that; the run then counted a late
 // start against the fleet, and a request of the dead beside its caller's next attempt.
 func TestKilledServerSendsNothing(t *testing.T) {
-	p := &gatedPlacer{asked: make(chan struct{}), gate: make(chan struct{})}
+	p := &gatedPlacer{called: make(chan struct{}), gate: make(chan struct{})}
 	r := newRig(t, rigConfig{engines: 1, configure: func(c *entry.Config) { c.Placer = p }})
 	ended := make(chan struct{})
 	go func() {
@@ -43,7 +43,7 @@
 			_ = resp.Body.Close()
 		}
 	}()
-	<-p.asked
+	<-p.called
 	r.server.Kill()
 	close(p.gate)
 	<-ended
@@ -60,8 +60,8 @@
 	rd.piece()
 	r.server.Kill()
 	// An order to cancel would be there within milliseconds.
-	const soon = 200 * time.Millisecond
-	time.Sleep(soon)
+	const cancelWait = 200 * time.Millisecond
+	time.Sleep(cancelWait)
 	client := endpoint.NewClient(r.Engines[0].Addr(), time.Second, testSilence)
 	l, err := client.Load(t.Context())
 	if err != nil {
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -13,8 +13,8 @@
 
 const (
 	// lingerTime and lingerBytes bound what is still read of a refused body.
-	lingerTime  = time.Second
-	lingerBytes = 64 << 20
+	lingerTimeout  = time.Second
+	maxLingerBytes = 64 << 20
 )
 
 // listener bounds each write to a caller. A caller that stops reading fills
@@ -27,7 +27,7 @@
 
 // acceptPause is the wait before another try where no connection could be
 // accepted.
-const acceptPause = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
 var acceptFailures = metrics.GetOrCreateCounter("sardinedock_accept_failures_total")
 
@@ -37,9 +37,9 @@
 // without an answer; so such errors are waited out here.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	for passing(err) {
+	for isTransient(err) {
 		acceptFailures.Inc()
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 		c, err = l.Listener.Accept()
 	}
 	if err != nil {
@@ -49,7 +49,7 @@
 }
 
 // passing reports whether an error of accept says nothing of the listener.
-func passing(err error) bool {
+func isTransient(err error) bool {
 	for _, e := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, e) {
 			return true
@@ -80,8 +80,8 @@
 func (c *callerConn) Close() error {
 	cw, ok := c.Conn.(interface{ CloseWrite() error })
 	if ok && c.linger.Swap(false) && cw.CloseWrite() == nil {
-		_ = c.SetReadDeadline(time.Now().Add(lingerTime))
-		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, lingerBytes))
+		_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
+		_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, maxLingerBytes))
 	}
 	return c.Conn.Close()
 }
--- a/entry/listener_test.go
+++ b/entry/listener_test.go
@@ -10,12 +10,12 @@
 )
 
 // fullListener has no free file descriptors for a while, then ends.
-type fullListener struct {
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (l *fullListener) Accept() (net.Conn, error) {
+func (l *failingListener) Accept() (net.Conn, error) {
 	err := l.errs[0]
 	l.errs = l.errs[1:]
 	if err != nil {
@@ -27,8 +27,8 @@
 
 // A burst uses up the process's file descriptors. The listener must go on when
 // some are free again; a caller would otherwise connect and wait for ever.
-func TestListenerSurvivesFullTables(t *testing.T) {
-	l := &listener{writeTimeout: time.Second, Listener: &fullListener{errs: []error{syscall.EMFILE, syscall.ECONNABORTED, nil, syscall.EINVAL}}}
+func TestListenerSurvivesTransientAcceptErrors(t *testing.T) {
+	l := &listener{writeTimeout: time.Second, Listener: &failingListener{errs: []error{syscall.EMFILE, syscall.ECONNABORTED, nil, syscall.EINVAL}}}
 	if _, err := l.Accept(); err != nil {
 		t.Fatal(err)
 	}
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -10,9 +10,9 @@
 type counters struct {
 	complete, notRun, unknown *metrics.Counter
 	resumed                   *metrics.Counter
-	continued                 *metrics.Counter
+	rerun                     *metrics.Counter
 	crashed                   *metrics.Counter
-	crossed                   *metrics.Counter
+	outOfOrder                *metrics.Counter
 	cancelled                 *metrics.Counter
 	notStarted                *metrics.Counter
 }
@@ -23,9 +23,9 @@
 		notRun:     metrics.GetOrCreateCounter(`sardinedock_requests_total{outcome="not-run"}`),
 		unknown:    metrics.GetOrCreateCounter(`sardinedock_requests_total{outcome="unknown"}`),
 		resumed:    metrics.GetOrCreateCounter("sardinedock_streams_resumed_total"),
-		continued:  metrics.GetOrCreateCounter("sardinedock_requests_rerun_total"),
+		rerun:      metrics.GetOrCreateCounter("sardinedock_requests_rerun_total"),
 		crashed:    metrics.GetOrCreateCounter("sardinedock_endpoint_deaths_total"),
-		crossed:    metrics.GetOrCreateCounter("sardinedock_pieces_out_of_order_total"),
+		outOfOrder: metrics.GetOrCreateCounter("sardinedock_pieces_out_of_order_total"),
 		cancelled:  metrics.GetOrCreateCounter("sardinedock_runs_cancelled_total"),
 		notStarted: metrics.GetOrCreateCounter("sardinedock_sends_not_started_total"),
 	}
--- a/entry/once.go
+++ b/entry/once.go
@@ -26,20 +26,20 @@
 
 // settleWait bounds how long a refused caller waits for its refusal to be put on
 // record. It takes milliseconds; a store that takes longer is as good as away.
-const settleWait = 500 * time.Millisecond
+const refuseTimeout = 500 * time.Millisecond
 
 // A resend that meets its first attempt under way looks again after firstLook,
 // twice and four times that. Most confirmations end within that time, and the
 // caller has the answer now instead of after a second of Retry-After. Longer
 // ones are not waited for: each look is a read of the object API.
 const (
-	firstLook = 25 * time.Millisecond
-	lastLook  = 4 * firstLook
+	firstPoll = 25 * time.Millisecond
+	lastPoll  = 4 * firstPoll
 )
 
 // minTakeWait is the least time that a claim may take, also where placing used
 // up the class's wait.
-const minTakeWait = 500 * time.Millisecond
+const minAcquireTimeout = 500 * time.Millisecond
 
 // Claims is what the server needs of the claims; see package claim.
 type Claims interface {
@@ -52,30 +52,30 @@
 
 // ticket is a non-idempotent request's way to its one send. A nil ticket is
 // that of a request without an idempotency key, which no resend can name.
-type ticket struct {
+type claimGuard struct {
 	claims  Claims
-	account *outcome.Request
+	tracker *outcome.Request
 	request claim.Request
 	class   *recordspb.RequestClass
 	// startBy is when the class's wait is over.
-	startBy time.Time
+	startDeadline time.Time
 	// held is set while the claim is this attempt's; takenAt is from when.
-	held    bool
-	takenAt time.Time
+	acquired   bool
+	acquiredAt time.Time
 	// away is set once the store did not answer in time.
-	away bool
+	storeFailed bool
 	// unclaimed is set if the class's rule lets the request go without.
 	unclaimed bool
 }
 
-func (s *Server) newTicket(account *outcome.Request, key string, r claim.Request, class *recordspb.RequestClass) *ticket {
-	if account.Idempotent() || key == "" || s.cfg.Claims == nil {
+func (s *Server) newClaimGuard(tracker *outcome.Request, key string, r claim.Request, class *recordspb.RequestClass) *claimGuard {
+	if tracker.Idempotent() || key == "" || s.cfg.Claims == nil {
 		return nil
 	}
-	account.Keyed()
+	tracker.Keyed()
 	r.Timeout = timeout(class)
-	startBy := time.Now().Add(time.Duration(class.GetMaxWaitMs()) * time.Millisecond)
-	return &ticket{claims: s.cfg.Claims, account: account, request: r, class: class, startBy: startBy}
+	startDeadline := time.Now().Add(time.Duration(class.GetMaxWaitMs()) * time.Millisecond)
+	return &claimGuard{claims: s.cfg.Claims, tracker: tracker, request: r, class: class, startDeadline: startDeadline}
 }
 
 // recordedError ends a request whose key another attempt holds.
@@ -88,12 +88,12 @@
 
 func (e *recordedError) Unwrap() error { return e.cause }
 
-func (t *ticket) recorded(f claim.Found) error {
+func (g *claimGuard) takenError(f claim.Found) error {
 	if !f.SameBody {
-		t.account.KeyFree()
+		g.tracker.KeyFree()
 		return fault.New(fault.Conflict, "use a new key for another request", "this %s was used for another request", headerKey)
 	}
-	t.account.Recorded(f.Answer != nil)
+	g.tracker.Recorded(f.Answer != nil)
 	if f.Answer == nil {
 		return &recordedError{f, fault.New(fault.Unknown, "ask again with the same key; its end may be recorded by then", "a request with this %s was sent, and its end is not known", headerKey)}
 	}
@@ -102,39 +102,39 @@
 
 // look finds out, before the request takes a slot from others, whether its key
 // is known and whether the store answers. An error is final; nothing was sent.
-func (t *ticket) look(ctx context.Context) error {
-	if t == nil {
+func (g *claimGuard) lookupKey(ctx context.Context) error {
+	if g == nil {
 		return nil
 	}
-	ctx, stop := context.WithDeadline(ctx, t.startBy)
+	ctx, stop := context.WithDeadline(ctx, g.startDeadline)
 	defer stop()
-	f, err := t.claims.Look(ctx, t.request)
+	f, err := g.claims.Look(ctx, g.request)
 	if err != nil {
-		return t.storeDown(err)
+		return g.storeDown(err)
 	}
-	if f = t.await(ctx, f); f.Taken {
-		return t.recorded(f)
+	if f = g.poll(ctx, f); f.Taken {
+		return g.takenError(f)
 	}
-	t.request.Seen = f.Seen
+	g.request.Seen = f.Seen
 	return nil
 }
 
 // ended waits for the end of the attempt that took the key first. Where that one
 // gave it back meanwhile, the caller is told to ask again, since this attempt has waited long enough.
-func (t *ticket) ended(ctx context.Context, f claim.Found) claim.Found {
-	if later := t.await(ctx, f); later.Taken {
+func (g *claimGuard) awaitEnd(ctx context.Context, f claim.Found) claim.Found {
+	if later := g.poll(ctx, f); later.Taken {
 		return later
 	}
 	return f
 }
 
 // await looks again while another attempt holds the key and has not ended.
-func (t *ticket) await(ctx context.Context, f claim.Found) claim.Found {
-	for pause := firstLook; pause <= lastLook && f.Taken && f.SameBody && f.Answer == nil; pause *= 2 {
-		if clock.Sleep(ctx, pause) != nil {
+func (g *claimGuard) poll(ctx context.Context, f claim.Found) claim.Found {
+	for delay := firstPoll; delay <= lastPoll && f.Taken && f.SameBody && f.Answer == nil; delay *= 2 {
+		if clock.Sleep(ctx, delay) != nil {
 			return f
 		}
-		again, err := t.claims.Look(ctx, t.request)
+		again, err := g.claims.Look(ctx, g.request)
 		if err != nil {
 			return f
 		}
@@ -144,54 +144,54 @@
 }
 
 // take claims the key. It must succeed before the first byte is sent.
-func (t *ticket) take(ctx context.Context) error {
-	if t == nil || t.unclaimed {
+func (g *claimGuard) acquire(ctx context.Context) error {
+	if g == nil || g.unclaimed {
 		return nil
 	}
-	if t.held {
-		return t.check()
+	if g.acquired {
+		return g.checkAge()
 	}
-	startBy := t.startBy
-	if least := time.Now().Add(minTakeWait); startBy.Before(least) {
-		startBy = least
+	startDeadline := g.startDeadline
+	if earliest := time.Now().Add(minAcquireTimeout); startDeadline.Before(earliest) {
+		startDeadline = earliest
 	}
-	ctx, stop := context.WithDeadline(ctx, startBy)
+	ctx, stop := context.WithDeadline(ctx, startDeadline)
 	defer stop()
-	t.takenAt = time.Now()
-	f, err := t.claims.Take(ctx, t.request)
+	g.acquiredAt = time.Now()
+	f, err := g.claims.Take(ctx, g.request)
 	if err != nil {
-		return t.storeDown(err)
+		return g.storeDown(err)
 	}
 	if f.Taken {
-		return t.recorded(t.ended(ctx, f))
+		return g.takenError(g.awaitEnd(ctx, f))
 	}
 	if f.Refused {
 		err := fault.New(fault.Overloaded, "send the request again", "another attempt under this %s was refused as not run", headerKey)
 		return fault.WithRetryAfter(err, refusedRetryAfter)
 	}
-	t.account.Claim()
-	t.held = true
-	return t.check()
+	g.tracker.Claim()
+	g.acquired = true
+	return g.checkAge()
 }
 
 // check refuses to send under a claim that may have been forgotten: the
 // process was paused for so long after the claim that the store's record of it
 // may be gone, and another instance may have claimed the key since. Both
 // clocks count, as a paused machine's monotonic one may have stood still.
-func (t *ticket) check() error {
+func (g *claimGuard) checkAge() error {
 	const bound = claim.Retention / 2
-	wall := time.Now().Round(0).Sub(t.takenAt.Round(0))
-	if time.Since(t.takenAt) < bound && wall < bound {
+	wall := time.Now().Round(0).Sub(g.acquiredAt.Round(0))
+	if time.Since(g.acquiredAt) < bound && wall < bound {
 		return nil
 	}
 	return fault.New(fault.Unavailable, "send the request again", "the instance was paused after the claim")
 }
 
 // storeDown applies the class's rule for the time without the object API.
-func (t *ticket) storeDown(err error) error {
-	t.away = true
-	if fault.Is(err, fault.Unavailable) && t.class.GetWhenStoreDown() == recordspb.StoreDownRule_STORE_DOWN_RUN_UNCLAIMED {
-		t.unclaimed = true
+func (g *claimGuard) storeDown(err error) error {
+	g.storeFailed = true
+	if fault.Is(err, fault.Unavailable) && g.class.GetWhenStoreDown() == recordspb.StoreDownRule_STORE_DOWN_RUN_UNCLAIMED {
+		g.unclaimed = true
 		return nil
 	}
 	return fault.WithRetryAfter(err, storeRetryAfter)
@@ -202,20 +202,20 @@
 // could still run it, and the word would be false. Where it can't be put on
 // record, the word stays unknown. It returns the error for the caller: err, or
 // what the record says where another attempt holds the key.
-func (t *ticket) settle(err error) error {
-	if t == nil || t.away || t.unclaimed || !t.account.NeedsRefusal() {
+func (g *claimGuard) recordNotRun(err error) error {
+	if g == nil || g.storeFailed || g.unclaimed || !g.tracker.NeedsRefusal() {
 		return err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), settleWait)
+	ctx, stop := context.WithTimeout(context.Background(), refuseTimeout)
 	defer stop()
-	f, failed := t.claims.Refuse(ctx, t.request)
+	f, refuseErr := g.claims.Refuse(ctx, g.request)
 	switch {
-	case failed != nil:
+	case refuseErr != nil:
 	case !f.Taken:
-		t.account.KeyFree()
-		t.held = false
-	case !t.held:
-		return t.recorded(f)
+		g.tracker.KeyFree()
+		g.acquired = false
+	case !g.acquired:
+		return g.takenError(f)
 	}
 	return err
 }
@@ -223,13 +223,13 @@
 // end records what became of the request: its answer, or that it did not run
 // and its key is free. A request of which nobody knows leaves its claim as it
 // stands.
-func (t *ticket) end(v outcome.Verdict, a claim.Answer) {
+func (g *claimGuard) finish(v outcome.Verdict, a claim.Answer) {
 	switch {
-	case t == nil || !t.held:
+	case g == nil || !g.acquired:
 	case v.Complete():
-		t.claims.Finish(t.request, a)
-	case t.account.Unrun():
-		t.claims.Release(t.request)
+		g.claims.Finish(g.request, a)
+	case g.tracker.Unrun():
+		g.claims.Release(g.request)
 	}
 }
 
--- a/entry/once_internal_test.go
+++ b/entry/once_internal_test.go
@@ -40,24 +40,24 @@
 // store may have forgotten the claim and another instance may hold the key.
 // Going on would ship twice, so it refuses, and says truly that it sent
 // nothing.
-func TestPausedHolderDoesNotSend(t *testing.T) {
+func TestInstancePausedAfterClaimDoesNotSend(t *testing.T) {
 	for pause, ok := range map[time.Duration]bool{time.Second: true, claim.Retention: false} {
 		synctest.Test(t, func(t *testing.T) {
 			claims := &pausedClaims{pause: pause}
 			s := &Server{cfg: Config{Claims: claims}}
-			account := outcome.New(true)
+			tracker := outcome.New(true)
 			class := &recordspb.RequestClass{MaxWaitMs: 1000, TimeoutMs: 60000}
-			ticket := s.newTicket(account, "k", claim.Request{Key: claim.NewKey("accra", "k"), Attempt: "a"}, class)
-			account.Admit()
-			if err := ticket.take(context.Background()); (err == nil) != ok {
+			claimGuard := s.newClaimGuard(tracker, "k", claim.Request{Key: claim.NewKey("accra", "k"), Attempt: "a"}, class)
+			tracker.Admit()
+			if err := claimGuard.acquire(context.Background()); (err == nil) != ok {
 				t.Fatalf("after a pause of %v: %v", pause, err)
 			}
-			if account.Verdict().NotRun() {
+			if tracker.Verdict().NotRun() {
 				t.Fatal("said not-run before that was on record")
 			}
-			_ = ticket.settle(nil)
-			verdict := account.Finish()
-			ticket.end(verdict, claim.Answer{})
+			_ = claimGuard.recordNotRun(nil)
+			verdict := tracker.Finish()
+			claimGuard.finish(verdict, claim.Answer{})
 			if !verdict.NotRun() || claims.refused != 1 || claims.released != 0 {
 				t.Fatalf("said %s, refused %d times, released %d times", verdict, claims.refused, claims.released)
 			}
@@ -68,13 +68,13 @@
 // runningClaims tells of another attempt that ends after some looks.
 type runningClaims struct {
 	pausedClaims
-	looks, ends int
+	lookups, endsAfter int
 }
 
 func (r *runningClaims) Look(context.Context, claim.Request) (claim.Found, error) {
-	r.looks++
+	r.lookups++
 	f := claim.Found{Taken: true, SameBody: true}
-	if r.looks > r.ends {
+	if r.lookups > r.endsAfter {
 		f.Answer = &claim.Answer{Status: 200, Kept: true}
 	}
 	return f, nil
@@ -83,20 +83,20 @@
 // A counter sends a confirmation twice at once. The second attempt meets the
 // first one a few milliseconds before its end; told only "ask again in a
 // second", the counter would learn of a dispatch a second late.
-func TestResendWaitsForAnAttemptThatEndsSoon(t *testing.T) {
-	for ends, answered := range map[int]bool{0: true, 3: true, 4: false} {
+func TestResendWaitsBrieflyForRunningAttempt(t *testing.T) {
+	for endsAfter, answered := range map[int]bool{0: true, 3: true, 4: false} {
 		synctest.Test(t, func(t *testing.T) {
-			claims := &runningClaims{ends: ends}
+			claims := &runningClaims{endsAfter: endsAfter}
 			s := &Server{cfg: Config{Claims: claims}}
-			account := outcome.New(true)
+			tracker := outcome.New(true)
 			class := &recordspb.RequestClass{MaxWaitMs: 1000, TimeoutMs: 60000}
-			ticket := s.newTicket(account, "k", claim.Request{Key: claim.NewKey("accra", "k"), Attempt: "b"}, class)
-			err := ticket.look(context.Background())
-			if err == nil || account.Verdict().Complete() != answered {
-				t.Fatalf("ended after %d looks: %v, said %s", ends, err, account.Verdict())
+			claimGuard := s.newClaimGuard(tracker, "k", claim.Request{Key: claim.NewKey("accra", "k"), Attempt: "b"}, class)
+			err := claimGuard.lookupKey(context.Background())
+			if err == nil || tracker.Verdict().Complete() != answered {
+				t.Fatalf("ended after %d looks: %v, said %s", endsAfter, err, tracker.Verdict())
 			}
-			if claims.looks > 4 {
-				t.Fatalf("%d looks", claims.looks)
+			if claims.lookups > 4 {
+				t.Fatalf("%d looks", claims.lookups)
 			}
 		})
 	}
--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -20,24 +20,24 @@
 )
 
 // pair is two instances before the same store and endpoints.
-type pair struct {
+type instancePair struct {
 	*rig
-	store *objecttest.Store
-	books [2]*claim.Book
-	urls  [2]string
+	store  *objecttest.Store
+	claims [2]*claim.Book
+	urls   [2]string
 }
 
-func newPair(t *testing.T, cfg rigConfig) *pair {
+func newPair(t *testing.T, cfg rigConfig) *instancePair {
 	t.Helper()
-	p := &pair{store: &objecttest.Store{}}
-	for n := range p.books {
+	p := &instancePair{store: &objecttest.Store{}}
+	for n := range p.claims {
 		b := claim.Open(p.store, clock.System{})
 		t.Cleanup(b.Kill)
-		p.books[n] = b
+		p.claims[n] = b
 	}
 	configure := cfg.configure
 	cfg.configure = func(c *entry.Config) {
-		c.Claims = p.books[0]
+		c.Claims = p.claims[0]
 		if configure != nil {
 			configure(c)
 		}
@@ -45,18 +45,18 @@
 	p.rig = newRig(t, cfg)
 	p.urls[0] = p.url
 	other := p.config
-	other.Claims = p.books[1]
+	other.Claims = p.claims[1]
 	p.urls[1] = p.serve(t, other)
 	return p
 }
 
 // send sends an order with a key through one of the instances.
-func (p *pair) send(t *testing.T, instance int, key, body string) *http.Response {
+func (p *instancePair) send(t *testing.T, instance int, key, body string) *http.Response {
 	t.Helper()
 	return p.call(t, instance, "/services/ordering/dispatch", key, body)
 }
 
-func (p *pair) call(t *testing.T, instance int, path, key, body string) *http.Response {
+func (p *instancePair) call(t *testing.T, instance int, path, key, body string) *http.Response {
 	t.Helper()
 	p.url = p.urls[instance]
 	header := http.Header{"Idempotency-Key": {key}, "X-Sardinedock-Non-Idempotent": {"true"}}
@@ -74,7 +74,7 @@
 
 // wantRecorded waits until the end of a request is on record at the other
 // instance: it is recorded after the caller has its answer.
-func (p *pair) wantRecorded(t *testing.T, key, body string) *http.Response {
+func (p *instancePair) waitRecorded(t *testing.T, key, body string) *http.Response {
 	t.Helper()
 	for {
 		resp := p.send(t, 1, key, body)
@@ -90,7 +90,7 @@
 func TestResendIsAnsweredFromTheRecord(t *testing.T) {
 	p := newPair(t, rigConfig{services: 2})
 	first := want(t, p.send(t, 0, "k", "ship 7"), 200, "complete")
-	resp := p.wantRecorded(t, "k", "ship 7")
+	resp := p.waitRecorded(t, "k", "ship 7")
 	if got := want(t, resp, 200, "complete"); got != first || resp.Header.Get("Idempotent-Replayed") != "true" {
 		t.Fatalf("got %q, want %q", got, first)
 	}
@@ -103,7 +103,7 @@
 
 // A confirmation hangs at the ordering app and the counter sends it again. The
 // second one is told at once that nobody knows yet, and does not run.
-func TestResendWhileTheFirstHangs(t *testing.T) {
+func TestResendWhileFirstAttemptHangs(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 500, TimeoutMs: 1500}
 	p := newPair(t, rigConfig{services: 1, class: class, service: emulator.ServiceConfig{}})
@@ -164,7 +164,7 @@
 }
 
 // The operator has chosen that confirmations go on without the object API.
-func TestStoreDownWithTheOtherRule(t *testing.T) {
+func TestStoreDownRunsUnclaimed(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 60000, WhenStoreDown: recordspb.StoreDownRule_STORE_DOWN_RUN_UNCLAIMED}
 	p := newPair(t, rigConfig{services: 1, class: class})
@@ -190,7 +190,7 @@
 	}()
 	for p.serviceRuns() == 0 {
 	}
-	p.books[0].Kill()
+	p.claims[0].Kill()
 	want(t, p.send(t, 1, "k", ""), 409, "unknown")
 	if got := p.serviceRuns(); got != 1 {
 		t.Fatalf("%d runs", got)
@@ -199,7 +199,7 @@
 
 // Nothing listens at the ordering app, so the confirmation did not run and is
 // said not to have run. Its key is free for the resend once the app is back.
-func TestKeyOfUnsentRequestIsFree(t *testing.T) {
+func TestKeyOfUnsentRequestIsReleased(t *testing.T) {
 	t.Parallel()
 	p := newPair(t, rigConfig{services: 1})
 	go p.Services[0].Crash(time.Second)
@@ -231,26 +231,26 @@
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":2}`
 	first := want(t, p.call(t, 0, "/v1/completions", "whole", body), 200, "complete")
-	again := p.untilKnown(t, "whole", body)
+	again := p.waitOutcome(t, "whole", body)
 	if got := want(t, again, 200, "complete"); got != first {
 		t.Fatalf("got %s, want %s", got, first)
 	}
 	body = `{"model":"counter","prompt":"x","max_tokens":2,"stream":true}`
 	stream, _ := io.ReadAll(p.call(t, 0, "/v1/completions", "stream", body).Body)
-	again = p.untilKnown(t, "stream", body)
+	again = p.waitOutcome(t, "stream", body)
 	if got := want(t, again, 200, "complete"); got != string(stream) {
 		t.Fatalf("got %s, want %s", got, stream)
 	}
 	body = `{"model":"counter","prompt":"x","max_tokens":400,"stream":true}`
 	_, _ = io.ReadAll(p.call(t, 0, "/v1/completions", "long", body).Body)
-	want(t, p.untilKnown(t, "long", body), 409, "complete")
+	want(t, p.waitOutcome(t, "long", body), 409, "complete")
 	if got := p.Engines[0].Stats().Runs; got != 3 {
 		t.Fatalf("%d runs", got)
 	}
 }
 
 // untilKnown asks the other instance until the end of a request is on record.
-func (p *pair) untilKnown(t *testing.T, key, body string) *http.Response {
+func (p *instancePair) waitOutcome(t *testing.T, key, body string) *http.Response {
 	t.Helper()
 	for {
 		resp := p.call(t, 1, "/v1/completions", key, body)
@@ -262,10 +262,10 @@
 
 // The first attempt ran at an instance that has died, and the resend reaches
 // one that has no records yet. It can't know that nothing ran.
-func TestInstanceWithoutRecordsDoesNotSayNotRun(t *testing.T) {
+func TestInstanceWithoutRecordsReportsUnknown(t *testing.T) {
 	p := newPair(t, rigConfig{services: 1})
 	want(t, p.send(t, 0, "k", "ship 7"), 200, "complete")
-	p.all = nil
+	p.snapshot = nil
 	p.urls[1] = p.serve(t, p.config)
 	want(t, p.send(t, 1, "k", "ship 7"), 503, "unknown")
 	want(t, p.do(t, "GET", "/services/ordering/dispatch", nil, ""), 503, "not-run")
@@ -273,12 +273,12 @@
 
 // A counter's connection breaks in the middle of a streamed confirmation. The
 // engine's work goes on, and the resend reads the whole answer.
-func TestStreamOfGoneCallerIsRecorded(t *testing.T) {
+func TestStreamIsRecordedAfterCallerDisconnect(t *testing.T) {
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":20,"stream":true}`
 	first := p.call(t, 0, "/v1/completions", "gone", body)
 	_ = first.Body.Close()
-	text := want(t, p.untilKnown(t, "gone", body), 200, "complete")
+	text := want(t, p.waitOutcome(t, "gone", body), 200, "complete")
 	if got := strings.Count(text, "data: "); got != 21 {
 		t.Fatalf("%d events", got)
 	}
@@ -293,36 +293,36 @@
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":[1,2],"max_tokens":2}`
 	first := want(t, p.call(t, 0, "/v1/completions", "k", body), 400, "complete")
-	if got := want(t, p.untilKnown(t, "k", body), 400, "complete"); got != first {
+	if got := want(t, p.waitOutcome(t, "k", body), 400, "complete"); got != first {
 		t.Fatalf("got %s, want %s", got, first)
 	}
 }
 
 // slowPlacer lets another attempt run while a request waits, and refuses it.
-type slowPlacer struct {
+type refusingPlacer struct {
 	staticPlacer
 	wait func()
 }
 
-func (p slowPlacer) Place(context.Context, place.Request) (place.Grant, error) {
+func (p refusingPlacer) Place(context.Context, place.Request) (place.Grant, error) {
 	p.wait()
 	return place.Grant{}, fault.New(fault.Overloaded, "come back", "no slot")
 }
 
 // A counter sends a confirmation twice at once. One of the two waits for a slot
 // and is refused, long after its look at the record; the other has run by then.
-func TestRefusalLooksAtTheRecordAgain(t *testing.T) {
+func TestRefusalChecksRecordAgain(t *testing.T) {
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":2}`
 	refusing := p.config
-	refusing.Claims = p.books[1]
-	refusing.Placer = slowPlacer{wait: func() { want(t, p.call(t, 0, "/v1/completions", "k", body), 200, "complete") }}
+	refusing.Claims = p.claims[1]
+	refusing.Placer = refusingPlacer{wait: func() { want(t, p.call(t, 0, "/v1/completions", "k", body), 200, "complete") }}
 	p.urls[1] = p.serve(t, refusing)
 	resp := p.call(t, 1, "/v1/completions", "k", body)
 	if got := resp.Header.Get("X-Sardinedock-Outcome"); got == "not-run" {
 		t.Fatalf("status %d says not-run of a request that ran", resp.StatusCode)
 	}
-	refusing.Placer = slowPlacer{wait: func() {}}
+	refusing.Placer = refusingPlacer{wait: func() {}}
 	p.urls[1] = p.serve(t, refusing)
 	want(t, p.call(t, 1, "/v1/completions", "other", body), 503, "not-run")
 }
--- a/entry/overhead_bench_test.go
+++ b/entry/overhead_bench_test.go
@@ -71,16 +71,16 @@
 	}
 	for range b.N {
 		r := newRig(b, rigConfig{engines: 1, limits: limits, engine: emulator.EngineConfig{Pace: 1, TokenTime: 20 * time.Second, Queue: 4096, Heartbeat: 100 * time.Millisecond}})
-		direct := heldBy(b, "http://"+r.Engines[0].Addr())
-		routed := heldBy(b, r.url)
+		direct := memoryOf(b, "http://"+r.Engines[0].Addr())
+		routed := memoryOf(b, r.url)
 		b.ReportMetric((routed-direct)/1000/1024, "KB/stream")
 	}
 }
 
 // heldBy opens 1,000 streams and returns the bytes of heap and stacks in use.
-func heldBy(b *testing.B, url string) float64 {
+func memoryOf(b *testing.B, url string) float64 {
 	const streams = 1000
-	before := inUse()
+	before := memoryInUse()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	var wg sync.WaitGroup
 	open := make([]io.Closer, streams)
@@ -94,12 +94,12 @@
 		})
 	}
 	time.Sleep(2 * time.Second)
-	held := inUse() - before
+	held := memoryInUse() - before
 	client.CloseIdleConnections()
 	return held
 }
 
-func inUse() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/entry/recover.go
+++ b/entry/recover.go
@@ -15,37 +15,37 @@
 const maxResumes = 3
 
 // state is what is found of a run whose connection failed.
-type state int
+type probeResult int
 
 const (
 	// resumed: the run goes on, on a new connection.
-	resumed state = iota
+	resumed probeResult = iota
 	// lost: the engine lives and does not know the run, or can't give it.
-	lost
+	runLost
 	// dead: the engine died with the run in flight.
-	dead
+	engineDied
 )
 
 // recover goes on after a break, a silence, or a piece that was not due: on a
 // new connection to the same engine, or elsewhere if the engine has lost the
 // run or died. A nil error means that Next can go on.
 func (a *answer) recover(cause error) error {
-	if gone := a.call.cause(); gone != nil {
-		return gone
+	if callErr := a.call.cause(); callErr != nil {
+		return callErr
 	}
-	switch a.examine(cause) {
+	switch a.probeRun(cause) {
 	case resumed:
 		a.srv.metrics.resumed.Inc()
 		return nil
-	case dead:
+	case engineDied:
 		return a.afterCrash(cause)
 	}
-	if gone := a.call.cause(); gone != nil {
-		return gone
+	if callErr := a.call.cause(); callErr != nil {
+		return callErr
 	}
-	a.excludeRun()
-	a.leave(place.EndFailed)
-	return a.elsewhere(cause)
+	a.excludeEndpoint()
+	a.endRun(place.EndFailed)
+	return a.retryElsewhere(cause)
 }
 
 // afterCrash reports the crash and goes on elsewhere, unless the request ran
@@ -53,34 +53,34 @@
 func (a *answer) afterCrash(cause error) error {
 	a.srv.metrics.crashed.Inc()
 	alone := a.run.grant.Alone
-	a.leave(place.EndCrashed)
+	a.endRun(place.EndCrashed)
 	if alone {
 		return fault.Wrap(cause, fault.Suspect, "change the request; its content crashed endpoints", "the endpoint died while it ran this request alone")
 	}
-	return a.elsewhere(cause)
+	return a.retryElsewhere(cause)
 }
 
 // elsewhere decides whether the request may be sent again.
-func (a *answer) elsewhere(cause error) error {
-	a.broke = cause
-	if !a.account.MaySend() {
+func (a *answer) retryElsewhere(cause error) error {
+	a.lastErr = cause
+	if !a.tracker.MaySend() {
 		return fault.Wrap(cause, fault.Unknown, "ask with the same Idempotency-Key what became of it", "a non-idempotent request broke off; it may have run")
 	}
-	if a.progress.pieces > 0 && (a.progress.special || !a.req.single) {
+	if a.progress.pieces > 0 && (a.progress.notText || !a.req.singleChoice) {
 		return fault.Wrap(cause, fault.Broken, "send the request again", "the endpoint died and the answer's form can't be continued elsewhere")
 	}
 	if !a.srv.reruns.take() {
 		return fault.Wrap(cause, fault.Overloaded, "send the request again later", "too many requests had to be run again")
 	}
-	a.srv.metrics.continued.Inc()
-	a.waitFrom(time.Now())
+	a.srv.metrics.rerun.Inc()
+	a.resetStartDeadline(time.Now())
 	return nil
 }
 
 // examine asks the engine on new connections what became of the run. An open
 // connection's silence proves nothing: something in between may have forgotten
 // it. Only a new connection that fails, or another incarnation, means death.
-func (a *answer) examine(cause error) state {
+func (a *answer) probeRun(cause error) probeResult {
 	r := a.run
 	if r.stream != nil {
 		r.stream.Close()
@@ -88,22 +88,22 @@
 	}
 	var status *endpoint.StatusError
 	if errors.As(cause, &status) {
-		return a.alive()
+		return a.probeEngine()
 	}
 	for ; r.resumes < maxResumes && a.call.cause() == nil; r.resumes++ {
 		s, err := r.engine.Resume(a.call.ctx, r.id, r.next-1)
 		if err == nil {
-			return a.adopt(s)
+			return a.attach(s)
 		}
-		found := a.alive()
-		if found == lost && fault.Is(err, fault.NotFound) && a.maybeDied(cause) {
-			return dead
+		found := a.probeEngine()
+		if found == runLost && fault.Is(err, fault.NotFound) && a.mayHaveRestarted(cause) {
+			return engineDied
 		}
-		if found == dead || fault.Is(err, fault.NotFound) {
+		if found == engineDied || fault.Is(err, fault.NotFound) {
 			return found
 		}
 	}
-	return lost
+	return runLost
 }
 
 // maybeDied reports whether the engine may have died and come back unseen: the
@@ -112,38 +112,38 @@
 // costs a run alone at worst; passing over it would let a request that crashes
 // endpoints go on to the next one. A silent connection may never have brought
 // the request.
-func (a *answer) maybeDied(cause error) bool {
+func (a *answer) mayHaveRestarted(cause error) bool {
 	return a.run.incarnation == 0 && !endpoint.Silent(cause)
 }
 
 // alive asks the engine for its state on a new connection.
-func (a *answer) alive() state {
-	ctx, stop := context.WithTimeout(a.call.ctx, a.srv.silence())
+func (a *answer) probeEngine() probeResult {
+	ctx, stop := context.WithTimeout(a.call.ctx, a.srv.silenceTimeout())
 	defer stop()
 	st, err := a.run.engine.State(ctx)
 	if a.call.cause() != nil {
-		return lost
+		return runLost
 	}
 	if err != nil || a.run.incarnation != 0 && st.Incarnation != a.run.incarnation {
-		return dead
+		return engineDied
 	}
-	return lost
+	return runLost
 }
 
 // adopt goes on with a resumed stream, if it is still the same run of the same
 // weights.
-func (a *answer) adopt(s endpoint.Stream) state {
+func (a *answer) attach(s endpoint.Stream) probeResult {
 	r := a.run
 	r.resumes++
 	// The incarnation of a grant may be an old one; only that of an answer tells
 	// a restart.
 	if r.answered && s.Incarnation() != r.incarnation {
 		s.Close()
-		return dead
+		return engineDied
 	}
 	if a.progress.pieces > 0 && s.ModelVersion() != a.progress.version {
 		s.Close()
-		return lost
+		return runLost
 	}
 	r.stream = s
 	r.incarnation, r.answered = s.Incarnation(), true
--- a/entry/request.go
+++ b/entry/request.go
@@ -31,12 +31,12 @@
 	stream bool
 	// once marks a request that runs at most once; key is its idempotency key
 	// or empty.
-	once   bool
-	key    string
-	fields fields
-	place  place.Request
+	nonIdempotent bool
+	key           string
+	fields        fields
+	place         place.Request
 	// single says that the answer has one choice, whose text can be continued.
-	single bool
+	singleChoice bool
 }
 
 // readModelRequest checks a caller's request against the records. Errors are
@@ -55,7 +55,7 @@
 			return nil, err
 		}
 	}
-	r.single = choices == 1
+	r.singleChoice = choices == 1
 	if !f.has(promptField(r.chat)) {
 		return nil, fault.New(fault.BadRequest, "send the field "+promptField(r.chat), "there is no %s", promptField(r.chat))
 	}
@@ -169,7 +169,7 @@
 	}
 	r.place.ClassName, r.place.Class = name, class
 	r.fields.setInt(fieldPriority, int64(class.GetPriority()))
-	r.once, r.key, err = onceOf(ctx, class)
+	r.nonIdempotent, r.key, err = idempotencyOf(ctx, class)
 	return err
 }
 
@@ -190,18 +190,18 @@
 }
 
 // onceOf reads whether the request may run more than once, and its key.
-func onceOf(ctx *fasthttp.RequestCtx, class *recordspb.RequestClass) (once bool, key string, err error) {
+func idempotencyOf(ctx *fasthttp.RequestCtx, class *recordspb.RequestClass) (nonIdempotent bool, key string, err error) {
 	key = string(ctx.Request.Header.Peek(headerKey))
 	if len(key) > maxKeyBytes {
 		return false, "", fault.New(fault.BadRequest, "send a shorter key", "%s is over %d bytes", headerKey, maxKeyBytes)
 	}
-	switch mark := string(ctx.Request.Header.Peek(headerNonIdempotent)); strings.ToLower(mark) {
+	switch value := string(ctx.Request.Header.Peek(headerNonIdempotent)); strings.ToLower(value) {
 	case "", "false":
 		return class.GetNonIdempotent(), key, nil
 	case "true":
 		return true, key, nil
 	default:
-		return false, "", fault.New(fault.BadRequest, "send true or false", "%s is %q", headerNonIdempotent, mark)
+		return false, "", fault.New(fault.BadRequest, "send true or false", "%s is %q", headerNonIdempotent, value)
 	}
 }
 
--- a/entry/send.go
+++ b/entry/send.go
@@ -23,13 +23,13 @@
 	a.endpoint = g.Endpoint
 	a.run = r
 	a.started++
-	r.send = a.account.Send()
+	r.send = a.tracker.Send()
 	r.sentAt = time.Now()
-	r.stream, err = r.engine.Generate(a.call.ctx, endpoint.Request{ID: r.id, Path: a.req.path, Body: body, Fresh: a.req.once})
+	r.stream, err = r.engine.Generate(a.call.ctx, endpoint.Request{ID: r.id, Path: a.req.path, Body: body, Fresh: a.req.nonIdempotent})
 	if err != nil {
 		return a.sendFailed(err)
 	}
-	return a.opened()
+	return a.acceptStream()
 }
 
 // runID names a send. Sends have ids of their own, so that a late piece of an
@@ -47,7 +47,7 @@
 	f := a.req.fields
 	if a.progress.pieces > 0 {
 		var ok bool
-		if f, ok = f.continued(a.req.chat, a.progress.text, a.progress.tokens); !ok {
+		if f, ok = f.continuation(a.req.chat, a.progress.text, a.progress.tokens); !ok {
 			return nil, fault.New(fault.Broken, "send the request again", "the endpoint died and the answer's form can't be continued elsewhere")
 		}
 	} else {
@@ -73,29 +73,29 @@
 	case fault.Unavailable, fault.Overloaded:
 		a.started--
 		a.srv.metrics.notStarted.Inc()
-		a.leave(place.EndUnused)
+		a.endRun(place.EndUnused)
 		return nil
 	case fault.BadRequest, fault.Conflict:
 		// The engine's refusal of the content is a whole answer.
 		a.run.send.Answering()
 		a.run.send.Done()
-		a.leave(place.EndFailed)
+		a.endRun(place.EndFailed)
 		return err
 	}
 	return a.recover(err)
 }
 
 // opened checks whose answer it is that has begun.
-func (a *answer) opened() error {
+func (a *answer) acceptStream() error {
 	r := a.run
 	r.incarnation, r.answered = r.stream.Incarnation(), true
 	version := r.stream.ModelVersion()
-	a.srv.versions.saw(r.grant.Endpoint, a.req.place.Model, version)
+	a.srv.versions.record(r.grant.Endpoint, a.req.place.Model, version)
 	if a.progress.pieces > 0 && version != a.progress.version {
-		return a.giveUp(fault.New(fault.Broken, "send the request again", "the answer was begun by version %q and the endpoint runs %q", a.progress.version, version))
+		return a.abandon(fault.New(fault.Broken, "send the request again", "the answer was begun by version %q and the endpoint runs %q", a.progress.version, version))
 	}
-	if version != r.version && a.account.Idempotent() {
-		return a.giveUp(nil)
+	if version != r.version && a.tracker.Idempotent() {
+		return a.abandon(nil)
 	}
 	r.send.Answering()
 	a.progress.version = version
@@ -104,14 +104,14 @@
 
 // giveUp cancels a run that must not go on. The next send goes elsewhere if
 // the cause is given, and ends the answer with it if that was the last one.
-func (a *answer) giveUp(cause error) error {
+func (a *answer) abandon(cause error) error {
 	a.cancel()
 	if cause != nil {
-		a.broke = cause
-		a.excludeRun()
+		a.lastErr = cause
+		a.excludeEndpoint()
 	}
-	a.leave(place.EndFailed)
-	if cause != nil && a.started >= maxStarted {
+	a.endRun(place.EndFailed)
+	if cause != nil && a.started >= maxStarts {
 		return cause
 	}
 	return nil
--- a/entry/server.go
+++ b/entry/server.go
@@ -86,7 +86,7 @@
 		ErrorHandler:          readFailed,
 		Logger:                countLogger{},
 	}
-	go s.calls.sweep(ctx)
+	go s.calls.cancelDisconnected(ctx)
 	return s
 }
 
@@ -99,7 +99,7 @@
 	return s.http.Serve(&listener{Listener: ln, writeTimeout: writeTimeout})
 }
 
-func (s *Server) silence() time.Duration {
+func (s *Server) silenceTimeout() time.Duration {
 	return time.Duration(s.cfg.Limits.GetSilenceMs()) * time.Millisecond
 }
 
@@ -139,12 +139,12 @@
 // request itself was wrong with earlier attempts under its key too; where the
 // fault is this instance's, another one may have run such an attempt.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, err error) {
-	account := outcome.New(false)
-	status, _ := answerTo(err)
+	tracker := outcome.New(false)
+	status, _ := statusFor(err)
 	if status >= fasthttp.StatusInternalServerError && len(ctx.Request.Header.Peek(headerKey)) > 0 {
-		account.Keyed()
+		tracker.Keyed()
 	}
-	verdict := account.Finish()
+	verdict := tracker.Finish()
 	s.metrics.outcome(verdict)
 	writeError(ctx, err, verdict)
 }
@@ -159,14 +159,14 @@
 func (s *Server) Shutdown(ctx context.Context) error {
 	defer s.stop()
 	s.Drain()
-	last, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	forced, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() {
 		s.calls.close(errDraining)
-		time.AfterFunc(endTimeout, cancel)
+		time.AfterFunc(finalWriteTimeout, cancel)
 	})
 	defer stop()
-	if err := s.http.ShutdownWithContext(last); err != nil {
+	if err := s.http.ShutdownWithContext(forced); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "raise shutdown.drain_ms", "connections were open when the time to drain was over")
 	}
 	return nil
@@ -184,7 +184,7 @@
 }
 
 // endTimeout bounds the writing of the last words of a shutdown.
-const endTimeout = 2 * time.Second
+const finalWriteTimeout = 2 * time.Second
 
 // serverDump is the server's part of the state dump.
 type serverDump struct {
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -72,13 +72,13 @@
 // rig is one server before stand-ins.
 type rig struct {
 	*emulator.Emulator
-	server *entry.Server
-	config entry.Config
-	all    *record.Snapshot
-	placer *placer
-	url    string
-	ids    int
-	mu     sync.Mutex
+	server   *entry.Server
+	config   entry.Config
+	snapshot *record.Snapshot
+	placer   *placer
+	url      string
+	ids      int
+	mu       sync.Mutex
 }
 
 type rigConfig struct {
@@ -113,7 +113,7 @@
 	if cfg.configure != nil {
 		cfg.configure(&config)
 	}
-	r.config, r.all = config, record.NewSnapshot(1, records)
+	r.config, r.snapshot = config, record.NewSnapshot(1, records)
 	r.url = r.serve(t, config)
 	return r
 }
@@ -123,7 +123,7 @@
 	t.Helper()
 	r.server = entry.NewServer(config)
 	server := r.server
-	server.SetRecords(r.all)
+	server.SetRecords(r.snapshot)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/entry/service.go
+++ b/entry/service.go
@@ -19,13 +19,13 @@
 
 // serviceCall is one call of a plain service.
 type serviceCall struct {
-	srv     *Server
-	call    *call
-	account *outcome.Request
-	service *recordspb.Service
-	request endpoint.ServiceRequest
-	once    bool
-	ticket  *ticket
+	srv           *Server
+	call          *call
+	tracker       *outcome.Request
+	service       *recordspb.Service
+	request       endpoint.ServiceRequest
+	nonIdempotent bool
+	claimGuard    *claimGuard
 }
 
 // service routes a call by its path's prefix. Any method and body pass.
@@ -41,30 +41,30 @@
 		s.refuse(ctx, err)
 		return
 	}
-	once, key, err := onceOf(ctx, class)
+	nonIdempotent, key, err := idempotencyOf(ctx, class)
 	if err != nil {
 		s.refuse(ctx, err)
 		return
 	}
-	once = once || slices.Contains(svc.GetNonIdempotentMethods(), string(ctx.Method()))
-	c := &serviceCall{srv: s, account: outcome.New(once), service: svc, once: once}
-	c.call = &call{id: id, organisation: organisation, class: className, conn: ctx.Conn(), keepRunning: once}
+	nonIdempotent = nonIdempotent || slices.Contains(svc.GetNonIdempotentMethods(), string(ctx.Method()))
+	c := &serviceCall{srv: s, tracker: outcome.New(nonIdempotent), service: svc, nonIdempotent: nonIdempotent}
+	c.call = &call{id: id, organisation: organisation, class: className, conn: ctx.Conn(), keepRunning: nonIdempotent}
 	c.request = endpoint.ServiceRequest{
 		Method: string(ctx.Method()),
 		URI:    serviceURI(ctx, svc.GetPathPrefix()),
 		Header: &ctx.Request.Header,
 		ID:     id,
 		Body:   ctx.PostBody(),
-		Fresh:  once,
+		Fresh:  nonIdempotent,
 		// Only what may run twice may be given up on silence alone.
-		ReusedSilence: s.silence(),
+		ReusedSilence: s.silenceTimeout(),
 	}
-	c.ticket = s.newTicket(c.account, key, claim.Request{
+	c.claimGuard = s.newClaimGuard(c.tracker, key, claim.Request{
 		Key:     claim.NewKey(organisation, key),
 		Body:    claim.NewBody(c.request.Method, path+"?"+string(ctx.URI().QueryString()), c.request.Body),
 		Attempt: id,
 	}, class)
-	s.reruns.accepted()
+	s.reruns.credit()
 	s.calls.begin(c.call, timeout(class))
 	defer s.calls.end(c.call)
 	c.answer(ctx)
@@ -72,10 +72,10 @@
 
 // serviceURI cuts the service's prefix off the path. The path goes on as the
 // caller wrote it, unless it climbs: then what was routed by goes on.
-func serviceURI(ctx *fasthttp.RequestCtx, cut string) string {
-	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), cut)
+func serviceURI(ctx *fasthttp.RequestCtx, prefix string) string {
+	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), prefix)
 	if !ok || strings.Contains(path, "..") {
-		routed := url.URL{Path: strings.TrimPrefix(string(ctx.Path()), cut)}
+		routed := url.URL{Path: strings.TrimPrefix(string(ctx.Path()), prefix)}
 		path = routed.EscapedPath()
 	}
 	if query := ctx.URI().QueryString(); len(query) > 0 {
@@ -86,8 +86,8 @@
 
 func (c *serviceCall) answer(ctx *fasthttp.RequestCtx) {
 	name, a, err := c.send()
-	err = c.ticket.settle(err)
-	verdict := c.account.Finish()
+	err = c.claimGuard.recordNotRun(err)
+	verdict := c.tracker.Finish()
 	c.srv.metrics.outcome(verdict)
 	c.record(verdict, name, a)
 	if name != "" {
@@ -105,10 +105,10 @@
 // record tells the claim's record what became of the call.
 func (c *serviceCall) record(v outcome.Verdict, name string, a *endpoint.ServiceAnswer) {
 	if a == nil {
-		c.ticket.end(v, claim.Answer{})
+		c.claimGuard.finish(v, claim.Answer{})
 		return
 	}
-	c.ticket.end(v, claim.Answer{
+	c.claimGuard.finish(v, claim.Answer{
 		Status:      a.Header.StatusCode(),
 		ContentType: string(a.Header.ContentType()),
 		Body:        a.Body,
@@ -121,11 +121,11 @@
 // and no list of the busy ones is needed. A call that may have run is sent to
 // the next one only if it is idempotent.
 func (c *serviceCall) send() (name string, a *endpoint.ServiceAnswer, err error) {
-	if err = c.ticket.look(c.call.ctx); err != nil {
+	if err = c.claimGuard.lookupKey(c.call.ctx); err != nil {
 		return "", nil, err
 	}
-	c.account.Admit()
-	if err = c.ticket.take(c.call.ctx); err != nil {
+	c.tracker.Admit()
+	if err = c.claimGuard.acquire(c.call.ctx); err != nil {
 		return "", nil, err
 	}
 	err = fault.New(fault.Unavailable, "add endpoints to the service's record", "no endpoint can take the call")
@@ -136,16 +136,16 @@
 		}
 		name = e.GetName()
 		a, err = c.sendTo(e.GetAddress())
-		if err == nil || !c.goesOn(err) {
-			return name, a, c.final(err)
+		if err == nil || !c.maySendAgain(err) {
+			return name, a, c.callerError(err)
 		}
 	}
-	return name, nil, c.final(err)
+	return name, nil, c.callerError(err)
 }
 
 // goesOn reports whether the call may be sent to another endpoint.
-func (c *serviceCall) goesOn(err error) bool {
-	if c.call.cause() != nil || !c.account.MaySend() {
+func (c *serviceCall) maySendAgain(err error) bool {
+	if c.call.cause() != nil || !c.tracker.MaySend() {
 		return false
 	}
 	return fault.Is(err, fault.Unavailable) || c.srv.reruns.take()
@@ -157,7 +157,7 @@
 func (c *serviceCall) sendTo(address string) (*endpoint.ServiceAnswer, error) {
 	service := c.srv.cfg.DialService(address)
 	a, err := c.sendOnce(service, c.request)
-	if err == nil || !endpoint.Silent(err) || !c.goesOn(err) {
+	if err == nil || !endpoint.Silent(err) || !c.maySendAgain(err) {
 		return a, err
 	}
 	fresh := c.request
@@ -166,7 +166,7 @@
 }
 
 func (c *serviceCall) sendOnce(service Service, r endpoint.ServiceRequest) (*endpoint.ServiceAnswer, error) {
-	send := c.account.Send()
+	send := c.tracker.Send()
 	a, err := service.Do(c.call.ctx, r)
 	if err == nil {
 		send.Answering()
@@ -182,14 +182,14 @@
 }
 
 // final is the error that the caller reads.
-func (c *serviceCall) final(err error) error {
+func (c *serviceCall) callerError(err error) error {
 	if err == nil {
 		return nil
 	}
 	if cause := c.call.cause(); cause != nil {
 		return cause
 	}
-	if !c.account.Unrun() && c.once {
+	if !c.tracker.Unrun() && c.nonIdempotent {
 		return fault.Wrap(err, fault.Unknown, "ask with the same Idempotency-Key what became of it", "a non-idempotent call broke off; it may have run")
 	}
 	return err
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -39,7 +39,7 @@
 
 // The ordering app takes a confirmation, acts on it and dies before it answers.
 // Sending it again would ship the pallets twice.
-func TestServiceCrashAfterTheEffect(t *testing.T) {
+func TestServiceCrashAfterSideEffect(t *testing.T) {
 	r := newRig(t, rigConfig{services: 3})
 	for _, s := range r.Services {
 		s.SetFaults(emulator.ServiceFaults{CrashAfter: 1, DownMS: 1})
@@ -66,7 +66,7 @@
 
 // A service takes a confirmation and never answers. The caller reads, when its
 // class's time is over, that nobody knows.
-func TestSilentService(t *testing.T) {
+func TestUnresponsiveService(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 300}
 	r := newRig(t, rigConfig{services: 2, class: class})
@@ -85,7 +85,7 @@
 // Connections to a service that were used before go silent for good while new
 // ones work. A confirmation never goes over such a connection, and a call that
 // may be repeated is sent again on a new one.
-func TestForgottenServiceConnections(t *testing.T) {
+func TestUnresponsiveReusedServiceConnections(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{services: 1})
 	for _, method := range []string{"POST", "GET"} {
@@ -101,7 +101,7 @@
 }
 
 // No endpoint of the service listens: nothing ran, and the refusal says so.
-func TestServiceAway(t *testing.T) {
+func TestServiceUnreachable(t *testing.T) {
 	r := newRig(t, rigConfig{services: 2})
 	for _, s := range r.Services {
 		_ = s.Close()
@@ -114,7 +114,7 @@
 
 // One endpoint of the service is away. A confirmation that never left goes to
 // the next one.
-func TestConfirmationGoesPastAClosedEndpoint(t *testing.T) {
+func TestNonIdempotentCallSkipsClosedEndpoint(t *testing.T) {
 	r := newRig(t, rigConfig{services: 3})
 	_ = r.Services[0].Close()
 	_ = r.Services[1].Close()
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -11,7 +11,7 @@
 )
 
 // patient limits never end an idle connection by themselves.
-var patient = &settingspb.Limits{
+var noIdleTimeout = &settingspb.Limits{
 	HeaderBytes: 16384, BodyBytes: 1 << 20, ReadTimeoutMs: 600000, WriteTimeoutMs: 1000,
 	Connections: 100, SilenceMs: testSilence.Milliseconds(),
 }
@@ -19,7 +19,7 @@
 // An operator replaces an instance while a review streams. The engineer must
 // get all of it.
 func TestShutdownLetsStreamsFinish(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: patient})
+	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
 	rd := r.askFor(t, prompt, 200, nil)
 	rd.piece()
 	done := make(chan error, 1)
@@ -34,8 +34,8 @@
 
 // A balancer keeps idle connections open for long. They must not hold the
 // shutdown up.
-func TestIdleConnectionsDoNotHoldShutdown(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: patient})
+func TestIdleConnectionsDoNotDelayShutdown(t *testing.T) {
+	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
 	client := &http.Client{Transport: &http.Transport{}}
 	req, err := http.NewRequest("GET", r.url+"/v1/models", nil)
 	if err != nil {
@@ -58,8 +58,8 @@
 
 // A stream is longer than the time to drain. It ends with an error that says
 // so: an answer that just stops would pass for a whole one.
-func TestDrainTimeOverEndsStreamsWithAnError(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: patient})
+func TestDrainTimeoutEndsStreamsWithError(t *testing.T) {
+	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
 	rd := r.askFor(t, prompt, 90000, nil)
 	rd.piece()
 	ctx, cancel := context.WithCancel(context.Background())
--- a/entry/sse.go
+++ b/entry/sse.go
@@ -19,8 +19,8 @@
 	pending, buf []byte
 	ended        bool
 	// kept is the whole body so far where it is small and can be recorded.
-	kept []byte
-	long bool
+	recorded []byte
+	tooLong  bool
 }
 
 const eventStream = "text/event-stream"
@@ -28,29 +28,29 @@
 // streamAnswer makes the answer the response's body.
 func streamAnswer(ctx *fasthttp.RequestCtx, a *answer, first []byte) {
 	b := &eventBody{answer: a, resp: &ctx.Response}
-	b.piece(first)
+	b.setEvent(first)
 	ctx.SetContentType(eventStream)
 	ctx.Response.Header.Set(fasthttp.HeaderCacheControl, "no-cache")
 	_ = ctx.Response.Header.SetTrailer(headerOutcome)
 	ctx.SetBodyStream(b, -1)
 }
 
-func (b *eventBody) piece(data []byte) {
+func (b *eventBody) setEvent(data []byte) {
 	b.buf = append(b.buf[:0], "data: "...)
 	b.buf = append(b.buf, data...)
 	b.buf = append(b.buf, "\n\n"...)
 	b.pending = b.buf
-	b.keep()
+	b.appendRecorded()
 }
 
 // keep adds what is pending to the body that is recorded for resends.
-func (b *eventBody) keep() {
-	if b.answer.ticket == nil || b.long {
+func (b *eventBody) appendRecorded() {
+	if b.answer.claimGuard == nil || b.tooLong {
 		return
 	}
-	b.kept = append(b.kept, b.pending...)
-	if len(b.kept) > claim.MaxBodyBytes {
-		b.kept, b.long = nil, true
+	b.recorded = append(b.recorded, b.pending...)
+	if len(b.recorded) > claim.MaxBodyBytes {
+		b.recorded, b.tooLong = nil, true
 	}
 }
 
@@ -70,14 +70,14 @@
 func (b *eventBody) next() {
 	data, err := b.answer.Next()
 	if err == nil {
-		b.piece(data)
+		b.setEvent(data)
 		return
 	}
 	b.ended = true
 	b.resp.Header.Set(headerOutcome, b.answer.verdict.String())
 	if errors.Is(err, io.EOF) {
-		b.piece([]byte("[DONE]"))
-		b.answer.record(fasthttp.StatusOK, eventStream, b.kept)
+		b.setEvent([]byte("[DONE]"))
+		b.answer.record(fasthttp.StatusOK, eventStream, b.recorded)
 		return
 	}
 	b.pending = append(append([]byte("event: error\ndata: "), errorBody(err)...), "\n\n"...)
@@ -87,7 +87,7 @@
 // the caller has gone. A non-idempotent answer is then read to its end, so that
 // a resend finds it on record.
 func (b *eventBody) Close() error {
-	for b.answer.req.once && !b.ended {
+	for b.answer.req.nonIdempotent && !b.ended {
 		b.next()
 	}
 	b.answer.Close()
--- a/entry/versions.go
+++ b/entry/versions.go
@@ -13,29 +13,29 @@
 // version that the endpoint runs. Any goroutine may use it.
 type versions struct {
 	mu   sync.Mutex
-	last map[modelAt]string
+	last map[versionKey]string
 }
 
-type modelAt struct{ endpoint, model string }
+type versionKey struct{ endpoint, model string }
 
-func newVersions() *versions { return &versions{last: map[modelAt]string{}} }
+func newVersions() *versions { return &versions{last: map[versionKey]string{}} }
 
 // get returns the version seen last, or the given one where none was seen.
-func (v *versions) get(endpoint, model, otherwise string) string {
+func (v *versions) get(endpoint, model, fallback string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if seen, ok := v.last[modelAt{endpoint, model}]; ok {
-		return seen
+	if version, ok := v.last[versionKey{endpoint, model}]; ok {
+		return version
 	}
-	return otherwise
+	return fallback
 }
 
 // saw books the version that an endpoint answered with.
-func (v *versions) saw(endpoint, model, version string) {
+func (v *versions) record(endpoint, model, version string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.last) >= maxVersions {
 		clear(v.last)
 	}
-	v.last[modelAt{endpoint, model}] = version
+	v.last[versionKey{endpoint, model}] = version
 }
