--- a/entry/answer.go
+++ b/entry/answer.go
@@ -16,20 +16,18 @@
 )
 
 const (
-	// maxStarted bounds how often one request is begun by an endpoint.
+	// maxStarts is how many times endpoints may start one request.
 	maxStarts = 6
-	// firstPause and maxPause bound the waits before all endpoints are tried
-	// once more.
+	// minRetryDelay and maxRetryDelay bound the delay before all endpoints are tried again.
 	minRetryDelay = 50 * time.Millisecond
 	maxRetryDelay = time.Second
-	// cancelTimeout bounds the telling of an engine that its work is not
-	// wanted any more.
+	// cancelTimeout bounds the call that asks an engine to cancel a run.
 	cancelTimeout = time.Second
 )
 
-// answer is the one whole answer to a model request. It hides which endpoints
-// give it: Next returns the pieces in order, each once, whatever breaks on the
-// way. One goroutine may use it.
+// answer is the answer to one model request. It hides which endpoints produce it: Next returns
+// every piece once and in order, also when endpoints or connections fail. It is not safe for
+// concurrent use.
 type answer struct {
 	srv      *Server
 	call     *call
@@ -38,19 +36,19 @@
 	progress progress
 	run      *run
 	exclude  []string
-	// sends is how often the request was sent, started how often an endpoint
-	// may have begun it.
+	// sends counts the sends of the request, started those that an endpoint may have started
+	// to run.
 	sends, started int
-	// startBy is when a request that no endpoint takes is given up, pause the
-	// last wait before all were tried again.
+	// startDeadline is when a request that no endpoint accepts fails; retryDelay is the last
+	// delay before all endpoints were tried again.
 	startDeadline time.Time
 	retryDelay    time.Duration
-	// broke is why the last run broke off.
+	// lastErr is the error that ended the last run.
 	lastErr    error
 	claimGuard *claimGuard
-	// endpoint that runs the request, or ran it last.
+	// endpoint is the name of the endpoint that runs the request or ran it last.
 	endpoint string
-	// verdict holds once closed is set.
+	// verdict is valid once closed is set.
 	verdict outcome.Verdict
 	closed  bool
 }
@@ -62,13 +60,14 @@
 	engine Engine
 	send   *outcome.Send
 	stream endpoint.Stream
-	// incarnation of the engine: the grant's, until an answer tells it.
+	// incarnation of the engine: the one in the grant until an answer reports it. A restarted
+	// engine has another incarnation.
 	incarnation uint64
 	answered    bool
 	version     string
 	sentAt      time.Time
-	// next is the index of the piece that has to come, resumes how often the
-	// stream was resumed since the last good piece.
+	// next is the index of the next expected piece; resumes counts the resumes of the stream
+	// since the last valid piece.
 	next    int64
 	resumes int
 	cached  int64
@@ -86,7 +85,7 @@
 	return a
 }
 
-// look finds out whether the request's key is known; see ticket.
+// lookupKey looks up the idempotency key in the claims; see claimGuard.lookupKey.
 func (a *answer) lookupKey() error {
 	err := a.claimGuard.lookupKey(a.call.ctx)
 	if err == nil {
@@ -95,9 +94,9 @@
 	return a.close(err)
 }
 
-// Next blocks for the next piece, which is valid until the next call. It
-// returns io.EOF after the last one, and any other error once, when the answer
-// can't be completed; the verdict holds from then on.
+// Next blocks until the next piece arrives. The piece is valid until the next call. Next
+// returns io.EOF after the last piece, or another error if the answer cannot be completed;
+// either ends the answer and sets verdict.
 func (a *answer) Next() ([]byte, error) {
 	for {
 		if a.run == nil {
@@ -119,7 +118,7 @@
 	}
 }
 
-// next reads one piece of the present run and checks it.
+// next reads and checks one piece of the current run.
 func (a *answer) next() ([]byte, error) {
 	r := a.run
 	if r.stream == nil {
@@ -135,9 +134,9 @@
 	return a.accept(p)
 }
 
-// accept checks that a piece is the next one of this very request. A late or
-// crossed answer, a lost piece or a repeated one would show a caller text that
-// is not its own, or not whole.
+// accept checks that p is the next piece of this request. Without the check, a late answer, an
+// answer to another request, or a lost or repeated piece would give the caller text of another
+// request or text with gaps.
 func (a *answer) accept(p endpoint.Piece) ([]byte, error) {
 	r := a.run
 	quoted := strconv.AppendQuote(nil, r.id)
@@ -169,7 +168,7 @@
 	a.srv.cfg.Placer.FirstToken(r.grant, r.cached, time.Since(r.sentAt))
 }
 
-// begin places and sends the request until an endpoint takes it.
+// startRun places and sends the request until an endpoint accepts it.
 func (a *answer) startRun() error {
 	for {
 		if a.started >= maxStarts {
@@ -194,10 +193,9 @@
 	}
 }
 
-// place asks for a grant. Endpoints that were tried are left out as long as
-// there are others. Where there are none, such as in a small pool whose
-// engines have just crashed together, it asks again until the class's wait is
-// over: an engine is back within a second or two.
+// place requests a grant. It excludes endpoints that were already tried. If no other endpoint
+// is left, such as in a small pool whose engines crashed together, it tries all of them again
+// until the class's maximum wait has passed: an engine restarts within a second or two.
 func (a *answer) place() (place.Grant, error) {
 	for {
 		req := a.req.place
@@ -211,8 +209,8 @@
 	}
 }
 
-// unplaced is the error of a request that no endpoint takes. Of an answer that
-// has begun the caller is told why it broke off.
+// placementError returns the error of a request that no endpoint accepts. If part of the
+// answer was already delivered, the error says why the answer broke off.
 func (a *answer) placementError(err error) error {
 	if cause := a.call.cause(); cause != nil {
 		return a.unplacedCause(cause)
@@ -223,7 +221,7 @@
 	return fault.Wrap(a.lastErr, fault.Broken, "send the request again", "the answer broke off and no endpoint could go on with it")
 }
 
-// late is the error of a call that ended before it was placed.
+// unplacedCause returns the error of a call that ended before it was placed.
 func (a *answer) unplacedCause(cause error) error {
 	if errors.Is(cause, errTimeout) && a.tracker.Unrun() {
 		return fault.New(fault.Overloaded, "send the request again later", "the request could not start before its class's timeout")
@@ -231,8 +229,8 @@
 	return cause
 }
 
-// rest pauses before all endpoints are tried once more; false when the time to
-// start is over.
+// waitRetry sleeps before all endpoints are tried again. It returns false if the call ends or
+// the start deadline would pass.
 func (a *answer) waitRetry() bool {
 	a.retryDelay = min(max(2*a.retryDelay, minRetryDelay), maxRetryDelay)
 	if time.Now().Add(a.retryDelay).After(a.startDeadline) {
@@ -248,7 +246,7 @@
 	}
 }
 
-// waitFrom sets the time by which the request has to start.
+// resetStartDeadline sets the time by which the request must start and resets the retry delay.
 func (a *answer) resetStartDeadline(now time.Time) {
 	a.retryDelay = 0
 	a.startDeadline = now.Add(time.Duration(a.req.place.Class.GetMaxWaitMs()) * time.Millisecond)
@@ -256,7 +254,7 @@
 
 func (a *answer) excludeEndpoint() { a.exclude = append(a.exclude, a.run.grant.Endpoint) }
 
-// leave ends the present run and gives its grant back.
+// endRun ends the current run and returns its grant to the placer.
 func (a *answer) endRun(end place.End) {
 	r := a.run
 	if r == nil {
@@ -278,8 +276,8 @@
 	})
 }
 
-// cancel tells the engine that its work is not wanted any more. The caller's
-// final answer does not wait for it: an engine that has died would hold it up.
+// cancel asks the engine to cancel the run. It runs in the background because an engine that
+// has died would otherwise delay the final answer to the caller.
 func (a *answer) cancel() {
 	engine, id, cancelled := a.run.engine, a.run.id, a.srv.metrics.cancelled
 	go func() {
@@ -297,7 +295,7 @@
 	_ = a.close(nil)
 }
 
-// fail ends the answer; what an engine still does for it is cancelled.
+// fail ends the answer with an error and cancels a run that is still in progress.
 func (a *answer) fail(err error) error {
 	if a.run != nil {
 		if !errors.Is(a.call.cause(), errKilled) {
@@ -308,7 +306,7 @@
 	return a.close(err)
 }
 
-// close settles the word and returns the error for the caller.
+// close ends the answer, determines its outcome and returns the error for the caller.
 func (a *answer) close(err error) error {
 	if a.closed {
 		return err
@@ -317,15 +315,15 @@
 	err = a.claimGuard.recordNotRun(err)
 	a.verdict = a.tracker.Finish()
 	a.srv.metrics.outcome(a.verdict)
-	// A complete answer is recorded by whoever has put it together.
+	// A complete answer is recorded by the function that has assembled its body.
 	if !a.verdict.Complete() {
 		a.record(0, "", nil)
 	}
 	return err
 }
 
-// record tells the claim's record what became of the request, with the answer's
-// body where there is one.
+// record stores the outcome of the request in the claims, with the body of the answer if there
+// is one.
 func (a *answer) record(status int, contentType string, body []byte) {
 	a.claimGuard.finish(a.verdict, claim.Answer{
 		Status:      status,
@@ -336,7 +334,7 @@
 	})
 }
 
-// Close ends an answer that nobody reads any more.
+// Close ends an answer that the caller no longer reads.
 func (a *answer) Close() {
 	if !a.closed {
 		_ = a.fail(errCallerClosed)
--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// A chat's engine dies in the middle of the answer, for a caller that did not
-// ask for a stream and so sees nothing of it.
+// The engine crashes in the middle of a chat answer that is not streamed. The answer must
+// still be complete.
 func TestUnstreamedAnswerSurvivesCrash(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 2})
@@ -102,8 +102,8 @@
 	}
 }
 
-// What is wrong with a request gets the status that the published API gives
-// it, the remedy in words, and the truth that nothing ran.
+// An invalid request must be answered with the status that the OpenAI API defines, a message
+// with a remedy, and the outcome not-run.
 func TestRefusals(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	good := `{"model":"counter","prompt":"x","max_tokens":1}`
@@ -123,12 +123,12 @@
 		{"no tokens", "/v1/completions", `{"model":"counter","prompt":"x","max_tokens":0}`, nil, 400, "invalid_request_error"},
 		{"wrong type", "/v1/completions", `{"model":"counter","prompt":"x","stream":"yes"}`, nil, 400, "invalid_request_error"},
 		{"no model", "/v1/completions", `{"model":"none","prompt":"x"}`, nil, 404, "invalid_request_error"},
-		{"model of others", "/v1/completions", `{"model":"secret","prompt":"x"}`, nil, 404, "invalid_request_error"},
+		{"model not allowed", "/v1/completions", `{"model":"secret","prompt":"x"}`, nil, 404, "invalid_request_error"},
 		{"pool without record", "/v1/completions", `{"model":"bad-pool","prompt":"x"}`, nil, 503, "server_error"},
 		{"no class", "/v1/completions", good, http.Header{"X-Sardinedock-Class": {"none"}}, 400, "invalid_request_error"},
-		{"mark", "/v1/completions", good, http.Header{"X-Sardinedock-Non-Idempotent": {"yes"}}, 400, "invalid_request_error"},
+		{"invalid non-idempotent header", "/v1/completions", good, http.Header{"X-Sardinedock-Non-Idempotent": {"yes"}}, 400, "invalid_request_error"},
 		{"long key", "/v1/completions", good, http.Header{"Idempotency-Key": {strings.Repeat("k", 256)}}, 400, "invalid_request_error"},
-		{"engine's word", "/v1/completions", `{"model":"counter","prompt":[1,2]}`, nil, 400, "invalid_request_error"},
+		{"refused by engine", "/v1/completions", `{"model":"counter","prompt":[1,2]}`, nil, 400, "invalid_request_error"},
 		{"no service", "/services/none/x", good, nil, 404, "invalid_request_error"},
 		{"large", "/v1/completions", strings.Repeat("x", 2<<20), nil, 413, "invalid_request_error"},
 		{"large header", "/v1/completions", good, http.Header{"X-Long": {strings.Repeat("x", 20000)}}, 431, "invalid_request_error"},
@@ -148,7 +148,7 @@
 				t.Fatalf("status %d, %+v", resp.StatusCode, got)
 			}
 			want := "not-run"
-			if tt.name == "engine's word" {
+			if tt.name == "refused by engine" {
 				want = "complete"
 			}
 			if o := resp.Header.Get("X-Sardinedock-Outcome"); o != want {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Every endpoint is away. The refusal says truly that nothing ran.
+// All endpoints are unreachable. The refusal must report the outcome not-run.
 func TestAllEndpointsClosed(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{engines: 2})
@@ -177,8 +177,8 @@
 	}
 }
 
-// A caller names a cache salt or a priority of its own, to reach another
-// organisation's cached prompts or to go before others.
+// A caller sets the cache salt or the priority itself, to reach cached prompts of another
+// organisation or to take precedence over other callers. The router must override both fields.
 func TestCallersCannotSetTheRoutersFields(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	long := strings.Repeat(prompt, 100)
@@ -190,7 +190,7 @@
 	}
 }
 
-// An organisation sees the models that its record allows, and no others.
+// An organisation must see only the models that its record allows.
 func TestModels(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	c := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL(r.url+"/v1"), option.WithMaxRetries(0))
@@ -203,14 +203,13 @@
 		t.Fatalf("%+v, %v", one, err)
 	}
 	if resp := r.do(t, "GET", "/v1/models/secret", nil, ""); resp.StatusCode != 404 {
-		t.Fatalf("status %d for a model of others", resp.StatusCode)
+		t.Fatalf("status %d for a model that the organisation may not use", resp.StatusCode)
 	}
 }
 
-// Instances start together and a caller comes before any has records. Its refusal bore no
-// request id, so that nobody could tell which attempt was refused: a run with all faults took
-// a later attempt of the same request, which ran, for the refused one, and called a true "not
-// run" false.
+// A request arrives at an instance that has no records yet. Its refusal once had no request
+// ID, so that a later attempt of the same request, which ran, was taken for the refused one,
+// and a correct not-run was counted as false.
 func TestEachRefusalHasItsOwnRequestID(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	without := entry.NewServer(r.config)
--- a/entry/assembly.go
+++ b/entry/assembly.go
@@ -5,9 +5,9 @@
 	"sort"
 )
 
-// assembly makes one answer of a stream's pieces, for callers that did not ask
-// for a stream. Engines are always asked for one: only a stream shows whether
-// the engine lives, and can be resumed.
+// assembly assembles the pieces of a stream into one answer for callers that did not request a
+// stream. Engines always stream: only a stream shows that the engine is still running, and
+// only a stream can be resumed.
 type assembly struct {
 	chat    bool
 	last    chunk
@@ -17,7 +17,7 @@
 
 func newAssembly(chat bool) *assembly { return &assembly{chat: chat} }
 
-// add takes one piece.
+// add appends one piece.
 func (a *assembly) add(data []byte) error {
 	c, err := parseChunk(data)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return c
 }
 
-// merge adds a piece of the same choice.
+// merge appends a piece of the same choice.
 func (c *chunkChoice) merge(p *chunkChoice) {
 	c.Text += p.Text
 	c.Delta.Content += p.Delta.Content
@@ -86,7 +86,7 @@
 	l.TextOffset = append(l.TextOffset, p.TextOffset...)
 }
 
-// wholeAnswer is an answer that is not streamed, as the published API has it.
+// wholeAnswer is the body of an answer that is not streamed, as defined by the OpenAI API.
 type wholeAnswer struct {
 	ID                string        `json:"id"`
 	Object            string        `json:"object"`
@@ -113,7 +113,6 @@
 	ToolCalls        []toolCall `json:"tool_calls,omitempty"`
 }
 
-// encode returns the answer's JSON.
 func (a *assembly) encode(p *progress) []byte {
 	out := wholeAnswer{
 		ID:                a.last.ID,
@@ -134,8 +133,9 @@
 	return body
 }
 
-// countTokens returns the usage of the whole answer. The engine that ended an
-// answer begun elsewhere counted what it was given as prompt.
+// countTokens returns the token usage of the whole answer. If another engine continued the
+// answer, that engine's usage counts the text generated so far as part of the prompt, so
+// prompt and cached tokens come from the first run.
 func (a *assembly) countTokens(p *progress) *usage {
 	if a.usage == nil || !p.hasUsage {
 		return a.usage
@@ -164,7 +164,7 @@
 	return w
 }
 
-// textOrNull returns nil for an empty text where the API writes null.
+// textOrNull returns nil for an empty text if the API writes null there.
 func textOrNull(text string, nullable bool) *string {
 	if text == "" && nullable {
 		return nil
--- a/entry/body.go
+++ b/entry/body.go
@@ -10,7 +10,7 @@
 	"github.com/sardinedock/sardinedock/internal/jsonscan"
 )
 
-// Fields of a request's body that the router reads or writes.
+// Fields of a request body that the router reads or sets.
 const (
 	fieldModel               = "model"
 	fieldPrompt              = "prompt"
@@ -25,22 +25,19 @@
 	fieldGenerationPrompt    = "add_generation_prompt"
 )
 
-// fields is the body of a model request. Each value stays as the caller wrote
-// it, so that fields which the router does not know reach the engine unchanged
-// and a long prompt is never decoded.
+// fields is the body of a model request. Values are kept as the caller wrote them, so that
+// fields unknown to the router reach the engine unchanged and a long prompt is never decoded.
 type fields map[string]json.RawMessage
 
-// parseFields reads a body, which the fields alias. Of a field that stands
-// twice only the last one counts and goes on, so that engine and router can't
-// read different ones.
+// parseFields parses a body; the fields alias it. If a field occurs twice, only the last one
+// is kept and forwarded, so that engine and router cannot read different values.
 func parseFields(body []byte) (fields, error) {
 	f := fields{}
 	err := jsonscan.Fields(body, func(name string, value []byte) { f[name] = value })
 	return f, err
 }
 
-// value decodes a field into out, which keeps its value where the field is
-// missing or null.
+// value decodes a field into out. It leaves out unchanged if the field is missing or null.
 func (f fields) value(name string, out any) error {
 	raw, ok := f[name]
 	if !ok || string(raw) == "null" {
@@ -63,7 +60,7 @@
 
 func (f fields) setString(name, text string) { f[name], _ = json.Marshal(text) }
 
-// clone copies the set of fields; the values are shared.
+// clone returns a copy of the map; the values are shared.
 func (f fields) clone() fields {
 	c := make(fields, len(f)+4)
 	for name, raw := range f {
@@ -72,7 +69,7 @@
 	return c
 }
 
-// encode writes the fields in order of name.
+// encode returns the fields as a JSON object, sorted by name.
 func (f fields) encode() []byte {
 	names := make([]string, 0, len(f))
 	size := 2
@@ -93,9 +90,9 @@
 	return append(out, '}')
 }
 
-// text is what prefix blocks are cut from: the prompt, or each message as
-// "role\ncontent\n". Prompts in other forms, such as lists of token ids or
-// contents of several parts, are taken as written.
+// text returns the text from which prefix blocks are computed: the prompt, or each message as
+// "role\ncontent\n". Prompts in other forms, such as lists of token IDs or multi-part
+// contents, are used as written.
 func (f fields) text(chat bool) []byte {
 	if chat {
 		return f.chatText()
@@ -132,10 +129,10 @@
 	return text
 }
 
-// continued returns the fields of a request that goes on after the text that
-// the caller already has. The prompt stays as it is up to its end, so that its
-// blocks keep their names. ok is false where the prompt's form does not
-// allow it.
+// continuation returns the fields of a request that continues after the text that was already
+// delivered. The original prompt remains an unchanged prefix, so that its block hashes stay
+// the same. ok is false if the form of the prompt or the token limits do not allow a
+// continuation.
 func (f fields) continuation(chat bool, text []byte, tokens int64) (out fields, ok bool) {
 	out = f.clone()
 	quoted, err := json.Marshal(string(text))
@@ -173,7 +170,8 @@
 	return true
 }
 
-// lessTokens takes the tokens that the caller has off the bound of the answer.
+// reduceTokenLimits subtracts the tokens already delivered from the limits of the answer. It
+// returns false if nothing is left.
 func (f fields) reduceTokenLimits(tokens int64) bool {
 	for _, name := range [...]string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		var limit int64
--- a/entry/budget.go
+++ b/entry/budget.go
@@ -3,19 +3,18 @@
 import "sync"
 
 const (
-	// rerunShare is how many reruns each accepted request pays for.
+	// rerunRatio is how many reruns each accepted request adds to the budget.
 	rerunRatio = 0.2
-	// rerunReserve is how many reruns may come at once. One endpoint's crash
-	// asks for as many as it has slots; this covers several such crashes.
+	// maxReruns is the largest burst of reruns. The crash of one endpoint causes as many
+	// reruns as it has slots; this covers several such crashes.
 	maxReruns = 256
 )
 
-// rerunBudget bounds the requests that are run a second time after they may
-// have run. It is made for the load of many endpoints failing at once: without
-// it each failure would add a whole request's work to what is left, and the
-// fleet would go on failing by its own repeats. A fifth of the accepted load
-// is what a fleet with the usual headroom can carry; the reserve lets a few
-// crashes through in a quiet hour. Any goroutine may use it.
+// rerunBudget limits how many requests are rerun after they may already have run. When many
+// endpoints fail at once, unlimited reruns would add the work of a whole request per failure
+// to the remaining endpoints and keep the fleet overloaded. A fifth of the accepted load fits
+// into the usual headroom of a fleet; the burst covers a few crashes while there is little
+// traffic. It is safe for concurrent use.
 type rerunBudget struct {
 	mu        sync.Mutex
 	remaining float64
@@ -23,14 +22,14 @@
 
 func newRerunBudget() *rerunBudget { return &rerunBudget{remaining: maxReruns} }
 
-// accepted books one accepted request.
+// credit adds the share of one accepted request to the budget.
 func (b *rerunBudget) credit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.remaining = min(b.remaining+rerunRatio, maxReruns)
 }
 
-// take takes one rerun, or reports that none is left.
+// take consumes one rerun and reports whether one was left.
 func (b *rerunBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/entry/calls.go
+++ b/entry/calls.go
@@ -11,14 +11,14 @@
 	"github.com/sardinedock/sardinedock/internal/sockstate"
 )
 
-// sweepEvery is how often open callers' connections are looked at. A caller
-// that went away holds its place at an engine for at most this long.
+// disconnectCheckInterval is how often the connections of open calls are checked. A caller
+// that has disconnected occupies its slot at an engine for at most this long.
 const disconnectCheckInterval = 250 * time.Millisecond
 
-// maxDumped bounds the open calls that a dump lists.
+// maxDumped limits the open calls listed in a state dump.
 const maxDumped = 100
 
-// Causes for which a call ends before its answer.
+// Causes that end a call before its answer is complete.
 var (
 	errCallerClosed = fault.New(fault.Broken, "none: the caller has gone", "the caller closed its connection")
 	errTimeout      = fault.New(fault.Unknown, "raise timeout_ms in the class's record, or ask for less", "the class's timeout has passed")
@@ -33,8 +33,8 @@
 	class        string
 	started      time.Time
 	conn         net.Conn
-	// keepRunning calls go on when their caller goes away: they are not
-	// idempotent, so what became of them has to be found out and recorded.
+	// keepRunning is set for non-idempotent calls. They go on after their caller has
+	// disconnected, because their outcome must be found out and recorded.
 	keepRunning bool
 
 	ctx    context.Context
@@ -42,7 +42,7 @@
 	stop   context.CancelFunc
 }
 
-// cause is why the call's context ended, or nil while it has not.
+// cause returns the error that ended the call's context, or nil while it has not ended.
 func (c *call) cause() error {
 	if c.ctx.Err() == nil {
 		return nil
@@ -50,15 +50,15 @@
 	return context.Cause(c.ctx)
 }
 
-// calls are the open requests of a server. Any goroutine may use it.
+// calls is the set of open requests of a server. It is safe for concurrent use.
 type calls struct {
 	mu   sync.Mutex
 	open map[*call]struct{}
-	// closed is the cause for which no call may go on.
+	// closed, if not nil, is the cause with which every new call is cancelled.
 	closed error
 }
 
-// begin opens a call that lasts at most for the timeout.
+// begin registers a call and starts its timeout.
 func (cs *calls) begin(c *call, timeout time.Duration) {
 	c.started = time.Now()
 	ctx, cancel := context.WithCancelCause(context.Background())
@@ -72,7 +72,7 @@
 	}
 }
 
-// end closes the call.
+// end releases and unregisters the call.
 func (cs *calls) end(c *call) {
 	c.stop()
 	c.cancel(context.Canceled)
@@ -93,9 +93,9 @@
 	return list
 }
 
-// sweep ends the calls whose callers have gone, until ctx ends. While nothing
-// is written to a caller, nothing else would show that it has gone, and its
-// request would hold a slot or a place in a queue for nobody.
+// cancelDisconnected cancels the calls whose callers have disconnected, until ctx ends.
+// Without it, a disconnect would go unnoticed as long as nothing is written to the caller, and
+// the request would keep its slot or its place in a queue.
 func (cs *calls) cancelDisconnected(ctx context.Context) {
 	t := time.NewTicker(disconnectCheckInterval)
 	defer t.Stop()
@@ -113,7 +113,7 @@
 	}
 }
 
-// close ends every open call, and each one that is begun later, for the cause.
+// close cancels every open and every later call with the cause.
 func (cs *calls) close(cause error) {
 	cs.mu.Lock()
 	cs.closed = cause
--- a/entry/chunk.go
+++ b/entry/chunk.go
@@ -6,7 +6,7 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// chunk is a piece of a streamed answer, completions and chat alike.
+// chunk is a piece of a streamed answer of the completions or the chat API.
 type chunk struct {
 	ID                string        `json:"id"`
 	Created           int64         `json:"created"`
@@ -44,7 +44,7 @@
 	Arguments string `json:"arguments"`
 }
 
-// logprobs holds the lists of both APIs.
+// logprobs has the fields of both APIs.
 type logprobs struct {
 	Content       []json.RawMessage `json:"content,omitempty"`
 	Refusal       []json.RawMessage `json:"refusal,omitempty"`
@@ -73,27 +73,27 @@
 	return c, nil
 }
 
-// progress is what of an answer the caller has. It grows only by pieces that
-// were checked.
+// progress is the part of an answer that has been delivered to the caller. Only checked pieces
+// are added to it.
 type progress struct {
-	// pieces and text that the caller has, and how many of the pieces held
-	// text. Each of those is taken for one token.
+	// pieces counts the delivered pieces, tokens those that contained text; each of these
+	// counts as one token. text is the delivered text.
 	pieces int64
 	tokens int64
 	text   []byte
-	// special says that something other than plain text was delivered, which
-	// can't be given to another engine to go on from.
+	// notText is set if something other than plain text was delivered. Another engine cannot
+	// continue such an answer.
 	notText bool
-	// finished is set by the piece that gives the reason for the end.
+	// finished is set by the piece that has a finish reason.
 	finished bool
-	// version of the weights that made the text.
+	// version of the model weights that generated the text.
 	version string
-	// cached and prompt are token counts of the first run.
+	// cached and prompt are the token counts of the first run.
 	cached, prompt int64
 	hasUsage       bool
 }
 
-// add books a piece.
+// add adds a checked piece.
 func (p *progress) add(c *chunk) {
 	p.pieces++
 	for i := range c.Choices {
--- a/entry/errors.go
+++ b/entry/errors.go
@@ -27,7 +27,7 @@
 	return fault.New(fault.NotFound, "use /v1/completions, /v1/chat/completions, /v1/models or a service's path", "no such path: %s", path)
 }
 
-// authenticate names the organisation that the request's key belongs to.
+// authenticate returns the organisation that owns the API key of the request.
 func authenticate(ctx *fasthttp.RequestCtx, records *record.Snapshot) (string, error) {
 	const scheme = "Bearer "
 	header := string(ctx.Request.Header.Peek(fasthttp.HeaderAuthorization))
@@ -51,13 +51,11 @@
 	Code    string  `json:"code"`
 }
 
-// retryAfterSeconds is when a caller that was refused may come back. A slot
-// frees up, and a suspect endpoint is known to live again, within about a
-// second.
+// retryAfterSeconds is the default Retry-After of a refusal. A slot becomes free, or a
+// suspected endpoint is confirmed alive, within about a second.
 const retryAfterSeconds = "1"
 
-// writeError answers with the status and body that belong to the error's kind,
-// and the outcome.
+// writeError writes the status and body for err, and the outcome header.
 func writeError(ctx *fasthttp.RequestCtx, err error, verdict outcome.Verdict) {
 	ctx.Response.ResetBody()
 	ctx.Response.Header.Set(headerOutcome, verdict.String())
@@ -74,8 +72,7 @@
 	ctx.SetBody(errorBody(err))
 }
 
-// answerTo returns the status of an error, and whether it makes sense to come
-// back.
+// statusFor returns the HTTP status for err and whether a retry makes sense.
 func statusFor(err error) (status int, retryable bool) {
 	var rec *recordedError
 	if errors.As(err, &rec) {
@@ -89,8 +86,8 @@
 	return status, retryable || fault.RetryAfter(err) > 0
 }
 
-// errorBody is the API's error body. An endpoint's own words on the request's
-// content are told; other causes stay in the router.
+// errorBody returns the error body for err. An endpoint's own error about the content of the
+// request is passed on; the wrapped causes of other errors are not exposed.
 func errorBody(err error) []byte {
 	kind := fault.KindOf(err)
 	_, errorType := statusOf(kind)
@@ -105,7 +102,7 @@
 	return body
 }
 
-// endpointError returns the endpoint's own refusal of a request's content.
+// endpointError returns the endpoint's own error about the content of the request, or nil.
 func endpointError(err error) *endpoint.StatusError {
 	var own *endpoint.StatusError
 	if errors.As(err, &own) && fault.Is(err, fault.BadRequest) && json.Valid(own.Body) {
@@ -136,7 +133,7 @@
 	return fasthttp.StatusInternalServerError, "server_error"
 }
 
-// readFailed answers a request that could not be read.
+// readFailed writes the error answer to a request that could not be read.
 func readFailed(ctx *fasthttp.RequestCtx, err error) {
 	var small *fasthttp.ErrSmallBuffer
 	verdict := outcome.New(false).Finish()
@@ -154,7 +151,7 @@
 	}
 }
 
-// retryAfter is the time that err tells, in whole seconds, rounded up.
+// retryAfter returns the Retry-After of err in whole seconds, rounded up, or the default.
 func retryAfter(err error) string {
 	after := fault.RetryAfter(err)
 	if after <= 0 {
--- a/entry/fuzz_test.go
+++ b/entry/fuzz_test.go
@@ -6,9 +6,8 @@
 	"testing"
 )
 
-// Callers write anything. What goes to an engine must be valid JSON, hold what
-// the caller wrote in the fields that the router does not know, and only the
-// router's own salt.
+// Callers may send any body. The body sent to an engine must be valid JSON, contain unchanged
+// the fields that the router does not know, and contain only the salt of the router.
 func FuzzBody(f *testing.F) {
 	f.Add([]byte(`{"model":"m","prompt":"x","max_tokens":3,"stream":true}`), "text", true)
 	f.Add([]byte(`{"messages":[{"role":"user","content":"x"}],"cache_salt":"a","cache_salt":"b"}`), "\xff\"", false)
@@ -40,12 +39,12 @@
 	}
 	var salt string
 	if json.Unmarshal(again[fieldSalt], &salt) != nil || salt != "0123" {
-		t.Fatalf("%q carries the salt %q", body, salt)
+		t.Fatalf("%q has the salt %q", body, salt)
 	}
 }
 
-// An engine gone wrong writes anything into a piece. Reading it, and putting an
-// answer together from it, must not fail in a crash.
+// A faulty engine may send any data as a piece. Parsing it and assembling an answer from it
+// must not panic.
 func FuzzChunk(f *testing.F) {
 	f.Add([]byte(`{"id":"r","choices":[{"index":0,"text":"x","finish_reason":"stop"}],"usage":{"prompt_tokens":1}}`), true)
 	f.Add([]byte(`{"choices":[{"delta":{"tool_calls":[{"index":1,"function":{"arguments":"{"}}]},"logprobs":{"content":[{}]}}]}`), true)
--- a/entry/generate.go
+++ b/entry/generate.go
@@ -18,7 +18,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// modelsPath heads the path of one model.
+// modelsPath is the path prefix of a single model.
 const modelsPath = "/v1/models/"
 
 type modelList struct {
@@ -36,7 +36,7 @@
 	writeJSON(ctx, list)
 }
 
-// model answers what one model is.
+// model serves the description of one model.
 func (s *Server) model(ctx *fasthttp.RequestCtx, records *record.Snapshot, organisation, name string) {
 	if _, ok := lookupModel(records, name); !ok || !mayUse(records, organisation, name) {
 		s.refuse(ctx, errNoModel(name))
@@ -51,8 +51,8 @@
 	ctx.SetBody(body)
 }
 
-// generate answers a model request. It reads the first piece before it answers
-// at all, so that what goes wrong before that gets a status of its own.
+// generate serves a model request. It waits for the first piece before it writes the status,
+// so that earlier errors have a status of their own.
 func (s *Server) generate(ctx *fasthttp.RequestCtx, records *record.Snapshot, organisation, id string) {
 	if !ctx.IsPost() {
 		s.refuse(ctx, errMethod)
@@ -83,7 +83,7 @@
 	a.writeWhole(ctx, first)
 }
 
-// first reads the first piece.
+// first looks up the idempotency key and returns the first piece.
 func (a *answer) first() ([]byte, error) {
 	if err := a.lookupKey(); err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 	h.Set(headerCached, strconv.FormatInt(a.progress.cached, 10))
 }
 
-// writeFailed answers a request whose answer can't be completed.
+// writeFailed writes the error answer of a request that cannot be completed.
 func (a *answer) writeFailed(ctx *fasthttp.RequestCtx, err error) {
 	if a.endpoint != "" {
 		ctx.Response.Header.Set(headerEndpoint, a.endpoint)
@@ -108,7 +108,7 @@
 	writeError(ctx, err, a.verdict)
 }
 
-// writeWhole reads the rest of the answer and writes it as one.
+// writeWhole reads the remaining pieces and writes the answer as one body.
 func (a *answer) writeWhole(ctx *fasthttp.RequestCtx, piece []byte) {
 	whole := newAssembly(a.req.chat)
 	for {
--- a/entry/headers.go
+++ b/entry/headers.go
@@ -7,8 +7,8 @@
 	headerKey           = "Idempotency-Key"
 )
 
-// Answer headers. The outcome of a stream is a trailer: it is not known
-// before the stream's end.
+// Response headers. The outcome of a stream is sent as a trailer, because it is only known at
+// the end of the stream.
 const (
 	headerRequestID = "X-Request-Id"
 	headerEndpoint  = "X-Sardinedock-Endpoint"
@@ -16,5 +16,5 @@
 	headerOutcome   = "X-Sardinedock-Outcome"
 )
 
-// maxKeyBytes bounds an idempotency key.
+// maxKeyBytes is the maximum length of an idempotency key.
 const maxKeyBytes = 255
--- a/entry/kill_test.go
+++ b/entry/kill_test.go
@@ -11,7 +11,7 @@
 	"github.com/sardinedock/sardinedock/place"
 )
 
-// gatedPlacer places nothing before its gate opens.
+// gatedPlacer blocks Place until gate is closed.
 type gatedPlacer struct {
 	staticPlacer
 	called, gate chan struct{}
@@ -27,10 +27,10 @@
 	}
 }
 
-// An instance is killed in a run with all faults while a request waits there for an endpoint.
-// It went on waiting, with what it knew before the kill, and sent the request seconds later to
-// an engine that was leaving since. No crashed process does that; the run then counted a late
-// start against the fleet, and a request of the dead beside its caller's next attempt.
+// An instance is killed while a request waits there for an endpoint. The request once went on
+// waiting, with the state from before the kill, and was sent seconds later to an engine that
+// had begun to leave. A crashed process does not do that; fault-injection runs counted it as a
+// late start and as an attempt that ran concurrently with the caller's next one.
 func TestKilledServerSendsNothing(t *testing.T) {
 	p := &gatedPlacer{called: make(chan struct{}), gate: make(chan struct{})}
 	r := newRig(t, rigConfig{engines: 1, configure: func(c *entry.Config) { c.Placer = p }})
@@ -48,18 +48,19 @@
 	close(p.gate)
 	<-ended
 	if n := r.Engines[0].Stats().Runs; n != 0 {
-		t.Errorf("a killed server had an engine run %d requests", n)
+		t.Errorf("a killed server sent %d requests to an engine", n)
 	}
 }
 
-// An instance is killed while an engine works for it. A crashed process can't tell the engine
-// to stop; were it told, a run with all faults would not show what is done for nobody.
+// An instance is killed while an engine runs a request for it. A crashed process cannot cancel
+// the run; if Kill did, fault-injection runs would not show the work that engines do for
+// callers that no longer exist.
 func TestKilledServerCancelsNothing(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	rd := r.askFor(t, prompt, 2000, nil)
 	rd.piece()
 	r.server.Kill()
-	// An order to cancel would be there within milliseconds.
+	// A cancellation would arrive within milliseconds.
 	const cancelWait = 200 * time.Millisecond
 	time.Sleep(cancelWait)
 	client := endpoint.NewClient(r.Engines[0].Addr(), time.Second, testSilence)
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -12,29 +12,27 @@
 )
 
 const (
-	// lingerTime and lingerBytes bound what is still read of a refused body.
+	// lingerTimeout and maxLingerBytes limit how much of a refused body is still read.
 	lingerTimeout  = time.Second
 	maxLingerBytes = 64 << 20
 )
 
-// listener bounds each write to a caller. A caller that stops reading fills
-// its connection's buffers, and the next write ends after the bound; the
-// engine's work for it is then cancelled.
+// listener sets a deadline for each write to a caller. If a caller stops reading, the
+// connection's buffers fill up, the next write times out, and the engine's work for the caller
+// is cancelled.
 type listener struct {
 	net.Listener
 	writeTimeout time.Duration
 }
 
-// acceptPause is the wait before another try where no connection could be
-// accepted.
+// acceptRetryDelay is the delay before Accept is retried after a transient error.
 const acceptRetryDelay = 50 * time.Millisecond
 
 var acceptFailures = metrics.GetOrCreateCounter("sardinedock_accept_failures_total")
 
-// Accept implements net.Listener. The HTTP server takes any error for the end
-// of the listener. A moment without free file descriptors would then end the
-// serving for good, while the port stays open and callers wait in its queue
-// without an answer; so such errors are waited out here.
+// Accept implements net.Listener. It retries transient errors, because the HTTP server stops
+// serving after any error of Accept: after a short lack of file descriptors the port would
+// stay open, and callers would wait in its backlog without ever getting an answer.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	for isTransient(err) {
@@ -48,7 +46,7 @@
 	return &callerConn{Conn: c, writeTimeout: l.writeTimeout}, nil
 }
 
-// passing reports whether an error of accept says nothing of the listener.
+// isTransient reports whether err can pass without the listener being closed.
 func isTransient(err error) bool {
 	for _, e := range [...]error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ECONNABORTED} {
 		if errors.Is(err, e) {
@@ -58,7 +56,6 @@
 	return false
 }
 
-// callerConn is a caller's connection.
 type callerConn struct {
 	net.Conn
 	writeTimeout time.Duration
@@ -73,10 +70,10 @@
 	return c.Conn.Write(p)
 }
 
-// Close implements net.Conn. A connection that is closed with unread data in
-// it is reset, and the reset can overtake the refusal: a caller that sends too
-// large a body would see a broken connection in place of the status that says
-// so. After such a refusal the rest is therefore read and thrown away first.
+// Close implements net.Conn. The kernel resets a connection that is closed with unread data,
+// and the reset can overtake the answer: a caller that sent too large a body would see a
+// connection error instead of the status. After such a refusal the rest of the body is
+// therefore read and discarded first.
 func (c *callerConn) Close() error {
 	cw, ok := c.Conn.(interface{ CloseWrite() error })
 	if ok && c.linger.Swap(false) && cw.CloseWrite() == nil {
@@ -86,7 +83,8 @@
 	return c.Conn.Close()
 }
 
-// SyscallConn implements syscall.Conn, by which a caller that has gone is seen.
+// SyscallConn implements syscall.Conn; package sockstate uses it to detect disconnected
+// callers.
 func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/entry/listener_test.go
+++ b/entry/listener_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fullListener has no free file descriptors for a while, then ends.
+// failingListener returns the errors one after the other, and a connection for nil.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -25,8 +25,8 @@
 	return c, nil
 }
 
-// A burst uses up the process's file descriptors. The listener must go on when
-// some are free again; a caller would otherwise connect and wait for ever.
+// A burst of connections uses up the process's file descriptors. The listener must continue to
+// accept once some are free again; callers would otherwise connect and never get an answer.
 func TestListenerSurvivesTransientAcceptErrors(t *testing.T) {
 	l := &listener{writeTimeout: time.Second, Listener: &failingListener{errs: []error{syscall.EMFILE, syscall.ECONNABORTED, nil, syscall.EINVAL}}}
 	if _, err := l.Accept(); err != nil {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/sardinedock/sardinedock/outcome"
 )
 
-// counters are what a server counts.
+// counters are the metrics of a server.
 type counters struct {
 	complete, notRun, unknown *metrics.Counter
 	resumed                   *metrics.Counter
--- a/entry/once.go
+++ b/entry/once.go
@@ -13,35 +13,36 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// headerReplayed marks an answer that was given before, under the same key.
+// headerReplayed marks an answer that is replayed from the record of an earlier attempt with
+// the same key.
 const headerReplayed = "Idempotent-Replayed"
 
-// storeRetryAfter is when a caller may come back that was refused for want of
-// the object API: its breaker looks again about that often.
+// storeRetryAfter is the Retry-After of requests that were refused because the object API is
+// unavailable. Its circuit breaker probes the API about this often.
 const storeRetryAfter = 2 * time.Second
 
-// refusedRetryAfter is when a caller may come back whose other attempt under the
-// same key was refused.
+// refusedRetryAfter is the Retry-After of a request for which another attempt with the same
+// key was refused as not run.
 const refusedRetryAfter = time.Second
 
-// settleWait bounds how long a refused caller waits for its refusal to be put on
-// record. It takes milliseconds; a store that takes longer is as good as away.
+// refuseTimeout limits how long the answer to a refused request is delayed until the refusal
+// is recorded. Recording takes milliseconds; a store that needs longer counts as unavailable.
 const refuseTimeout = 500 * time.Millisecond
 
-// A resend that meets its first attempt under way looks again after firstLook,
-// twice and four times that. Most confirmations end within that time, and the
-// caller has the answer now instead of after a second of Retry-After. Longer
-// ones are not waited for: each look is a read of the object API.
+// A resend that finds its first attempt still running checks the record again after firstPoll,
+// after twice and after four times that delay. Most non-idempotent calls end within this time,
+// so the caller gets the answer now instead of after a Retry-After of one second. Polling does
+// not go on for longer, because each poll reads from the object API.
 const (
 	firstPoll = 25 * time.Millisecond
 	lastPoll  = 4 * firstPoll
 )
 
-// minTakeWait is the least time that a claim may take, also where placing used
-// up the class's wait.
+// minAcquireTimeout is the minimum timeout for taking a claim, even if placing has used up the
+// maximum wait of the class.
 const minAcquireTimeout = 500 * time.Millisecond
 
-// Claims is what the server needs of the claims; see package claim.
+// Claims is the store of claims on idempotency keys; see package claim.
 type Claims interface {
 	Look(ctx context.Context, r claim.Request) (claim.Found, error)
 	Take(ctx context.Context, r claim.Request) (claim.Found, error)
@@ -50,21 +51,25 @@
 	Refuse(ctx context.Context, r claim.Request) (claim.Found, error)
 }
 
-// ticket is a non-idempotent request's way to its one send. A nil ticket is
-// that of a request without an idempotency key, which no resend can name.
+// claimGuard ensures that a non-idempotent request with an idempotency key is sent only under
+// a claim on that key, so that its resends do not run it again. Its methods accept a nil
+// claimGuard, which belongs to requests without a claim: idempotent ones, and those without a
+// key, whose resends cannot be recognised.
 type claimGuard struct {
 	claims  Claims
 	tracker *outcome.Request
 	request claim.Request
 	class   *recordspb.RequestClass
-	// startBy is when the class's wait is over.
+	// startDeadline is when the class's maximum wait is over.
 	startDeadline time.Time
-	// held is set while the claim is this attempt's; takenAt is from when.
+	// acquired is set while this attempt owns the claim; acquiredAt is when it began to
+	// acquire it.
 	acquired   bool
 	acquiredAt time.Time
-	// away is set once the store did not answer in time.
+	// storeFailed is set once a request to the store has failed.
 	storeFailed bool
-	// unclaimed is set if the class's rule lets the request go without.
+	// unclaimed is set if the class lets the request run without a claim while the store is
+	// down.
 	unclaimed bool
 }
 
@@ -78,7 +83,7 @@
 	return &claimGuard{claims: s.cfg.Claims, tracker: tracker, request: r, class: class, startDeadline: startDeadline}
 }
 
-// recordedError ends a request whose key another attempt holds.
+// recordedError is the error of a request whose key is claimed by another attempt.
 type recordedError struct {
 	found claim.Found
 	cause error
@@ -100,8 +105,8 @@
 	return &recordedError{f, fault.New(fault.Conflict, "nothing has to be sent again", "the request with this %s is complete; its answer was not kept", headerKey)}
 }
 
-// look finds out, before the request takes a slot from others, whether its key
-// is known and whether the store answers. An error is final; nothing was sent.
+// lookupKey checks whether the key is already claimed and whether the store is available,
+// before the request occupies a slot. An error is final: nothing was sent.
 func (g *claimGuard) lookupKey(ctx context.Context) error {
 	if g == nil {
 		return nil
@@ -119,8 +124,9 @@
 	return nil
 }
 
-// ended waits for the end of the attempt that took the key first. Where that one
-// gave it back meanwhile, the caller is told to ask again, since this attempt has waited long enough.
+// awaitEnd waits for the end of the attempt that owns the claim. If that attempt releases the
+// claim meanwhile, awaitEnd still returns f, so that the caller is asked to retry: this
+// attempt has already waited long enough.
 func (g *claimGuard) awaitEnd(ctx context.Context, f claim.Found) claim.Found {
 	if later := g.poll(ctx, f); later.Taken {
 		return later
@@ -128,7 +134,7 @@
 	return f
 }
 
-// await looks again while another attempt holds the key and has not ended.
+// poll repeats the lookup while another attempt owns the claim and has not ended.
 func (g *claimGuard) poll(ctx context.Context, f claim.Found) claim.Found {
 	for delay := firstPoll; delay <= lastPoll && f.Taken && f.SameBody && f.Answer == nil; delay *= 2 {
 		if clock.Sleep(ctx, delay) != nil {
@@ -143,7 +149,7 @@
 	return f
 }
 
-// take claims the key. It must succeed before the first byte is sent.
+// acquire claims the key. It must succeed before the first byte is sent to an endpoint.
 func (g *claimGuard) acquire(ctx context.Context) error {
 	if g == nil || g.unclaimed {
 		return nil
@@ -174,10 +180,10 @@
 	return g.checkAge()
 }
 
-// check refuses to send under a claim that may have been forgotten: the
-// process was paused for so long after the claim that the store's record of it
-// may be gone, and another instance may have claimed the key since. Both
-// clocks count, as a paused machine's monotonic one may have stood still.
+// checkAge returns an error if the claim may have expired: if the process was paused for long
+// enough after the claim, the store may have dropped the record, and another instance may have
+// claimed the key since. It checks both clocks, because the monotonic clock of a paused
+// machine may have stopped.
 func (g *claimGuard) checkAge() error {
 	const bound = claim.Retention / 2
 	wall := time.Now().Round(0).Sub(g.acquiredAt.Round(0))
@@ -187,7 +193,7 @@
 	return fault.New(fault.Unavailable, "send the request again", "the instance was paused after the claim")
 }
 
-// storeDown applies the class's rule for the time without the object API.
+// storeDown applies the class's rule for an unavailable object API.
 func (g *claimGuard) storeDown(err error) error {
 	g.storeFailed = true
 	if fault.Is(err, fault.Unavailable) && g.class.GetWhenStoreDown() == recordspb.StoreDownRule_STORE_DOWN_RUN_UNCLAIMED {
@@ -197,11 +203,11 @@
 	return fault.WithRetryAfter(err, storeRetryAfter)
 }
 
-// settle puts on record that the request did not run, so that its caller may be
-// told so: without that, another attempt under the same key that waits now
-// could still run it, and the word would be false. Where it can't be put on
-// record, the word stays unknown. It returns the error for the caller: err, or
-// what the record says where another attempt holds the key.
+// recordNotRun records that the request did not run, so that the caller can be told so.
+// Without the record, another waiting attempt with the same key could still run the request
+// and make that answer wrong. If the record cannot be written, the outcome stays unknown. It
+// returns the error for the caller: err, or the recorded state of the request if another
+// attempt owns the claim.
 func (g *claimGuard) recordNotRun(err error) error {
 	if g == nil || g.storeFailed || g.unclaimed || !g.tracker.NeedsRefusal() {
 		return err
@@ -220,9 +226,8 @@
 	return err
 }
 
-// end records what became of the request: its answer, or that it did not run
-// and its key is free. A request of which nobody knows leaves its claim as it
-// stands.
+// finish records the answer of a complete request, or releases the claim if nothing ran. If
+// the outcome is unknown, it leaves the claim as it is.
 func (g *claimGuard) finish(v outcome.Verdict, a claim.Answer) {
 	switch {
 	case g == nil || !g.acquired:
@@ -233,7 +238,7 @@
 	}
 }
 
-// writeRecorded answers from the record; false if the answer is not there.
+// writeRecorded writes a recorded answer. It returns false if the answer was not kept.
 func writeRecorded(ctx *fasthttp.RequestCtx, a *claim.Answer) bool {
 	if a == nil || !a.Kept {
 		return false
--- a/entry/once_internal_test.go
+++ b/entry/once_internal_test.go
@@ -11,7 +11,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// pausedClaims grants every claim, after the process was paused.
+// pausedClaims grants every claim after a pause of the process.
 type pausedClaims struct {
 	pause    time.Duration
 	released int
@@ -36,10 +36,9 @@
 	return claim.Found{}, nil
 }
 
-// An instance is paused between its claim and the send, for so long that the
-// store may have forgotten the claim and another instance may hold the key.
-// Going on would ship twice, so it refuses, and says truly that it sent
-// nothing.
+// An instance is paused between its claim and the send, so long that the store may have
+// dropped the claim and another instance may own the key. Sending then could ship an order
+// twice, so the instance must refuse the request as not run.
 func TestInstancePausedAfterClaimDoesNotSend(t *testing.T) {
 	for pause, ok := range map[time.Duration]bool{time.Second: true, claim.Retention: false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -53,19 +52,19 @@
 				t.Fatalf("after a pause of %v: %v", pause, err)
 			}
 			if tracker.Verdict().NotRun() {
-				t.Fatal("said not-run before that was on record")
+				t.Fatal("reported not-run before the refusal was recorded")
 			}
 			_ = claimGuard.recordNotRun(nil)
 			verdict := tracker.Finish()
 			claimGuard.finish(verdict, claim.Answer{})
 			if !verdict.NotRun() || claims.refused != 1 || claims.released != 0 {
-				t.Fatalf("said %s, refused %d times, released %d times", verdict, claims.refused, claims.released)
+				t.Fatalf("outcome %s, refused %d times, released %d times", verdict, claims.refused, claims.released)
 			}
 		})
 	}
 }
 
-// runningClaims tells of another attempt that ends after some looks.
+// runningClaims reports another running attempt that ends after endsAfter lookups.
 type runningClaims struct {
 	pausedClaims
 	lookups, endsAfter int
@@ -80,9 +79,9 @@
 	return f, nil
 }
 
-// A counter sends a confirmation twice at once. The second attempt meets the
-// first one a few milliseconds before its end; told only "ask again in a
-// second", the counter would learn of a dispatch a second late.
+// A client sends the same non-idempotent call twice at once. The second attempt arrives a few
+// milliseconds before the first one ends; with only a Retry-After of one second, the client
+// would learn of the result a second late.
 func TestResendWaitsBrieflyForRunningAttempt(t *testing.T) {
 	for endsAfter, answered := range map[int]bool{0: true, 3: true, 4: false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -93,10 +92,10 @@
 			claimGuard := s.newClaimGuard(tracker, "k", claim.Request{Key: claim.NewKey("accra", "k"), Attempt: "b"}, class)
 			err := claimGuard.lookupKey(context.Background())
 			if err == nil || tracker.Verdict().Complete() != answered {
-				t.Fatalf("ended after %d looks: %v, said %s", endsAfter, err, tracker.Verdict())
+				t.Fatalf("ended after %d lookups: %v, outcome %s", endsAfter, err, tracker.Verdict())
 			}
 			if claims.lookups > 4 {
-				t.Fatalf("%d looks", claims.lookups)
+				t.Fatalf("%d lookups", claims.lookups)
 			}
 		})
 	}
--- a/entry/once_test.go
+++ b/entry/once_test.go
@@ -19,7 +19,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// pair is two instances before the same store and endpoints.
+// instancePair is two instances that share a store and endpoints.
 type instancePair struct {
 	*rig
 	store  *objecttest.Store
@@ -50,7 +50,7 @@
 	return p
 }
 
-// send sends an order with a key through one of the instances.
+// send sends an order with an idempotency key through one of the instances.
 func (p *instancePair) send(t *testing.T, instance int, key, body string) *http.Response {
 	t.Helper()
 	return p.call(t, instance, "/services/ordering/dispatch", key, body)
@@ -72,8 +72,8 @@
 	return string(body)
 }
 
-// wantRecorded waits until the end of a request is on record at the other
-// instance: it is recorded after the caller has its answer.
+// waitRecorded waits until the other instance finds the end of the request on record. It is
+// recorded only after the caller has got its answer.
 func (p *instancePair) waitRecorded(t *testing.T, key, body string) *http.Response {
 	t.Helper()
 	for {
@@ -85,8 +85,8 @@
 	}
 }
 
-// The answer to a confirmation is lost on its way to the counter, which sends
-// it again to another instance. It reads the first answer; nothing ships twice.
+// The answer to an order confirmation is lost and the client sends it again to another
+// instance. It must get the first answer, and the order must not run twice.
 func TestResendIsAnsweredFromTheRecord(t *testing.T) {
 	p := newPair(t, rigConfig{services: 2})
 	first := want(t, p.send(t, 0, "k", "ship 7"), 200, "complete")
@@ -101,8 +101,8 @@
 	want(t, p.send(t, 1, "k2", "ship 8"), 200, "complete")
 }
 
-// A confirmation hangs at the ordering app and the counter sends it again. The
-// second one is told at once that nobody knows yet, and does not run.
+// A service does not answer an order confirmation and the client sends it again. The second
+// attempt must get the outcome unknown at once and must not run.
 func TestResendWhileFirstAttemptHangs(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 500, TimeoutMs: 1500}
@@ -132,10 +132,10 @@
 	}
 }
 
-// The object API is down for minutes. Confirmations are refused unsent once
-// their class's wait is over. Whether an earlier one under the same key ran
-// can't be read, so the word is unknown: a counter that reads "not run" would
-// order again under a new key. What may be repeated does not notice.
+// The object API is down for minutes. Non-idempotent requests must be refused without being
+// sent once the maximum wait of their class is over. Whether an earlier attempt with the same
+// key ran cannot be read, so the outcome is unknown: after not-run, the client would order
+// again with a new key. Idempotent requests must not be affected.
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 200, TimeoutMs: 60000}
@@ -157,13 +157,14 @@
 	model := p.call(t, 0, "/v1/completions", "m", `{"model":"counter","prompt":"x","max_tokens":2}`)
 	want(t, model, 503, "unknown")
 	if ends := p.placer.ends(); len(ends) != 1 {
-		t.Fatal("a request that waits for the object API took a slot")
+		t.Fatal("a request that waits for the object API occupied a slot")
 	}
 	p.store.SetDown(false)
 	want(t, p.send(t, 1, "k", "ship 7"), 200, "complete")
 }
 
-// The operator has chosen that confirmations go on without the object API.
+// The class allows non-idempotent requests to run without a claim while the object API is
+// down.
 func TestStoreDownRunsUnclaimed(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 60000, WhenStoreDown: recordspb.StoreDownRule_STORE_DOWN_RUN_UNCLAIMED}
@@ -173,8 +174,8 @@
 	want(t, p.do(t, "POST", "/services/ordering/dispatch", header, "ship 7"), 200, "complete")
 }
 
-// The store's reply to the claim is lost, and the instance is killed with the
-// confirmation at the ordering app. The resend elsewhere must not ship again.
+// The store's reply to the claim is lost, and the instance is killed while the service runs
+// the order confirmation. The resend to another instance must not run it again.
 func TestLostReplyAndKilledInstance(t *testing.T) {
 	t.Parallel()
 	p := newPair(t, rigConfig{services: 1})
@@ -197,8 +198,8 @@
 	}
 }
 
-// Nothing listens at the ordering app, so the confirmation did not run and is
-// said not to have run. Its key is free for the resend once the app is back.
+// The service does not listen, so the order confirmation did not run and is reported as not
+// run. Its key must be free for the resend once the service is back.
 func TestKeyOfUnsentRequestIsReleased(t *testing.T) {
 	t.Parallel()
 	p := newPair(t, rigConfig{services: 1})
@@ -225,8 +226,8 @@
 	return err == nil
 }
 
-// A non-idempotent model request: its whole answer is small enough to be kept,
-// a streamed one is known to be complete.
+// Answers to non-idempotent model requests are recorded, unstreamed and streamed, if they are
+// small enough. Of a larger one it is recorded only that it is complete.
 func TestModelAnswersAreRecorded(t *testing.T) {
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":2}`
@@ -249,7 +250,7 @@
 	}
 }
 
-// untilKnown asks the other instance until the end of a request is on record.
+// waitOutcome repeats the request at the other instance until its outcome is recorded.
 func (p *instancePair) waitOutcome(t *testing.T, key, body string) *http.Response {
 	t.Helper()
 	for {
@@ -260,8 +261,9 @@
 	}
 }
 
-// The first attempt ran at an instance that has died, and the resend reaches
-// one that has no records yet. It can't know that nothing ran.
+// The first attempt ran at an instance that has died, and the resend reaches an instance that
+// has no records yet. That instance cannot know whether the first attempt ran, so it must not
+// report not-run.
 func TestInstanceWithoutRecordsReportsUnknown(t *testing.T) {
 	p := newPair(t, rigConfig{services: 1})
 	want(t, p.send(t, 0, "k", "ship 7"), 200, "complete")
@@ -271,8 +273,8 @@
 	want(t, p.do(t, "GET", "/services/ordering/dispatch", nil, ""), 503, "not-run")
 }
 
-// A counter's connection breaks in the middle of a streamed confirmation. The
-// engine's work goes on, and the resend reads the whole answer.
+// A caller disconnects in the middle of a streamed non-idempotent answer. The engine must go
+// on, and the resend must get the whole answer.
 func TestStreamIsRecordedAfterCallerDisconnect(t *testing.T) {
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":20,"stream":true}`
@@ -287,8 +289,8 @@
 	}
 }
 
-// The engine refuses what a keyed request asks for. That is its whole answer,
-// and a resend reads the same.
+// The engine rejects a request with an idempotency key. That is its complete answer, and a
+// resend must get the same one.
 func TestEnginesRefusalIsRecorded(t *testing.T) {
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":[1,2],"max_tokens":2}`
@@ -298,7 +300,7 @@
 	}
 }
 
-// slowPlacer lets another attempt run while a request waits, and refuses it.
+// refusingPlacer calls wait and then refuses the request.
 type refusingPlacer struct {
 	staticPlacer
 	wait func()
@@ -309,8 +311,9 @@
 	return place.Grant{}, fault.New(fault.Overloaded, "come back", "no slot")
 }
 
-// A counter sends a confirmation twice at once. One of the two waits for a slot
-// and is refused, long after its look at the record; the other has run by then.
+// A client sends the same non-idempotent request twice at once. One attempt waits for a slot
+// and is refused long after it looked up the key, while the other attempt has run. The refusal
+// must not report not-run.
 func TestRefusalChecksRecordAgain(t *testing.T) {
 	p := newPair(t, rigConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":2}`
@@ -320,7 +323,7 @@
 	p.urls[1] = p.serve(t, refusing)
 	resp := p.call(t, 1, "/v1/completions", "k", body)
 	if got := resp.Header.Get("X-Sardinedock-Outcome"); got == "not-run" {
-		t.Fatalf("status %d says not-run of a request that ran", resp.StatusCode)
+		t.Fatalf("status %d reports not-run for a request that ran", resp.StatusCode)
 	}
 	refusing.Placer = refusingPlacer{wait: func() {}}
 	p.urls[1] = p.serve(t, refusing)
--- a/entry/overhead_bench_test.go
+++ b/entry/overhead_bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// BenchmarkOverhead measures the first token through the router beside that of
-// the engine itself, one after the other in the same run: prompts of 400 KB or
-// a few bytes, all cached, a granted slot, connections that are open.
+// BenchmarkOverhead compares the time to the first token through the router with that of a
+// direct request to the engine, alternating in the same run. Prompts have 400 KB or a few
+// bytes; all are cached, slots are free and connections are open.
 func BenchmarkOverhead(b *testing.B) {
 	for name, prompt := range map[string]string{"short": prompt, "400KB": strings.Repeat("M12 anchor, grade 8.8; ", 17400)} {
 		b.Run(name, func(b *testing.B) {
@@ -61,9 +61,9 @@
 	return took
 }
 
-// BenchmarkOpenStreams measures what 1,000 open streams of short prompts hold
-// in the whole process, the router, the engine stand-in and the callers, and
-// the same without the router. The difference is the router's.
+// BenchmarkOpenStreams measures the memory of 1,000 open streams with short prompts in the
+// whole process (router, emulated engine and callers) and the same without the router. The
+// difference is the memory of the router.
 func BenchmarkOpenStreams(b *testing.B) {
 	limits := &settingspb.Limits{
 		HeaderBytes: 16384, BodyBytes: 1 << 20, ReadTimeoutMs: 60000, WriteTimeoutMs: 10000,
@@ -77,7 +77,7 @@
 	}
 }
 
-// heldBy opens 1,000 streams and returns the bytes of heap and stacks in use.
+// memoryOf opens 1,000 streams and returns the growth of heap and stacks in use, in bytes.
 func memoryOf(b *testing.B, url string) float64 {
 	const streams = 1000
 	before := memoryInUse()
--- a/entry/parse_bench_test.go
+++ b/entry/parse_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// BenchmarkBody measures what the router does with a long prompt's bytes: the
-// reading of the fields, the text that blocks are cut from, the blocks, and the
-// body for the engine.
+// BenchmarkBody measures the steps that process the bytes of a long prompt: parsing the
+// fields, extracting the text, computing the prefix blocks, and encoding the body for the
+// engine.
 func BenchmarkBody(b *testing.B) {
 	long := strings.Repeat("M12 anchor, grade 8.8; ", 17400)
 	bodies := map[string]string{
--- a/entry/placer_test.go
+++ b/entry/placer_test.go
@@ -10,7 +10,7 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// staticPlacer places by rendezvous order alone.
+// staticPlacer places requests by rendezvous hashing alone.
 type staticPlacer struct{}
 
 func (staticPlacer) Place(_ context.Context, r place.Request) (place.Grant, error) {
--- a/entry/recover.go
+++ b/entry/recover.go
@@ -10,25 +10,24 @@
 	"github.com/sardinedock/sardinedock/place"
 )
 
-// maxResumes bounds how often a stream is resumed without a good piece in
-// between.
+// maxResumes limits how often a stream is resumed without a valid piece in between.
 const maxResumes = 3
 
-// state is what is found of a run whose connection failed.
+// probeResult is the state of a run whose connection failed.
 type probeResult int
 
 const (
-	// resumed: the run goes on, on a new connection.
+	// resumed: the run continues on a new connection.
 	resumed probeResult = iota
-	// lost: the engine lives and does not know the run, or can't give it.
+	// runLost: the engine is alive but does not know the run or cannot resume it.
 	runLost
-	// dead: the engine died with the run in flight.
+	// engineDied: the engine crashed during the run.
 	engineDied
 )
 
-// recover goes on after a break, a silence, or a piece that was not due: on a
-// new connection to the same engine, or elsewhere if the engine has lost the
-// run or died. A nil error means that Next can go on.
+// recover recovers from a broken or unresponsive connection or an unexpected piece: it resumes
+// the run on a new connection to the same engine, or prepares a rerun elsewhere if the engine
+// has lost the run or died. After a nil error, Next continues.
 func (a *answer) recover(cause error) error {
 	if callErr := a.call.cause(); callErr != nil {
 		return callErr
@@ -48,8 +47,9 @@
 	return a.retryElsewhere(cause)
 }
 
-// afterCrash reports the crash and goes on elsewhere, unless the request ran
-// alone: then it is what crashed the endpoint, and the next one would die too.
+// afterCrash reports the crash and prepares a rerun elsewhere, unless the request ran alone on
+// the endpoint: then the request itself caused the crash and would crash the next endpoint
+// too.
 func (a *answer) afterCrash(cause error) error {
 	a.srv.metrics.crashed.Inc()
 	alone := a.run.grant.Alone
@@ -60,7 +60,7 @@
 	return a.retryElsewhere(cause)
 }
 
-// elsewhere decides whether the request may be sent again.
+// retryElsewhere checks whether the request may be sent again. It returns nil if so.
 func (a *answer) retryElsewhere(cause error) error {
 	a.lastErr = cause
 	if !a.tracker.MaySend() {
@@ -77,9 +77,10 @@
 	return nil
 }
 
-// examine asks the engine on new connections what became of the run. An open
-// connection's silence proves nothing: something in between may have forgotten
-// it. Only a new connection that fails, or another incarnation, means death.
+// probeRun asks the engine on new connections for the state of the run and resumes it if
+// possible. That no data arrives on an open connection proves nothing: a middlebox may have
+// dropped the connection. Only a failing new connection or another incarnation means that the
+// engine died.
 func (a *answer) probeRun(cause error) probeResult {
 	r := a.run
 	if r.stream != nil {
@@ -106,17 +107,17 @@
 	return runLost
 }
 
-// maybeDied reports whether the engine may have died and come back unseen: the
-// connection broke before any answer told the engine's incarnation, and the
-// engine that is there now doesn't know the request. Taking that for a crash
-// costs a run alone at worst; passing over it would let a request that crashes
-// endpoints go on to the next one. A silent connection may never have brought
-// the request.
+// mayHaveRestarted reports whether the engine may have crashed and restarted unnoticed: the
+// connection broke before any answer reported the incarnation, and the engine that now answers
+// does not know the request. A false positive costs at most an isolated run of the request; a
+// false negative would let a request that crashes endpoints move on to the next one. Timeouts
+// are excluded: the request may never have arrived on an unresponsive connection.
 func (a *answer) mayHaveRestarted(cause error) bool {
 	return a.run.incarnation == 0 && !endpoint.Silent(cause)
 }
 
-// alive asks the engine for its state on a new connection.
+// probeEngine queries the state of the engine on a new connection and returns engineDied or
+// runLost.
 func (a *answer) probeEngine() probeResult {
 	ctx, stop := context.WithTimeout(a.call.ctx, a.srv.silenceTimeout())
 	defer stop()
@@ -130,13 +131,13 @@
 	return runLost
 }
 
-// adopt goes on with a resumed stream, if it is still the same run of the same
+// attach continues with a resumed stream if it belongs to the same run with the same model
 // weights.
 func (a *answer) attach(s endpoint.Stream) probeResult {
 	r := a.run
 	r.resumes++
-	// The incarnation of a grant may be an old one; only that of an answer tells
-	// a restart.
+	// The incarnation in a grant may be outdated; only a change from one that an answer
+	// reported shows a restart.
 	if r.answered && s.Incarnation() != r.incarnation {
 		s.Close()
 		return engineDied
--- a/entry/recover_bench_test.go
+++ b/entry/recover_bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/sardinedock/sardinedock/emulator"
 )
 
-// BenchmarkBreak measures the pause that a caller sees when an answer breaks
-// off after its first piece: the longest gap between two pieces, beside the
-// usual one of the same answer. The silence bound is 300 ms here.
+// BenchmarkBreak measures the pause that a caller sees when the connection or the engine fails
+// after the first piece: the longest gap between two pieces, compared with "none", where
+// nothing fails. The silence timeout is 300 ms here.
 func BenchmarkBreak(b *testing.B) {
 	faults := map[string]func(e *emulator.Engine){
 		"none":   func(*emulator.Engine) {},
--- a/entry/request.go
+++ b/entry/request.go
@@ -16,33 +16,33 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// defaultCompletionTokens is the answer's bound that the published API states
-// for /v1/completions where the caller sets none.
+// defaultCompletionTokens is the OpenAI API's default of max_tokens for /v1/completions.
 const defaultCompletionTokens = 16
 
-// defaultClass treats requests for which no record names a class.
+// defaultClass is used for requests without a class record.
 var defaultClass = &recordspb.RequestClass{MaxWaitMs: 2000, TimeoutMs: 120000}
 
-// modelRequest is one request for a model, read and checked.
+// modelRequest is a parsed and validated request for a model.
 type modelRequest struct {
 	id     string
 	chat   bool
 	path   string
 	stream bool
-	// once marks a request that runs at most once; key is its idempotency key
+	// nonIdempotent is set if the request must run at most once; key is the idempotency key,
 	// or empty.
 	nonIdempotent bool
 	key           string
 	fields        fields
 	place         place.Request
-	// single says that the answer has one choice, whose text can be continued.
+	// singleChoice is set if the answer has exactly one choice, so that its text can be
+	// continued elsewhere.
 	singleChoice bool
 }
 
-// readModelRequest checks a caller's request against the records. Errors are
-// final: nothing was sent.
+// readModelRequest parses and validates a request against the records. Errors are final:
+// nothing was sent.
 func readModelRequest(ctx *fasthttp.RequestCtx, records *record.Snapshot, organisation, id string) (*modelRequest, error) {
-	// The server takes the body's memory back before a stream has ended.
+	// The HTTP server reuses the body's memory before a stream has ended.
 	f, err := parseFields(bytes.Clone(ctx.PostBody()))
 	if err != nil {
 		return nil, err
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// lookupModel finds a model by its name, or by model:adapter.
+// lookupModel looks up a model by "model" or "model:adapter".
 func lookupModel(records *record.Snapshot, name string) (*recordspb.Model, bool) {
 	if m, ok := records.Model(name); ok {
 		return m, true
@@ -131,8 +131,8 @@
 	return slices.Contains(o.GetModels(), model) || slices.Contains(o.GetModels(), base)
 }
 
-// boundTokens bounds the answer by the model's record. An answer without a
-// bound would hold its slot for as long as the engine likes.
+// boundTokens limits the length of the answer by the record of the model. Without a limit, an
+// answer could occupy its slot for as long as the engine generates.
 func (r *modelRequest) boundTokens(limit int64) error {
 	bounded := false
 	r.place.MaxTokens = limit
@@ -173,7 +173,8 @@
 	return err
 }
 
-// classOf finds the request's class: by header, else by the record's default.
+// classOf returns the class that the request names in a header, else the default class of the
+// record.
 func classOf(ctx *fasthttp.RequestCtx, records *record.Snapshot, byRecord string) (string, *recordspb.RequestClass, error) {
 	name := string(ctx.Request.Header.Peek(headerClass))
 	if name != "" {
@@ -189,7 +190,7 @@
 	return "", defaultClass, nil
 }
 
-// onceOf reads whether the request may run more than once, and its key.
+// idempotencyOf returns whether the request must run at most once, and its idempotency key.
 func idempotencyOf(ctx *fasthttp.RequestCtx, class *recordspb.RequestClass) (nonIdempotent bool, key string, err error) {
 	key = string(ctx.Request.Header.Peek(headerKey))
 	if len(key) > maxKeyBytes {
@@ -205,8 +206,8 @@
 	}
 }
 
-// fingerprint names a request's content, by which one that crashes endpoints
-// is known when its caller sends it again.
+// fingerprint returns a hash of the content of a request. It identifies a request that crashes
+// endpoints when its caller sends it again.
 func fingerprint(organisation, model string, body []byte) [16]byte {
 	var h xxh3.Hasher
 	salt := prefix.Salt(organisation, model, "")
@@ -215,7 +216,7 @@
 	return h.Sum128().Bytes()
 }
 
-// timeout is the bound of the whole request.
+// timeout returns the timeout of a whole request.
 func timeout(class *recordspb.RequestClass) time.Duration {
 	return time.Duration(class.GetTimeoutMs()) * time.Millisecond
 }
--- a/entry/send.go
+++ b/entry/send.go
@@ -10,8 +10,8 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// send sends the request to the granted endpoint. It leaves run nil where
-// another endpoint has to be tried; an error is final.
+// send sends the request to the granted endpoint. If it returns nil with a.run nil, another
+// endpoint must be tried; an error is final.
 func (a *answer) send(g place.Grant) error {
 	r := &run{grant: g, id: a.runID(), engine: a.srv.cfg.Dial(g.Address), incarnation: g.Incarnation}
 	r.version = a.srv.versions.get(g.Endpoint, a.req.place.Model, a.req.place.Version)
@@ -32,8 +32,8 @@
 	return a.acceptStream()
 }
 
-// runID names a send. Sends have ids of their own, so that a late piece of an
-// earlier one can't be taken for a piece of a later one.
+// runID returns the ID of the current send. Each send has an ID of its own, so that a late
+// piece of an earlier send is not taken for a piece of a later one.
 func (a *answer) runID() string {
 	if a.sends == 1 {
 		return a.req.id
@@ -41,8 +41,8 @@
 	return a.req.id + "." + strconv.Itoa(a.sends)
 }
 
-// body is what goes to the engine: the caller's fields, the router's, and the
-// text that the caller already has where another engine began the answer.
+// body returns the request body for the engine: the fields of the caller and of the router,
+// and the text delivered so far if another engine began the answer.
 func (a *answer) body(version string, long bool) ([]byte, error) {
 	f := a.req.fields
 	if a.progress.pieces > 0 {
@@ -54,8 +54,8 @@
 		f = f.clone()
 	}
 	if long {
-		// Short prompts of the class go first at the engine, or each of them
-		// would wait the second that a cold catalogue takes.
+		// Short prompts of the class take precedence in the queue of the engine. Otherwise
+		// each would wait the second or so that a long prompt takes that is not cached.
 		f.setInt(fieldPriority, int64(a.req.place.Class.GetPriority())+1)
 	}
 	f.setBool(fieldStream, true)
@@ -63,7 +63,8 @@
 	return f.encode(), nil
 }
 
-// sendFailed decides on a send that brought no answer.
+// sendFailed handles a send that got no answer: it returns nil if another endpoint can be
+// tried or the run was recovered.
 func (a *answer) sendFailed(err error) error {
 	a.run.send.Failed(err)
 	if cause := a.call.cause(); cause != nil {
@@ -76,7 +77,7 @@
 		a.endRun(place.EndUnused)
 		return nil
 	case fault.BadRequest, fault.Conflict:
-		// The engine's refusal of the content is a whole answer.
+		// An engine that rejects the content of a request has answered it completely.
 		a.run.send.Answering()
 		a.run.send.Done()
 		a.endRun(place.EndFailed)
@@ -85,7 +86,8 @@
 	return a.recover(err)
 }
 
-// opened checks whose answer it is that has begun.
+// acceptStream checks the model version of a newly opened stream and takes over its version
+// and incarnation.
 func (a *answer) acceptStream() error {
 	r := a.run
 	r.incarnation, r.answered = r.stream.Incarnation(), true
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// giveUp cancels a run that must not go on. The next send goes elsewhere if
-// the cause is given, and ends the answer with it if that was the last one.
+// abandon cancels a run that must not continue. If cause is not nil, the next send excludes
+// the endpoint, or, if no start is left, the answer fails with cause.
 func (a *answer) abandon(cause error) error {
 	a.cancel()
 	if cause != nil {
--- a/entry/server.go
+++ b/entry/server.go
@@ -1,5 +1,7 @@
-// Package entry serves callers: it reads their requests, has them placed and
-// sent, and gives each caller the whole answer to its own request.
+// Package entry serves the HTTP interface of the router. It parses the requests of callers,
+// has them placed on endpoints, sends them, and streams the answers back. It resumes or reruns
+// requests whose endpoint or connection fails, and it guards requests that must run at most
+// once by claims on their idempotency keys.
 package entry
 
 import (
@@ -20,35 +22,35 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// Engine is what the server needs of a model engine.
+// Engine is the client of a model engine that the server uses.
 type Engine interface {
 	endpoint.Generator
-	// State reads the engine's own word on a new connection.
+	// State queries the engine's state on a new connection.
 	State(ctx context.Context) (endpoint.State, error)
 }
 
-// Service is what the server needs of an endpoint of a plain service.
+// Service is the client of an endpoint of a plain HTTP service.
 type Service interface {
 	// Do sends a call exactly once; see endpoint.Service.
 	Do(ctx context.Context, r endpoint.ServiceRequest) (*endpoint.ServiceAnswer, error)
 }
 
-// Config is what a Server needs.
+// Config holds the settings and dependencies of a Server.
 type Config struct {
 	Limits *settingspb.Limits
 	Placer place.Placer
-	// Dial returns the engine at an address, DialService the plain service's
+	// Dial returns the client of the engine at address, DialService that of the service
 	// endpoint.
 	Dial        func(address string) Engine
 	DialService func(address string) Service
-	// Claims of non-idempotent requests; nil is for tests of other matters, and
-	// lets each resend run.
+	// Claims are the claims of non-idempotent requests. If nil, as in tests of other features,
+	// each resend runs.
 	Claims Claims
-	// NewID returns a request id that no other request has.
+	// NewID returns a unique request ID.
 	NewID func() string
 }
 
-// Server serves callers. Records may be replaced at any time.
+// Server serves the HTTP interface for callers. Its records can be replaced at any time.
 type Server struct {
 	cfg      Config
 	records  atomic.Pointer[record.Snapshot]
@@ -61,8 +63,8 @@
 	stop     context.CancelFunc
 }
 
-// NewServer returns a server without records; it answers 503 until SetRecords.
-// Shutdown ends it.
+// NewServer returns a server without records; it answers 503 until SetRecords is called.
+// Callers must call Shutdown or Kill to release its resources.
 func NewServer(cfg Config) *Server {
 	ctx, stop := context.WithCancel(context.Background())
 	s := &Server{
@@ -73,8 +75,8 @@
 		metrics:  newCounters(),
 		stop:     stop,
 	}
-	// No WriteTimeout: it would bound a whole answer, and cut long streams.
-	// Listener bounds each write instead.
+	// There is no WriteTimeout: it would limit the whole answer and cut off long streams. The
+	// listener sets a deadline for each write instead.
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
 		NoDefaultServerHeader: true,
@@ -90,10 +92,10 @@
 	return s
 }
 
-// SetRecords puts records in force for the requests that come from now on.
+// SetRecords sets the records for all later requests.
 func (s *Server) SetRecords(r *record.Snapshot) { s.records.Store(r) }
 
-// Serve answers the callers that ln accepts, until Shutdown.
+// Serve serves callers on ln until Shutdown.
 func (s *Server) Serve(ln net.Listener) error {
 	writeTimeout := time.Duration(s.cfg.Limits.GetWriteTimeoutMs()) * time.Millisecond
 	return s.http.Serve(&listener{Listener: ln, writeTimeout: writeTimeout})
@@ -104,8 +106,8 @@
 }
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
-	// Before anything is refused: a refusal without an id can't be told from one of the same
-	// caller's other attempts.
+	// The ID is set before any refusal, because a refusal without an ID could not be told
+	// apart from those of other attempts of the same caller.
 	id := s.cfg.NewID()
 	ctx.Response.Header.Set(headerRequestID, id)
 	if s.draining.Load() {
@@ -135,9 +137,10 @@
 	}
 }
 
-// refuse answers a request of which nothing was sent. What is wrong with the
-// request itself was wrong with earlier attempts under its key too; where the
-// fault is this instance's, another one may have run such an attempt.
+// refuse writes the error answer of a request that was not sent. An error in the request
+// itself made earlier attempts with its key fail too, so the request did not run. After an
+// error of this instance (5xx) the outcome of a request with a key is unknown, because another
+// instance may have run an earlier attempt.
 func (s *Server) refuse(ctx *fasthttp.RequestCtx, err error) {
 	tracker := outcome.New(false)
 	status, _ := statusFor(err)
@@ -149,13 +152,12 @@
 	writeError(ctx, err, verdict)
 }
 
-// Drain tells callers, by closing connections after their answers, to go to
-// other instances. Requests are still taken.
+// Drain closes connections after their next answer, so that callers move to other instances.
+// The server still accepts requests.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown stops listening and blocks until the open requests are done. When
-// ctx ends first, what is open ends with an error that says so; no stream is
-// cut without a word.
+// Shutdown stops listening and waits for the open requests. If ctx ends first, the open
+// requests end with an explicit error; no stream is cut off without one.
 func (s *Server) Shutdown(ctx context.Context) error {
 	defer s.stop()
 	s.Drain()
@@ -172,35 +174,33 @@
 	return nil
 }
 
-// Kill ends all work at once, as a crash would: what is open sends nothing any more, not even
-// an order to cancel.
-//
-// Failure: a request of a killed instance that waits for an endpoint would go on to wait, with
-// what the instance knew before, and reach an endpoint seconds later. That is seen as new work
-// at one that leaves, and as an attempt that runs beside its caller's next one.
+// Kill ends all work at once, as a crash would. Open requests send nothing more, not even a
+// cancellation to an engine. They must not go on waiting for an endpoint either: such a
+// request would be sent seconds later, based on outdated state, possibly to an endpoint that
+// is leaving, and would run concurrently with the caller's next attempt.
 func (s *Server) Kill() {
 	s.calls.close(errKilled)
 	s.stop()
 }
 
-// endTimeout bounds the writing of the last words of a shutdown.
+// finalWriteTimeout limits the time for writing the final errors during a shutdown.
 const finalWriteTimeout = 2 * time.Second
 
-// serverDump is the server's part of the state dump.
+// serverDump is the part of the state dump for the server.
 type serverDump struct {
 	Open     int        `json:"open"`
 	Draining bool       `json:"draining"`
 	Oldest   []callDump `json:"oldest"`
 }
 
-// Dump returns the open requests.
+// Dump returns the open requests for the state dump.
 func (s *Server) Dump() any {
 	open, oldest := s.calls.dump()
 	return serverDump{Open: open, Draining: s.draining.Load(), Oldest: oldest}
 }
 
-// countLogger counts what the HTTP library would write a line about: broken
-// and badly spoken connections, of which there may be many.
+// countLogger counts the messages that the HTTP library would log. They report broken
+// connections and protocol errors of callers, of which there may be many.
 type countLogger struct{}
 
 var connectionErrors = metrics.GetOrCreateCounter("sardinedock_caller_connection_errors_total")
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -26,11 +26,11 @@
 const (
 	testKey     = "test-key"
 	testSilence = 300 * time.Millisecond
-	// testPace makes the engines' waits short.
+	// testPace speeds up the emulated engines.
 	testPace = 20
 )
 
-// placer places by rendezvous order and remembers what it is told.
+// placer places requests like staticPlacer and records the results reported to it.
 type placer struct {
 	staticPlacer
 	mu      sync.Mutex
@@ -69,7 +69,7 @@
 	return ends
 }
 
-// rig is one server before stand-ins.
+// rig is a server in front of emulated engines and services.
 type rig struct {
 	*emulator.Emulator
 	server   *entry.Server
@@ -179,7 +179,7 @@
 	}
 }
 
-// engineOf returns the engine that runs the request.
+// engineOf returns the engine that runs the request of resp.
 func (r *rig) engineOf(resp *http.Response) *emulator.Engine {
 	for _, e := range r.Engines {
 		if e.Name() == resp.Header.Get("X-Sardinedock-Endpoint") {
@@ -210,7 +210,7 @@
 	return resp
 }
 
-// askFor asks for a streamed completion.
+// askFor requests a streamed completion.
 func (r *rig) askFor(t testing.TB, prompt string, tokens int, header http.Header) *reader {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"counter","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
@@ -229,7 +229,7 @@
 	done  bool
 }
 
-// piece reads one event; false at the end.
+// piece reads one event; it returns false at the end.
 func (rd *reader) piece() bool {
 	isError := false
 	for rd.lines.Scan() {
@@ -274,14 +274,14 @@
 	}
 }
 
-// rest reads to the end of the answer.
+// rest reads the rest of the answer.
 func (rd *reader) rest() *reader {
 	for rd.piece() {
 	}
 	return rd
 }
 
-// wantWhole checks that the caller has the whole answer to its own prompt.
+// wantWhole checks that the answer is the complete one to the prompt.
 func (rd *reader) wantWhole(prompt string, tokens int) {
 	rd.t.Helper()
 	if rd.resp.StatusCode != http.StatusOK {
@@ -296,14 +296,14 @@
 		rd.t.Fatalf("done %v, error %s", rd.done, rd.err)
 	}
 	if len(rd.ids) != 1 {
-		rd.t.Fatalf("pieces carry the ids %v", rd.ids)
+		rd.t.Fatalf("pieces have the ids %v", rd.ids)
 	}
 	if got := rd.resp.Trailer.Get("X-Sardinedock-Outcome"); got != "complete" {
 		rd.t.Fatalf("outcome %q", got)
 	}
 }
 
-// wantError checks that the answer ends in an explicit error.
+// wantError checks that the answer ended with an explicit error.
 func (rd *reader) wantError(code, outcome string) {
 	rd.t.Helper()
 	if rd.done || !strings.Contains(rd.err, `"code":"`+code+`"`) {
--- a/entry/service.go
+++ b/entry/service.go
@@ -17,7 +17,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// serviceCall is one call of a plain service.
+// serviceCall is one call of a plain HTTP service.
 type serviceCall struct {
 	srv           *Server
 	call          *call
@@ -28,7 +28,7 @@
 	claimGuard    *claimGuard
 }
 
-// service routes a call by its path's prefix. Any method and body pass.
+// service routes a call by the prefix of its path. Methods and bodies are not restricted.
 func (s *Server) service(ctx *fasthttp.RequestCtx, records *record.Snapshot, organisation, id string) {
 	path := string(ctx.Path())
 	_, svc, ok := records.ServiceByPath(path)
@@ -56,7 +56,8 @@
 		ID:     id,
 		Body:   ctx.PostBody(),
 		Fresh:  nonIdempotent,
-		// Only what may run twice may be given up on silence alone.
+		// Used only for idempotent calls: only a call that may run twice may be abandoned
+		// because of a timeout alone.
 		ReusedSilence: s.silenceTimeout(),
 	}
 	c.claimGuard = s.newClaimGuard(c.tracker, key, claim.Request{
@@ -70,8 +71,9 @@
 	c.answer(ctx)
 }
 
-// serviceURI cuts the service's prefix off the path. The path goes on as the
-// caller wrote it, unless it climbs: then what was routed by goes on.
+// serviceURI removes the prefix of the service from the path. The path is forwarded as the
+// caller wrote it, unless it contains "..": then the normalised path, by which the call was
+// routed, is forwarded.
 func serviceURI(ctx *fasthttp.RequestCtx, prefix string) string {
 	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), prefix)
 	if !ok || strings.Contains(path, "..") {
@@ -102,7 +104,7 @@
 	ctx.SetBody(a.Body)
 }
 
-// record tells the claim's record what became of the call.
+// record stores the outcome of the call in the claims.
 func (c *serviceCall) record(v outcome.Verdict, name string, a *endpoint.ServiceAnswer) {
 	if a == nil {
 		c.claimGuard.finish(v, claim.Answer{})
@@ -117,9 +119,9 @@
 	})
 }
 
-// send tries the endpoints in an order of the call's own, so that calls spread
-// and no list of the busy ones is needed. A call that may have run is sent to
-// the next one only if it is idempotent.
+// send tries the endpoints in an order derived from the ID of the call, so that calls are
+// spread without load information. A call that may have run is sent to another endpoint only
+// if it is idempotent.
 func (c *serviceCall) send() (name string, a *endpoint.ServiceAnswer, err error) {
 	if err = c.claimGuard.lookupKey(c.call.ctx); err != nil {
 		return "", nil, err
@@ -143,7 +145,7 @@
 	return name, nil, c.callerError(err)
 }
 
-// goesOn reports whether the call may be sent to another endpoint.
+// maySendAgain reports whether the call may be sent again.
 func (c *serviceCall) maySendAgain(err error) bool {
 	if c.call.cause() != nil || !c.tracker.MaySend() {
 		return false
@@ -151,9 +153,9 @@
 	return fault.Is(err, fault.Unavailable) || c.srv.reruns.take()
 }
 
-// sendTo sends the call to one endpoint. On a connection that was used before,
-// silence may mean that something in between has forgotten the connection; a
-// idempotent call is then sent again on a new one.
+// sendTo sends the call to one endpoint. If an answer on a reused connection times out, a
+// middlebox may have dropped the connection; an idempotent call is then sent again on a new
+// one.
 func (c *serviceCall) sendTo(address string) (*endpoint.ServiceAnswer, error) {
 	service := c.srv.cfg.DialService(address)
 	a, err := c.sendOnce(service, c.request)
@@ -173,15 +175,15 @@
 		send.Done()
 		return a, nil
 	}
-	// Only an endpoint that no byte reached has certainly not run the call; a
-	// plain service has no other word for it.
+	// The call has certainly not run only if no byte reached the endpoint: a plain service has
+	// no other way to report that it did not start a call.
 	if fault.Is(err, fault.Unavailable) {
 		send.NotStarted()
 	}
 	return nil, err
 }
 
-// final is the error that the caller reads.
+// callerError returns the error for the caller.
 func (c *serviceCall) callerError(err error) error {
 	if err == nil {
 		return nil
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// The ordering app takes a confirmation, acts on it and dies before it answers.
-// Sending it again would ship the pallets twice.
+// The service runs an order confirmation and crashes before it answers. A rerun would ship the
+// order twice.
 func TestServiceCrashAfterSideEffect(t *testing.T) {
 	r := newRig(t, rigConfig{services: 3})
 	for _, s := range r.Services {
@@ -53,7 +53,7 @@
 	}
 }
 
-// The same for a call that may be repeated: another endpoint answers it.
+// The service crashes during an idempotent call. Another endpoint must answer it.
 func TestIdempotentServiceCallGoesElsewhere(t *testing.T) {
 	r := newRig(t, rigConfig{services: 3})
 	for _, s := range r.Services[:2] {
@@ -64,8 +64,8 @@
 	}
 }
 
-// A service takes a confirmation and never answers. The caller reads, when its
-// class's time is over, that nobody knows.
+// A service accepts an order confirmation and never answers. The caller must get the outcome
+// unknown when the timeout of its class is over.
 func TestUnresponsiveService(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 300}
@@ -82,9 +82,9 @@
 	}
 }
 
-// Connections to a service that were used before go silent for good while new
-// ones work. A confirmation never goes over such a connection, and a call that
-// may be repeated is sent again on a new one.
+// Reused connections to a service stop delivering data while new ones work. A non-idempotent
+// call must never use a reused connection, and an idempotent call must be sent again on a new
+// one.
 func TestUnresponsiveReusedServiceConnections(t *testing.T) {
 	t.Parallel()
 	r := newRig(t, rigConfig{services: 1})
@@ -100,7 +100,7 @@
 	}
 }
 
-// No endpoint of the service listens: nothing ran, and the refusal says so.
+// No endpoint of the service listens. Nothing ran, and the refusal must report not-run.
 func TestServiceUnreachable(t *testing.T) {
 	r := newRig(t, rigConfig{services: 2})
 	for _, s := range r.Services {
@@ -112,8 +112,8 @@
 	}
 }
 
-// One endpoint of the service is away. A confirmation that never left goes to
-// the next one.
+// Some endpoints of the service do not listen. A non-idempotent call of which no byte was sent
+// must go to the next endpoint.
 func TestNonIdempotentCallSkipsClosedEndpoint(t *testing.T) {
 	r := newRig(t, rigConfig{services: 3})
 	_ = r.Services[0].Close()
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -10,14 +10,13 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// patient limits never end an idle connection by themselves.
+// noIdleTimeout sets limits under which idle connections practically never time out.
 var noIdleTimeout = &settingspb.Limits{
 	HeaderBytes: 16384, BodyBytes: 1 << 20, ReadTimeoutMs: 600000, WriteTimeoutMs: 1000,
 	Connections: 100, SilenceMs: testSilence.Milliseconds(),
 }
 
-// An operator replaces an instance while a review streams. The engineer must
-// get all of it.
+// An instance shuts down during a stream. The caller must get the whole answer.
 func TestShutdownLetsStreamsFinish(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
 	rd := r.askFor(t, prompt, 200, nil)
@@ -32,8 +31,8 @@
 	}
 }
 
-// A balancer keeps idle connections open for long. They must not hold the
-// shutdown up.
+// A load balancer keeps idle connections open for a long time. They must not delay the
+// shutdown.
 func TestIdleConnectionsDoNotDelayShutdown(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
 	client := &http.Client{Transport: &http.Transport{}}
@@ -56,8 +55,8 @@
 	}
 }
 
-// A stream is longer than the time to drain. It ends with an error that says
-// so: an answer that just stops would pass for a whole one.
+// A stream takes longer than the drain timeout. It must end with an explicit error; a caller
+// could take a stream that just stops for a complete answer.
 func TestDrainTimeoutEndsStreamsWithError(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
 	rd := r.askFor(t, prompt, 90000, nil)
@@ -73,8 +72,8 @@
 	waitIdle(t, r.Engines[0])
 }
 
-// The balancer still sends requests to an instance that is about to end. They
-// are served, and their connections are not kept.
+// The load balancer still sends requests to an instance that is draining. They must be served,
+// and their connections closed afterwards.
 func TestDrainingServes(t *testing.T) {
 	r := newRig(t, rigConfig{engines: 1})
 	r.server.Drain()
--- a/entry/sse.go
+++ b/entry/sse.go
@@ -9,23 +9,23 @@
 	"github.com/sardinedock/sardinedock/outcome/claim"
 )
 
-// eventBody is the body of a streamed answer. The HTTP server reads it as fast
-// as the caller takes it, so nothing is held for a slow caller but the piece
-// that is being written.
+// eventBody is the body of a streamed answer. The HTTP server reads it as fast as the caller
+// does, so only the current piece is buffered for a slow caller.
 type eventBody struct {
 	answer *answer
 	resp   *fasthttp.Response
-	// pending is what is left to write; buf is its memory.
+	// pending is the rest of the current event; buf is its buffer.
 	pending, buf []byte
 	ended        bool
-	// kept is the whole body so far where it is small and can be recorded.
+	// recorded is the body so far, if the answer is recorded for resends; it is dropped and
+	// tooLong set once the body is too large to be recorded.
 	recorded []byte
 	tooLong  bool
 }
 
 const eventStream = "text/event-stream"
 
-// streamAnswer makes the answer the response's body.
+// streamAnswer streams the answer as the body of the response.
 func streamAnswer(ctx *fasthttp.RequestCtx, a *answer, first []byte) {
 	b := &eventBody{answer: a, resp: &ctx.Response}
 	b.setEvent(first)
@@ -43,7 +43,7 @@
 	b.appendRecorded()
 }
 
-// keep adds what is pending to the body that is recorded for resends.
+// appendRecorded appends the current event to the recorded body.
 func (b *eventBody) appendRecorded() {
 	if b.answer.claimGuard == nil || b.tooLong {
 		return
@@ -54,7 +54,7 @@
 	}
 }
 
-// Read implements io.Reader. It blocks for the next piece.
+// Read implements io.Reader. It blocks until the next piece arrives.
 func (b *eventBody) Read(p []byte) (int, error) {
 	if len(b.pending) == 0 {
 		if b.ended {
@@ -83,9 +83,9 @@
 	b.pending = append(append([]byte("event: error\ndata: "), errorBody(err)...), "\n\n"...)
 }
 
-// Close implements io.Closer; the HTTP server calls it at the end, also when
-// the caller has gone. A non-idempotent answer is then read to its end, so that
-// a resend finds it on record.
+// Close implements io.Closer. The HTTP server calls it at the end, also if the caller has
+// disconnected. A non-idempotent answer is then read to its end, so that a resend finds it on
+// record.
 func (b *eventBody) Close() error {
 	for b.answer.req.nonIdempotent && !b.ended {
 		b.next()
--- a/entry/versions.go
+++ b/entry/versions.go
@@ -2,15 +2,16 @@
 
 import "sync"
 
-// maxVersions bounds what is remembered; see versions.
+// maxVersions is the maximum number of remembered versions. When it is reached, all are
+// dropped.
 const maxVersions = 16384
 
-// versions remembers which version of a model's weights each endpoint answered
-// with last. While a new version is rolled out, the record names one version
-// and some endpoints still run another. A cache salt made of the record's
-// version would then name blocks that the older weights computed, and after
-// the load a request could match them. The salt is therefore made of the
-// version that the endpoint runs. Any goroutine may use it.
+// versions remembers with which version of a model's weights each endpoint last answered.
+// During a rollout the record names one version while some endpoints still run another. A
+// cache salt derived from the version in the record would then cover blocks that the older
+// weights computed, and after the endpoint has loaded the new weights, a request could match
+// these blocks. The salt is therefore derived from the version that the endpoint runs.
+// versions is safe for concurrent use.
 type versions struct {
 	mu   sync.Mutex
 	last map[versionKey]string
@@ -20,7 +21,7 @@
 
 func newVersions() *versions { return &versions{last: map[versionKey]string{}} }
 
-// get returns the version seen last, or the given one where none was seen.
+// get returns the version last recorded, or fallback if there is none.
 func (v *versions) get(endpoint, model, fallback string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -30,7 +31,7 @@
 	return fallback
 }
 
-// saw books the version that an endpoint answered with.
+// record stores the version with which an endpoint answered.
 func (v *versions) record(endpoint, model, version string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
