--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -23,11 +23,11 @@
 }
 
 func TestAnswerHeaders(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	long := strings.Repeat(prompt, 100)
-	r.askFor(t, long, 2, nil).rest().wantWhole(long, 2)
-	rd := r.askFor(t, long, 2, nil).rest()
-	rd.wantWhole(long, 2)
+	r.startStream(t, long, 2, nil).rest().wantComplete(long, 2)
+	rd := r.startStream(t, long, 2, nil).rest()
+	rd.wantComplete(long, 2)
 	h := rd.resp.Header
 	if h.Get("X-Request-Id") != "req-2" || h.Get("X-Sardinedock-Endpoint") != "engine-0" || h.Get("X-Sardinedock-Cached-Tokens") != "704" {
 		t.Fatalf("headers %v", h)
@@ -38,7 +38,7 @@
 }
 
 func TestUnstreamedAnswersWithOpenAIClient(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 2})
+	r := newFixture(t, fixtureConfig{engines: 2})
 	c := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL(r.url+"/v1"), option.WithMaxRetries(0))
 	got, err := c.Chat.Completions.New(context.Background(), openai.ChatCompletionNewParams{
 		Model: "counter", MaxCompletionTokens: openai.Int(7),
@@ -69,7 +69,7 @@
 // still be complete.
 func TestUnstreamedAnswerSurvivesCrash(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: 2})
+	r := newFixture(t, fixtureConfig{engines: 2})
 	type result struct {
 		text string
 		err  error
@@ -105,7 +105,7 @@
 // An invalid request must be answered with the status that the OpenAI API defines, a message
 // with a remedy, and the outcome not-run.
 func TestRefusals(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	good := `{"model":"counter","prompt":"x","max_tokens":1}`
 	tests := []struct {
 		name, path, body string
@@ -167,7 +167,7 @@
 // All endpoints are unreachable. The refusal must report the outcome not-run.
 func TestAllEndpointsClosed(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: 2})
+	r := newFixture(t, fixtureConfig{engines: 2})
 	for _, e := range r.Engines {
 		_ = e.Close()
 	}
@@ -180,9 +180,9 @@
 // A caller sets the cache salt or the priority itself, to reach cached prompts of another
 // organisation or to take precedence over other callers. The router must override both fields.
 func TestCallersCannotSetTheRoutersFields(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	long := strings.Repeat(prompt, 100)
-	r.askFor(t, long, 1, nil).rest()
+	r.startStream(t, long, 1, nil).rest()
 	body := fmt.Sprintf(`{"cache_salt":"00000000000000000000000000000000","priority":-9,"model":"counter","prompt":%q,"max_tokens":1,"cache_salt":"1"}`, long)
 	resp := r.do(t, "POST", "/v1/completions", nil, body)
 	if got := resp.Header.Get("X-Sardinedock-Cached-Tokens"); resp.StatusCode != 200 || got != "704" {
@@ -192,7 +192,7 @@
 
 // An organisation must see only the models that its record allows.
 func TestModels(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	c := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL(r.url+"/v1"), option.WithMaxRetries(0))
 	list, err := c.Models.List(context.Background())
 	if err != nil || len(list.Data) != 2 || list.Data[1].ID != "counter" {
@@ -211,7 +211,7 @@
 // ID, so that a later attempt of the same request, which ran, was taken for the refused one,
 // and a correct not-run was counted as false.
 func TestEachRefusalHasItsOwnRequestID(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	without := entry.NewServer(r.config)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/entry/once_test.go
+++ b/entry/at_most_once_test.go
@@ -21,13 +21,13 @@
 
 // instancePair is two instances that share a store and endpoints.
 type instancePair struct {
-	*rig
+	*fixture
 	store  *objecttest.Store
 	claims [2]*claim.Book
 	urls   [2]string
 }
 
-func newPair(t *testing.T, cfg rigConfig) *instancePair {
+func newPair(t *testing.T, cfg fixtureConfig) *instancePair {
 	t.Helper()
 	p := &instancePair{store: &objecttest.Store{}}
 	for n := range p.claims {
@@ -42,7 +42,7 @@
 			configure(c)
 		}
 	}
-	p.rig = newRig(t, cfg)
+	p.fixture = newFixture(t, cfg)
 	p.urls[0] = p.url
 	other := p.config
 	other.Claims = p.claims[1]
@@ -50,8 +50,8 @@
 	return p
 }
 
-// send sends an order with an idempotency key through one of the instances.
-func (p *instancePair) send(t *testing.T, instance int, key, body string) *http.Response {
+// sendOrder sends an order with an idempotency key through one of the instances.
+func (p *instancePair) sendOrder(t *testing.T, instance int, key, body string) *http.Response {
 	t.Helper()
 	return p.call(t, instance, "/services/ordering/dispatch", key, body)
 }
@@ -63,7 +63,7 @@
 	return p.do(t, "POST", path, header, body)
 }
 
-func want(t *testing.T, resp *http.Response, status int, outcome string) string {
+func wantOutcome(t *testing.T, resp *http.Response, status int, outcome string) string {
 	t.Helper()
 	body, _ := io.ReadAll(resp.Body)
 	if got := resp.Header.Get("X-Sardinedock-Outcome"); resp.StatusCode != status || got != outcome {
@@ -77,28 +77,28 @@
 func (p *instancePair) waitRecorded(t *testing.T, key, body string) *http.Response {
 	t.Helper()
 	for {
-		resp := p.send(t, 1, key, body)
+		resp := p.sendOrder(t, 1, key, body)
 		if resp.Header.Get("X-Sardinedock-Outcome") == "complete" {
 			return resp
 		}
-		want(t, resp, 409, "unknown")
+		wantOutcome(t, resp, 409, "unknown")
 	}
 }
 
 // The answer to an order confirmation is lost and the client sends it again to another
 // instance. It must get the first answer, and the order must not run twice.
 func TestResendIsAnsweredFromTheRecord(t *testing.T) {
-	p := newPair(t, rigConfig{services: 2})
-	first := want(t, p.send(t, 0, "k", "ship 7"), 200, "complete")
+	p := newPair(t, fixtureConfig{services: 2})
+	first := wantOutcome(t, p.sendOrder(t, 0, "k", "ship 7"), 200, "complete")
 	resp := p.waitRecorded(t, "k", "ship 7")
-	if got := want(t, resp, 200, "complete"); got != first || resp.Header.Get("Idempotent-Replayed") != "true" {
+	if got := wantOutcome(t, resp, 200, "complete"); got != first || resp.Header.Get("Idempotent-Replayed") != "true" {
 		t.Fatalf("got %q, want %q", got, first)
 	}
 	if got := p.serviceRuns(); got != 1 {
 		t.Fatalf("%d runs", got)
 	}
-	want(t, p.send(t, 1, "k", "ship 8"), 409, "not-run")
-	want(t, p.send(t, 1, "k2", "ship 8"), 200, "complete")
+	wantOutcome(t, p.sendOrder(t, 1, "k", "ship 8"), 409, "not-run")
+	wantOutcome(t, p.sendOrder(t, 1, "k2", "ship 8"), 200, "complete")
 }
 
 // A service does not answer an order confirmation and the client sends it again. The second
@@ -106,7 +106,7 @@
 func TestResendWhileFirstAttemptHangs(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 500, TimeoutMs: 1500}
-	p := newPair(t, rigConfig{services: 1, class: class, service: emulator.ServiceConfig{}})
+	p := newPair(t, fixtureConfig{services: 1, class: class, service: emulator.ServiceConfig{}})
 	p.Services[0].SetFaults(emulator.ServiceFaults{SilentAfter: 1})
 	first := make(chan *http.Response, 1)
 	url := p.urls[0]
@@ -118,15 +118,15 @@
 	}()
 	for p.serviceRuns() == 0 {
 	}
-	resp := p.send(t, 1, "k", "")
-	want(t, resp, 409, "unknown")
+	resp := p.sendOrder(t, 1, "k", "")
+	wantOutcome(t, resp, 409, "unknown")
 	if resp.Header.Get("Retry-After") == "" {
 		t.Fatal("no Retry-After")
 	}
 	resp = <-first
-	want(t, resp, 502, "unknown")
+	wantOutcome(t, resp, 502, "unknown")
 	_ = resp.Body.Close()
-	want(t, p.send(t, 1, "k", ""), 409, "unknown")
+	wantOutcome(t, p.sendOrder(t, 1, "k", ""), 409, "unknown")
 	if got := p.serviceRuns(); got != 1 {
 		t.Fatalf("%d runs", got)
 	}
@@ -139,28 +139,28 @@
 func TestStoreDown(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 200, TimeoutMs: 60000}
-	p := newPair(t, rigConfig{services: 1, engines: 1, class: class})
+	p := newPair(t, fixtureConfig{services: 1, engines: 1, class: class})
 	p.store.SetDown(true)
 	header := http.Header{"Idempotency-Key": {"k"}, "X-Sardinedock-Class": {"quote"}}
 	resp := p.do(t, "POST", "/services/ordering/dispatch", header, "ship 7")
-	want(t, resp, 503, "unknown")
+	wantOutcome(t, resp, 503, "unknown")
 	if resp.Header.Get("Retry-After") == "" {
 		t.Fatal("no Retry-After")
 	}
 	if got := p.serviceRuns(); got != 0 {
 		t.Fatalf("%d runs", got)
 	}
-	p.askFor(t, prompt, 3, nil).rest().wantWhole(prompt, 3)
+	p.startStream(t, prompt, 3, nil).rest().wantComplete(prompt, 3)
 	if ends := p.placer.ends(); len(ends) != 1 {
 		t.Fatalf("ends %v", ends)
 	}
 	model := p.call(t, 0, "/v1/completions", "m", `{"model":"counter","prompt":"x","max_tokens":2}`)
-	want(t, model, 503, "unknown")
+	wantOutcome(t, model, 503, "unknown")
 	if ends := p.placer.ends(); len(ends) != 1 {
 		t.Fatal("a request that waits for the object API occupied a slot")
 	}
 	p.store.SetDown(false)
-	want(t, p.send(t, 1, "k", "ship 7"), 200, "complete")
+	wantOutcome(t, p.sendOrder(t, 1, "k", "ship 7"), 200, "complete")
 }
 
 // The class allows non-idempotent requests to run without a claim while the object API is
@@ -168,17 +168,17 @@
 func TestStoreDownRunsUnclaimed(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 60000, WhenStoreDown: recordspb.StoreDownRule_STORE_DOWN_RUN_UNCLAIMED}
-	p := newPair(t, rigConfig{services: 1, class: class})
+	p := newPair(t, fixtureConfig{services: 1, class: class})
 	p.store.SetDown(true)
 	header := http.Header{"Idempotency-Key": {"k"}, "X-Sardinedock-Class": {"quote"}}
-	want(t, p.do(t, "POST", "/services/ordering/dispatch", header, "ship 7"), 200, "complete")
+	wantOutcome(t, p.do(t, "POST", "/services/ordering/dispatch", header, "ship 7"), 200, "complete")
 }
 
 // The store's reply to the claim is lost, and the instance is killed while the service runs
 // the order confirmation. The resend to another instance must not run it again.
 func TestLostReplyAndKilledInstance(t *testing.T) {
 	t.Parallel()
-	p := newPair(t, rigConfig{services: 1})
+	p := newPair(t, fixtureConfig{services: 1})
 	p.store.LoseReplies(1)
 	p.Services[0].SetFaults(emulator.ServiceFaults{SilentAfter: 1})
 	url := p.urls[0]
@@ -192,7 +192,7 @@
 	for p.serviceRuns() == 0 {
 	}
 	p.claims[0].Kill()
-	want(t, p.send(t, 1, "k", ""), 409, "unknown")
+	wantOutcome(t, p.sendOrder(t, 1, "k", ""), 409, "unknown")
 	if got := p.serviceRuns(); got != 1 {
 		t.Fatalf("%d runs", got)
 	}
@@ -202,13 +202,13 @@
 // run. Its key must be free for the resend once the service is back.
 func TestKeyOfUnsentRequestIsReleased(t *testing.T) {
 	t.Parallel()
-	p := newPair(t, rigConfig{services: 1})
+	p := newPair(t, fixtureConfig{services: 1})
 	go p.Services[0].Crash(time.Second)
 	for listens(p.Services[0].Addr()) {
 	}
-	want(t, p.send(t, 0, "k", "ship 7"), 503, "not-run")
+	wantOutcome(t, p.sendOrder(t, 0, "k", "ship 7"), 503, "not-run")
 	for {
-		resp := p.send(t, 1, "k", "ship 7")
+		resp := p.sendOrder(t, 1, "k", "ship 7")
 		if resp.StatusCode == 200 {
 			break
 		}
@@ -229,22 +229,22 @@
 // Answers to non-idempotent model requests are recorded, unstreamed and streamed, if they are
 // small enough. Of a larger one it is recorded only that it is complete.
 func TestModelAnswersAreRecorded(t *testing.T) {
-	p := newPair(t, rigConfig{engines: 1})
+	p := newPair(t, fixtureConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":2}`
-	first := want(t, p.call(t, 0, "/v1/completions", "whole", body), 200, "complete")
+	first := wantOutcome(t, p.call(t, 0, "/v1/completions", "whole", body), 200, "complete")
 	again := p.waitOutcome(t, "whole", body)
-	if got := want(t, again, 200, "complete"); got != first {
+	if got := wantOutcome(t, again, 200, "complete"); got != first {
 		t.Fatalf("got %s, want %s", got, first)
 	}
 	body = `{"model":"counter","prompt":"x","max_tokens":2,"stream":true}`
 	stream, _ := io.ReadAll(p.call(t, 0, "/v1/completions", "stream", body).Body)
 	again = p.waitOutcome(t, "stream", body)
-	if got := want(t, again, 200, "complete"); got != string(stream) {
+	if got := wantOutcome(t, again, 200, "complete"); got != string(stream) {
 		t.Fatalf("got %s, want %s", got, stream)
 	}
 	body = `{"model":"counter","prompt":"x","max_tokens":400,"stream":true}`
 	_, _ = io.ReadAll(p.call(t, 0, "/v1/completions", "long", body).Body)
-	want(t, p.waitOutcome(t, "long", body), 409, "complete")
+	wantOutcome(t, p.waitOutcome(t, "long", body), 409, "complete")
 	if got := p.Engines[0].Stats().Runs; got != 3 {
 		t.Fatalf("%d runs", got)
 	}
@@ -265,22 +265,22 @@
 // has no records yet. That instance cannot know whether the first attempt ran, so it must not
 // report not-run.
 func TestInstanceWithoutRecordsReportsUnknown(t *testing.T) {
-	p := newPair(t, rigConfig{services: 1})
-	want(t, p.send(t, 0, "k", "ship 7"), 200, "complete")
+	p := newPair(t, fixtureConfig{services: 1})
+	wantOutcome(t, p.sendOrder(t, 0, "k", "ship 7"), 200, "complete")
 	p.snapshot = nil
 	p.urls[1] = p.serve(t, p.config)
-	want(t, p.send(t, 1, "k", "ship 7"), 503, "unknown")
-	want(t, p.do(t, "GET", "/services/ordering/dispatch", nil, ""), 503, "not-run")
+	wantOutcome(t, p.sendOrder(t, 1, "k", "ship 7"), 503, "unknown")
+	wantOutcome(t, p.do(t, "GET", "/services/ordering/dispatch", nil, ""), 503, "not-run")
 }
 
 // A caller disconnects in the middle of a streamed non-idempotent answer. The engine must go
 // on, and the resend must get the whole answer.
 func TestStreamIsRecordedAfterCallerDisconnect(t *testing.T) {
-	p := newPair(t, rigConfig{engines: 1})
+	p := newPair(t, fixtureConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":20,"stream":true}`
 	first := p.call(t, 0, "/v1/completions", "gone", body)
 	_ = first.Body.Close()
-	text := want(t, p.waitOutcome(t, "gone", body), 200, "complete")
+	text := wantOutcome(t, p.waitOutcome(t, "gone", body), 200, "complete")
 	if got := strings.Count(text, "data: "); got != 21 {
 		t.Fatalf("%d events", got)
 	}
@@ -292,10 +292,10 @@
 // The engine rejects a request with an idempotency key. That is its complete answer, and a
 // resend must get the same one.
 func TestEnginesRefusalIsRecorded(t *testing.T) {
-	p := newPair(t, rigConfig{engines: 1})
+	p := newPair(t, fixtureConfig{engines: 1})
 	body := `{"model":"counter","prompt":[1,2],"max_tokens":2}`
-	first := want(t, p.call(t, 0, "/v1/completions", "k", body), 400, "complete")
-	if got := want(t, p.waitOutcome(t, "k", body), 400, "complete"); got != first {
+	first := wantOutcome(t, p.call(t, 0, "/v1/completions", "k", body), 400, "complete")
+	if got := wantOutcome(t, p.waitOutcome(t, "k", body), 400, "complete"); got != first {
 		t.Fatalf("got %s, want %s", got, first)
 	}
 }
@@ -315,11 +315,11 @@
 // and is refused long after it looked up the key, while the other attempt has run. The refusal
 // must not report not-run.
 func TestRefusalChecksRecordAgain(t *testing.T) {
-	p := newPair(t, rigConfig{engines: 1})
+	p := newPair(t, fixtureConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":2}`
 	refusing := p.config
 	refusing.Claims = p.claims[1]
-	refusing.Placer = refusingPlacer{wait: func() { want(t, p.call(t, 0, "/v1/completions", "k", body), 200, "complete") }}
+	refusing.Placer = refusingPlacer{wait: func() { wantOutcome(t, p.call(t, 0, "/v1/completions", "k", body), 200, "complete") }}
 	p.urls[1] = p.serve(t, refusing)
 	resp := p.call(t, 1, "/v1/completions", "k", body)
 	if got := resp.Header.Get("X-Sardinedock-Outcome"); got == "not-run" {
@@ -327,5 +327,5 @@
 	}
 	refusing.Placer = refusingPlacer{wait: func() {}}
 	p.urls[1] = p.serve(t, refusing)
-	want(t, p.call(t, 1, "/v1/completions", "other", body), 503, "not-run")
+	wantOutcome(t, p.call(t, 1, "/v1/completions", "other", body), 503, "not-run")
 }
--- a/entry/kill_test.go
+++ b/entry/kill_test.go
@@ -33,7 +33,7 @@
 // late start and as an attempt that ran concurrently with the caller's next one.
 func TestKilledServerSendsNothing(t *testing.T) {
 	p := &gatedPlacer{called: make(chan struct{}), gate: make(chan struct{})}
-	r := newRig(t, rigConfig{engines: 1, configure: func(c *entry.Config) { c.Placer = p }})
+	r := newFixture(t, fixtureConfig{engines: 1, configure: func(c *entry.Config) { c.Placer = p }})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -56,8 +56,8 @@
 // the run; if Kill did, fault-injection runs would not show the work that engines do for
 // callers that no longer exist.
 func TestKilledServerCancelsNothing(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
-	rd := r.askFor(t, prompt, 2000, nil)
+	r := newFixture(t, fixtureConfig{engines: 1})
+	rd := r.startStream(t, prompt, 2000, nil)
 	rd.piece()
 	r.server.Kill()
 	// A cancellation would arrive within milliseconds.
--- a/entry/overhead_bench_test.go
+++ b/entry/overhead_bench_test.go
@@ -21,7 +21,7 @@
 func BenchmarkOverhead(b *testing.B) {
 	for name, prompt := range map[string]string{"short": prompt, "400KB": strings.Repeat("M12 anchor, grade 8.8; ", 17400)} {
 		b.Run(name, func(b *testing.B) {
-			r := newRig(b, rigConfig{engines: 1, engine: emulator.EngineConfig{Pace: 1000, CacheBlocks: 1 << 16}})
+			r := newFixture(b, fixtureConfig{engines: 1, engine: emulator.EngineConfig{Pace: 1000, CacheBlocks: 1 << 16}})
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			body := fmt.Sprintf(`{"model":"counter","prompt":%q,"max_tokens":1,"stream":true}`, prompt)
 			direct, routed := make([]time.Duration, b.N), make([]time.Duration, b.N)
@@ -70,7 +70,7 @@
 		Connections: 10000, SilenceMs: 60000,
 	}
 	for range b.N {
-		r := newRig(b, rigConfig{engines: 1, limits: limits, engine: emulator.EngineConfig{Pace: 1, TokenTime: 20 * time.Second, Queue: 4096, Heartbeat: 100 * time.Millisecond}})
+		r := newFixture(b, fixtureConfig{engines: 1, limits: limits, engine: emulator.EngineConfig{Pace: 1, TokenTime: 20 * time.Second, Queue: 4096, Heartbeat: 100 * time.Millisecond}})
 		direct := memoryOf(b, "http://"+r.Engines[0].Addr())
 		routed := memoryOf(b, r.url)
 		b.ReportMetric((routed-direct)/1000/1024, "KB/stream")
--- a/entry/recover.go
+++ b/entry/recover.go
@@ -60,7 +60,8 @@
 	return a.retryElsewhere(cause)
 }
 
-// retryElsewhere checks whether the request may be sent again. It returns nil if so.
+// retryElsewhere checks whether the request may be sent again and prepares the rerun. If not,
+// it returns the error for the caller.
 func (a *answer) retryElsewhere(cause error) error {
 	a.lastErr = cause
 	if !a.tracker.MaySend() {
--- a/entry/recover_bench_test.go
+++ b/entry/recover_bench_test.go
@@ -30,8 +30,8 @@
 }
 
 func longestGap(b *testing.B, fault func(e *emulator.Engine)) time.Duration {
-	r := newRig(b, rigConfig{engines: 2, engine: emulator.EngineConfig{Pace: 4}})
-	rd := r.askFor(b, prompt, 30, nil)
+	r := newFixture(b, fixtureConfig{engines: 2, engine: emulator.EngineConfig{Pace: 4}})
+	rd := r.startStream(b, prompt, 30, nil)
 	rd.piece()
 	fault(r.engineOf(rd.resp))
 	var worst time.Duration
@@ -40,6 +40,6 @@
 		worst = max(worst, now.Sub(last))
 		last = now
 	}
-	rd.wantWhole(prompt, 30)
+	rd.wantComplete(prompt, 30)
 	return worst
 }
--- a/entry/send.go
+++ b/entry/send.go
@@ -87,7 +87,8 @@
 }
 
 // acceptStream checks the model version of a newly opened stream and takes over its version
-// and incarnation.
+// and incarnation. If the endpoint runs another version than the one from which the cache salt
+// was derived, an idempotent request is cancelled and sent again with the right salt.
 func (a *answer) acceptStream() error {
 	r := a.run
 	r.incarnation, r.answered = r.stream.Incarnation(), true
@@ -104,8 +105,9 @@
 	return nil
 }
 
-// abandon cancels a run that must not continue. If cause is not nil, the next send excludes
-// the endpoint, or, if no start is left, the answer fails with cause.
+// abandon cancels a run that must not continue. If cause is nil, the request is sent again,
+// possibly to the same endpoint. Otherwise the next send excludes the endpoint, or, if no
+// start is left, abandon returns cause.
 func (a *answer) abandon(cause error) error {
 	a.cancel()
 	if cause != nil {
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -69,8 +69,8 @@
 	return ends
 }
 
-// rig is a server in front of emulated engines and services.
-type rig struct {
+// fixture is a server in front of emulated engines and services.
+type fixture struct {
 	*emulator.Emulator
 	server   *entry.Server
 	config   entry.Config
@@ -81,7 +81,7 @@
 	mu       sync.Mutex
 }
 
-type rigConfig struct {
+type fixtureConfig struct {
 	engines, services int
 	engine            emulator.EngineConfig
 	service           emulator.ServiceConfig
@@ -90,7 +90,7 @@
 	configure         func(*entry.Config)
 }
 
-func newRig(t testing.TB, cfg rigConfig) *rig {
+func newFixture(t testing.TB, cfg fixtureConfig) *fixture {
 	t.Helper()
 	if cfg.engine.Pace == 0 {
 		cfg.engine.Pace = testPace
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	r := &rig{Emulator: e, placer: &placer{}}
+	r := &fixture{Emulator: e, placer: &placer{}}
 	clients := endpoint.NewClients(time.Second, testSilence)
 	config := entry.Config{
 		Limits:      testLimits(cfg.limits),
@@ -119,7 +119,7 @@
 }
 
 // serve starts a server and returns its URL.
-func (r *rig) serve(t testing.TB, config entry.Config) string {
+func (r *fixture) serve(t testing.TB, config entry.Config) string {
 	t.Helper()
 	r.server = entry.NewServer(config)
 	server := r.server
@@ -137,7 +137,7 @@
 	return "http://" + ln.Addr().String()
 }
 
-func (r *rig) newID() string {
+func (r *fixture) newID() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ids++
@@ -154,7 +154,7 @@
 	}
 }
 
-func testRecords(cfg rigConfig) []*recordspb.Record {
+func testRecords(cfg fixtureConfig) []*recordspb.Record {
 	pool := &recordspb.EndpointPool{BlockTokens: 64, CacheBlocks: 4096, Slots: 4, PrefillTokensPerSecond: 20000, LoadsAtOnce: 1}
 	for n := range cfg.engines {
 		pool.Endpoints = append(pool.Endpoints, &recordspb.Endpoint{Name: fmt.Sprintf("engine-%d", n), Address: "127.0.0.1:0"})
@@ -180,7 +180,7 @@
 }
 
 // engineOf returns the engine that runs the request of resp.
-func (r *rig) engineOf(resp *http.Response) *emulator.Engine {
+func (r *fixture) engineOf(resp *http.Response) *emulator.Engine {
 	for _, e := range r.Engines {
 		if e.Name() == resp.Header.Get("X-Sardinedock-Endpoint") {
 			return e
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (r *rig) do(t testing.TB, method, path string, header http.Header, body string) *http.Response {
+func (r *fixture) do(t testing.TB, method, path string, header http.Header, body string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, r.url+path, strings.NewReader(body))
 	if err != nil {
@@ -210,8 +210,8 @@
 	return resp
 }
 
-// askFor requests a streamed completion.
-func (r *rig) askFor(t testing.TB, prompt string, tokens int, header http.Header) *reader {
+// startStream requests a streamed completion.
+func (r *fixture) startStream(t testing.TB, prompt string, tokens int, header http.Header) *reader {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"counter","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
 	resp := r.do(t, "POST", "/v1/completions", header, body)
@@ -281,8 +281,8 @@
 	return rd
 }
 
-// wantWhole checks that the answer is the complete one to the prompt.
-func (rd *reader) wantWhole(prompt string, tokens int) {
+// wantComplete checks that the answer is the complete one to the prompt.
+func (rd *reader) wantComplete(prompt string, tokens int) {
 	rd.t.Helper()
 	if rd.resp.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(rd.resp.Body)
--- a/entry/service.go
+++ b/entry/service.go
@@ -74,10 +74,10 @@
 // serviceURI removes the prefix of the service from the path. The path is forwarded as the
 // caller wrote it, unless it contains "..": then the normalised path, by which the call was
 // routed, is forwarded.
-func serviceURI(ctx *fasthttp.RequestCtx, prefix string) string {
-	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), prefix)
+func serviceURI(ctx *fasthttp.RequestCtx, pathPrefix string) string {
+	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), pathPrefix)
 	if !ok || strings.Contains(path, "..") {
-		routed := url.URL{Path: strings.TrimPrefix(string(ctx.Path()), prefix)}
+		routed := url.URL{Path: strings.TrimPrefix(string(ctx.Path()), pathPrefix)}
 		path = routed.EscapedPath()
 	}
 	if query := ctx.URI().QueryString(); len(query) > 0 {
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -9,7 +9,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-func (r *rig) serviceRuns() int {
+func (r *fixture) serviceRuns() int {
 	runs := 0
 	for _, s := range r.Services {
 		runs += s.Runs()
@@ -17,13 +17,13 @@
 	return runs
 }
 
-func (r *rig) order(t *testing.T, method string) *http.Response {
+func (r *fixture) order(t *testing.T, method string) *http.Response {
 	t.Helper()
 	return r.do(t, method, "/services/ordering/dispatch/7?yard=2", nil, "ship 7")
 }
 
 func TestServiceByPath(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+	r := newFixture(t, fixtureConfig{services: 3})
 	for _, method := range []string{"POST", "PUT", "DELETE", "PATCH", "GET"} {
 		resp := r.order(t, method)
 		got, _ := io.ReadAll(resp.Body)
@@ -40,7 +40,7 @@
 // The service runs an order confirmation and crashes before it answers. A rerun would ship the
 // order twice.
 func TestServiceCrashAfterSideEffect(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+	r := newFixture(t, fixtureConfig{services: 3})
 	for _, s := range r.Services {
 		s.SetFaults(emulator.ServiceFaults{CrashAfter: 1, DownMS: 1})
 	}
@@ -55,7 +55,7 @@
 
 // The service crashes during an idempotent call. Another endpoint must answer it.
 func TestIdempotentServiceCallGoesElsewhere(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+	r := newFixture(t, fixtureConfig{services: 3})
 	for _, s := range r.Services[:2] {
 		s.SetFaults(emulator.ServiceFaults{CrashAfter: 1, DownMS: 1})
 	}
@@ -69,7 +69,7 @@
 func TestUnresponsiveService(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 300}
-	r := newRig(t, rigConfig{services: 2, class: class})
+	r := newFixture(t, fixtureConfig{services: 2, class: class})
 	for _, s := range r.Services {
 		s.SetFaults(emulator.ServiceFaults{SilentAfter: 1})
 	}
@@ -87,7 +87,7 @@
 // one.
 func TestUnresponsiveReusedServiceConnections(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{services: 1})
+	r := newFixture(t, fixtureConfig{services: 1})
 	for _, method := range []string{"POST", "GET"} {
 		r.order(t, "GET")
 		r.Services[0].SilenceOpen()
@@ -102,7 +102,7 @@
 
 // No endpoint of the service listens. Nothing ran, and the refusal must report not-run.
 func TestServiceUnreachable(t *testing.T) {
-	r := newRig(t, rigConfig{services: 2})
+	r := newFixture(t, fixtureConfig{services: 2})
 	for _, s := range r.Services {
 		_ = s.Close()
 	}
@@ -115,7 +115,7 @@
 // Some endpoints of the service do not listen. A non-idempotent call of which no byte was sent
 // must go to the next endpoint.
 func TestNonIdempotentCallSkipsClosedEndpoint(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+	r := newFixture(t, fixtureConfig{services: 3})
 	_ = r.Services[0].Close()
 	_ = r.Services[1].Close()
 	for range 6 {
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -18,14 +18,14 @@
 
 // An instance shuts down during a stream. The caller must get the whole answer.
 func TestShutdownLetsStreamsFinish(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
-	rd := r.askFor(t, prompt, 200, nil)
+	r := newFixture(t, fixtureConfig{engines: 1, limits: noIdleTimeout})
+	rd := r.startStream(t, prompt, 200, nil)
 	rd.piece()
 	done := make(chan error, 1)
 	go func() { done <- r.server.Shutdown(context.Background()) }()
 	for listens(strings.TrimPrefix(r.url, "http://")) {
 	}
-	rd.rest().wantWhole(prompt, 200)
+	rd.rest().wantComplete(prompt, 200)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
@@ -34,7 +34,7 @@
 // A load balancer keeps idle connections open for a long time. They must not delay the
 // shutdown.
 func TestIdleConnectionsDoNotDelayShutdown(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
+	r := newFixture(t, fixtureConfig{engines: 1, limits: noIdleTimeout})
 	client := &http.Client{Transport: &http.Transport{}}
 	req, err := http.NewRequest("GET", r.url+"/v1/models", nil)
 	if err != nil {
@@ -58,8 +58,8 @@
 // A stream takes longer than the drain timeout. It must end with an explicit error; a caller
 // could take a stream that just stops for a complete answer.
 func TestDrainTimeoutEndsStreamsWithError(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: noIdleTimeout})
-	rd := r.askFor(t, prompt, 90000, nil)
+	r := newFixture(t, fixtureConfig{engines: 1, limits: noIdleTimeout})
+	rd := r.startStream(t, prompt, 90000, nil)
 	rd.piece()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -75,7 +75,7 @@
 // The load balancer still sends requests to an instance that is draining. They must be served,
 // and their connections closed afterwards.
 func TestDrainingServes(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	r.server.Drain()
 	resp := r.do(t, "POST", "/v1/completions", nil, `{"model":"counter","prompt":"x","max_tokens":1}`)
 	if resp.StatusCode != 200 || !resp.Close {
