--- a/entry/api_test.go
+++ b/entry/api_test.go
@@ -23,11 +23,11 @@
 }
 
 func TestAnswerHeaders(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	long := strings.Repeat(prompt, 100)
-	r.askFor(t, long, 2, nil).rest().wantWhole(long, 2)
-	rd := r.askFor(t, long, 2, nil).rest()
-	rd.wantWhole(long, 2)
+	r.startStream(t, long, 2, nil).rest().wantComplete(long, 2)
+	rd := r.startStream(t, long, 2, nil).rest()
+	rd.wantComplete(long, 2)
 	h := rd.resp.Header
 	if h.Get("X-Request-Id") != "req-2" || h.Get("X-Sardinedock-Endpoint") != "engine-0" || h.Get("X-Sardinedock-Cached-Tokens") != "704" {
 		t.Fatalf("headers %v", h)
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestWholeAnswersForAnOrdinaryClient(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 2})
+func TestUnstreamedAnswersWithOpenAIClient(t *testing.T) {
+	r := newFixture(t, fixtureConfig{engines: 2})
 	c := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL(r.url+"/v1"), option.WithMaxRetries(0))
 	got, err := c.Chat.Completions.New(context.Background(), openai.ChatCompletionNewParams{
 		Model: "counter", MaxCompletionTokens: openai.Int(7),
@@ -65,11 +65,11 @@
 	}
 }
 
-// A chat's engine dies in the middle of the answer, for a caller that did not
-// ask for a stream and so sees nothing of it.
-func TestWholeAnswerSurvivesACrash(t *testing.T) {
+// The engine crashes in the middle of a chat answer that is not streamed. The answer must
+// still be complete.
+func TestUnstreamedAnswerSurvivesCrash(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: 2})
+	r := newFixture(t, fixtureConfig{engines: 2})
 	type result struct {
 		text string
 		err  error
@@ -102,10 +102,10 @@
 	}
 }
 
-// What is wrong with a request gets the status that the published API gives
-// it, the remedy in words, and the truth that nothing ran.
+// An invalid request must be answered with the status that the OpenAI API defines, a message
+// with a remedy, and the outcome not-run.
 func TestRefusals(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	good := `{"model":"counter","prompt":"x","max_tokens":1}`
 	tests := []struct {
 		name, path, body string
@@ -123,12 +123,12 @@
 		{"no tokens", "/v1/completions", `{"model":"counter","prompt":"x","max_tokens":0}`, nil, 400, "invalid_request_error"},
 		{"wrong type", "/v1/completions", `{"model":"counter","prompt":"x","stream":"yes"}`, nil, 400, "invalid_request_error"},
 		{"no model", "/v1/completions", `{"model":"none","prompt":"x"}`, nil, 404, "invalid_request_error"},
-		{"model of others", "/v1/completions", `{"model":"secret","prompt":"x"}`, nil, 404, "invalid_request_error"},
+		{"model not allowed", "/v1/completions", `{"model":"secret","prompt":"x"}`, nil, 404, "invalid_request_error"},
 		{"pool without record", "/v1/completions", `{"model":"bad-pool","prompt":"x"}`, nil, 503, "server_error"},
 		{"no class", "/v1/completions", good, http.Header{"X-Sardinedock-Class": {"none"}}, 400, "invalid_request_error"},
-		{"mark", "/v1/completions", good, http.Header{"X-Sardinedock-Non-Idempotent": {"yes"}}, 400, "invalid_request_error"},
+		{"invalid non-idempotent header", "/v1/completions", good, http.Header{"X-Sardinedock-Non-Idempotent": {"yes"}}, 400, "invalid_request_error"},
 		{"long key", "/v1/completions", good, http.Header{"Idempotency-Key": {strings.Repeat("k", 256)}}, 400, "invalid_request_error"},
-		{"engine's word", "/v1/completions", `{"model":"counter","prompt":[1,2]}`, nil, 400, "invalid_request_error"},
+		{"refused by engine", "/v1/completions", `{"model":"counter","prompt":[1,2]}`, nil, 400, "invalid_request_error"},
 		{"no service", "/services/none/x", good, nil, 404, "invalid_request_error"},
 		{"large", "/v1/completions", strings.Repeat("x", 2<<20), nil, 413, "invalid_request_error"},
 		{"large header", "/v1/completions", good, http.Header{"X-Long": {strings.Repeat("x", 20000)}}, 431, "invalid_request_error"},
@@ -148,7 +148,7 @@
 				t.Fatalf("status %d, %+v", resp.StatusCode, got)
 			}
 			want := "not-run"
-			if tt.name == "engine's word" {
+			if tt.name == "refused by engine" {
 				want = "complete"
 			}
 			if o := resp.Header.Get("X-Sardinedock-Outcome"); o != want {
@@ -164,10 +164,10 @@
 	}
 }
 
-// Every endpoint is away. The refusal says truly that nothing ran.
-func TestNobodyListens(t *testing.T) {
+// All endpoints are unreachable. The refusal must report the outcome not-run.
+func TestAllEndpointsClosed(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{engines: 2})
+	r := newFixture(t, fixtureConfig{engines: 2})
 	for _, e := range r.Engines {
 		_ = e.Close()
 	}
@@ -177,12 +177,12 @@
 	}
 }
 
-// A caller names a cache salt or a priority of its own, to reach another
-// organisation's cached prompts or to go before others.
+// A caller sets the cache salt or the priority itself, to reach cached prompts of another
+// organisation or to take precedence over other callers. The router must override both fields.
 func TestCallersCannotSetTheRoutersFields(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	long := strings.Repeat(prompt, 100)
-	r.askFor(t, long, 1, nil).rest()
+	r.startStream(t, long, 1, nil).rest()
 	body := fmt.Sprintf(`{"cache_salt":"00000000000000000000000000000000","priority":-9,"model":"counter","prompt":%q,"max_tokens":1,"cache_salt":"1"}`, long)
 	resp := r.do(t, "POST", "/v1/completions", nil, body)
 	if got := resp.Header.Get("X-Sardinedock-Cached-Tokens"); resp.StatusCode != 200 || got != "704" {
@@ -190,9 +190,9 @@
 	}
 }
 
-// An organisation sees the models that its record allows, and no others.
+// An organisation must see only the models that its record allows.
 func TestModels(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	c := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL(r.url+"/v1"), option.WithMaxRetries(0))
 	list, err := c.Models.List(context.Background())
 	if err != nil || len(list.Data) != 2 || list.Data[1].ID != "counter" {
@@ -203,16 +203,15 @@
 		t.Fatalf("%+v, %v", one, err)
 	}
 	if resp := r.do(t, "GET", "/v1/models/secret", nil, ""); resp.StatusCode != 404 {
-		t.Fatalf("status %d for a model of others", resp.StatusCode)
+		t.Fatalf("status %d for a model that the organisation may not use", resp.StatusCode)
 	}
 }
 
-// Instances start together and a caller comes before any has records. Its refusal bore no
-// request id, so that nobody could tell which attempt was refused: a run with all faults took
-// a later attempt of the same request, which ran, for the refused one, and called a true "not
-// run" false.
-func TestEachRefusalNamesItsAttempt(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+// A request arrives at an instance that has no records yet. Its refusal once had no request
+// ID, so that a later attempt of the same request, which ran, was taken for the refused one,
+// and a correct not-run was counted as false.
+func TestEachRefusalHasItsOwnRequestID(t *testing.T) {
+	r := newFixture(t, fixtureConfig{engines: 1})
 	without := entry.NewServer(r.config)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/entry/overhead_bench_test.go
+++ b/entry/overhead_bench_test.go
@@ -15,13 +15,13 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// BenchmarkOverhead measures the first token through the router beside that of
-// the engine itself, one after the other in the same run: prompts of 400 KB or
-// a few bytes, all cached, a granted slot, connections that are open.
+// BenchmarkOverhead compares the time to the first token through the router with that of a
+// direct request to the engine, alternating in the same run. Prompts have 400 KB or a few
+// bytes; all are cached, slots are free and connections are open.
 func BenchmarkOverhead(b *testing.B) {
 	for name, prompt := range map[string]string{"short": prompt, "400KB": strings.Repeat("M12 anchor, grade 8.8; ", 17400)} {
 		b.Run(name, func(b *testing.B) {
-			r := newRig(b, rigConfig{engines: 1, engine: emulator.EngineConfig{Pace: 1000, CacheBlocks: 1 << 16}})
+			r := newFixture(b, fixtureConfig{engines: 1, engine: emulator.EngineConfig{Pace: 1000, CacheBlocks: 1 << 16}})
 			client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 			body := fmt.Sprintf(`{"model":"counter","prompt":%q,"max_tokens":1,"stream":true}`, prompt)
 			direct, routed := make([]time.Duration, b.N), make([]time.Duration, b.N)
@@ -61,26 +61,26 @@
 	return took
 }
 
-// BenchmarkOpenStreams measures what 1,000 open streams of short prompts hold
-// in the whole process, the router, the engine stand-in and the callers, and
-// the same without the router. The difference is the router's.
+// BenchmarkOpenStreams measures the memory of 1,000 open streams with short prompts in the
+// whole process (router, emulated engine and callers) and the same without the router. The
+// difference is the memory of the router.
 func BenchmarkOpenStreams(b *testing.B) {
 	limits := &settingspb.Limits{
 		HeaderBytes: 16384, BodyBytes: 1 << 20, ReadTimeoutMs: 60000, WriteTimeoutMs: 10000,
 		Connections: 10000, SilenceMs: 60000,
 	}
 	for range b.N {
-		r := newRig(b, rigConfig{engines: 1, limits: limits, engine: emulator.EngineConfig{Pace: 1, TokenTime: 20 * time.Second, Queue: 4096, Heartbeat: 100 * time.Millisecond}})
-		direct := heldBy(b, "http://"+r.Engines[0].Addr())
-		routed := heldBy(b, r.url)
+		r := newFixture(b, fixtureConfig{engines: 1, limits: limits, engine: emulator.EngineConfig{Pace: 1, TokenTime: 20 * time.Second, Queue: 4096, Heartbeat: 100 * time.Millisecond}})
+		direct := memoryOf(b, "http://"+r.Engines[0].Addr())
+		routed := memoryOf(b, r.url)
 		b.ReportMetric((routed-direct)/1000/1024, "KB/stream")
 	}
 }
 
-// heldBy opens 1,000 streams and returns the bytes of heap and stacks in use.
-func heldBy(b *testing.B, url string) float64 {
+// memoryOf opens 1,000 streams and returns the growth of heap and stacks in use, in bytes.
+func memoryOf(b *testing.B, url string) float64 {
 	const streams = 1000
-	before := inUse()
+	before := memoryInUse()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	var wg sync.WaitGroup
 	open := make([]io.Closer, streams)
@@ -94,12 +94,12 @@
 		})
 	}
 	time.Sleep(2 * time.Second)
-	held := inUse() - before
+	held := memoryInUse() - before
 	client.CloseIdleConnections()
 	return held
 }
 
-func inUse() float64 {
+func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
--- a/entry/send.go
+++ b/entry/send.go
@@ -10,8 +10,8 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// send sends the request to the granted endpoint. It leaves run nil where
-// another endpoint has to be tried; an error is final.
+// send sends the request to the granted endpoint. If it returns nil with a.run nil, another
+// endpoint must be tried; an error is final.
 func (a *answer) send(g place.Grant) error {
 	r := &run{grant: g, id: a.runID(), engine: a.srv.cfg.Dial(g.Address), incarnation: g.Incarnation}
 	r.version = a.srv.versions.get(g.Endpoint, a.req.place.Model, a.req.place.Version)
@@ -23,17 +23,17 @@
 	a.endpoint = g.Endpoint
 	a.run = r
 	a.started++
-	r.send = a.account.Send()
+	r.send = a.tracker.Send()
 	r.sentAt = time.Now()
-	r.stream, err = r.engine.Generate(a.call.ctx, endpoint.Request{ID: r.id, Path: a.req.path, Body: body, Fresh: a.req.once})
+	r.stream, err = r.engine.Generate(a.call.ctx, endpoint.Request{ID: r.id, Path: a.req.path, Body: body, Fresh: a.req.nonIdempotent})
 	if err != nil {
 		return a.sendFailed(err)
 	}
-	return a.opened()
+	return a.acceptStream()
 }
 
-// runID names a send. Sends have ids of their own, so that a late piece of an
-// earlier one can't be taken for a piece of a later one.
+// runID returns the ID of the current send. Each send has an ID of its own, so that a late
+// piece of an earlier send is not taken for a piece of a later one.
 func (a *answer) runID() string {
 	if a.sends == 1 {
 		return a.req.id
@@ -41,21 +41,21 @@
 	return a.req.id + "." + strconv.Itoa(a.sends)
 }
 
-// body is what goes to the engine: the caller's fields, the router's, and the
-// text that the caller already has where another engine began the answer.
+// body returns the request body for the engine: the fields of the caller and of the router,
+// and the text delivered so far if another engine began the answer.
 func (a *answer) body(version string, long bool) ([]byte, error) {
 	f := a.req.fields
 	if a.progress.pieces > 0 {
 		var ok bool
-		if f, ok = f.continued(a.req.chat, a.progress.text, a.progress.tokens); !ok {
+		if f, ok = f.continuation(a.req.chat, a.progress.text, a.progress.tokens); !ok {
 			return nil, fault.New(fault.Broken, "send the request again", "the endpoint died and the answer's form can't be continued elsewhere")
 		}
 	} else {
 		f = f.clone()
 	}
 	if long {
-		// Short prompts of the class go first at the engine, or each of them
-		// would wait the second that a cold catalogue takes.
+		// Short prompts of the class take precedence in the queue of the engine. Otherwise
+		// each would wait the second or so that a long prompt takes that is not cached.
 		f.setInt(fieldPriority, int64(a.req.place.Class.GetPriority())+1)
 	}
 	f.setBool(fieldStream, true)
@@ -63,7 +63,8 @@
 	return f.encode(), nil
 }
 
-// sendFailed decides on a send that brought no answer.
+// sendFailed handles a send that got no answer: it returns nil if another endpoint can be
+// tried or the run was recovered.
 func (a *answer) sendFailed(err error) error {
 	a.run.send.Failed(err)
 	if cause := a.call.cause(); cause != nil {
@@ -73,45 +74,48 @@
 	case fault.Unavailable, fault.Overloaded:
 		a.started--
 		a.srv.metrics.notStarted.Inc()
-		a.leave(place.EndUnused)
+		a.endRun(place.EndUnused)
 		return nil
 	case fault.BadRequest, fault.Conflict:
-		// The engine's refusal of the content is a whole answer.
+		// An engine that rejects the content of a request has answered it completely.
 		a.run.send.Answering()
 		a.run.send.Done()
-		a.leave(place.EndFailed)
+		a.endRun(place.EndFailed)
 		return err
 	}
 	return a.recover(err)
 }
 
-// opened checks whose answer it is that has begun.
-func (a *answer) opened() error {
+// acceptStream checks the model version of a newly opened stream and takes over its version
+// and incarnation. If the endpoint runs another version than the one from which the cache salt
+// was derived, an idempotent request is cancelled and sent again with the right salt.
+func (a *answer) acceptStream() error {
 	r := a.run
 	r.incarnation, r.answered = r.stream.Incarnation(), true
 	version := r.stream.ModelVersion()
-	a.srv.versions.saw(r.grant.Endpoint, a.req.place.Model, version)
+	a.srv.versions.record(r.grant.Endpoint, a.req.place.Model, version)
 	if a.progress.pieces > 0 && version != a.progress.version {
-		return a.giveUp(fault.New(fault.Broken, "send the request again", "the answer was begun by version %q and the endpoint runs %q", a.progress.version, version))
+		return a.abandon(fault.New(fault.Broken, "send the request again", "the answer was begun by version %q and the endpoint runs %q", a.progress.version, version))
 	}
-	if version != r.version && a.account.Idempotent() {
-		return a.giveUp(nil)
+	if version != r.version && a.tracker.Idempotent() {
+		return a.abandon(nil)
 	}
 	r.send.Answering()
 	a.progress.version = version
 	return nil
 }
 
-// giveUp cancels a run that must not go on. The next send goes elsewhere if
-// the cause is given, and ends the answer with it if that was the last one.
-func (a *answer) giveUp(cause error) error {
+// abandon cancels a run that must not continue. If cause is nil, the request is sent again,
+// possibly to the same endpoint. Otherwise the next send excludes the endpoint, or, if no
+// start is left, abandon returns cause.
+func (a *answer) abandon(cause error) error {
 	a.cancel()
 	if cause != nil {
-		a.broke = cause
-		a.excludeRun()
+		a.lastErr = cause
+		a.excludeEndpoint()
 	}
-	a.leave(place.EndFailed)
-	if cause != nil && a.started >= maxStarted {
+	a.endRun(place.EndFailed)
+	if cause != nil && a.started >= maxStarts {
 		return cause
 	}
 	return nil
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -26,11 +26,11 @@
 const (
 	testKey     = "test-key"
 	testSilence = 300 * time.Millisecond
-	// testPace makes the engines' waits short.
+	// testPace speeds up the emulated engines.
 	testPace = 20
 )
 
-// placer places by rendezvous order and remembers what it is told.
+// placer places requests like staticPlacer and records the results reported to it.
 type placer struct {
 	staticPlacer
 	mu      sync.Mutex
@@ -69,19 +69,19 @@
 	return ends
 }
 
-// rig is one server before stand-ins.
-type rig struct {
+// fixture is a server in front of emulated engines and services.
+type fixture struct {
 	*emulator.Emulator
-	server *entry.Server
-	config entry.Config
-	all    *record.Snapshot
-	placer *placer
-	url    string
-	ids    int
-	mu     sync.Mutex
+	server   *entry.Server
+	config   entry.Config
+	snapshot *record.Snapshot
+	placer   *placer
+	url      string
+	ids      int
+	mu       sync.Mutex
 }
 
-type rigConfig struct {
+type fixtureConfig struct {
 	engines, services int
 	engine            emulator.EngineConfig
 	service           emulator.ServiceConfig
@@ -90,7 +90,7 @@
 	configure         func(*entry.Config)
 }
 
-func newRig(t testing.TB, cfg rigConfig) *rig {
+func newFixture(t testing.TB, cfg fixtureConfig) *fixture {
 	t.Helper()
 	if cfg.engine.Pace == 0 {
 		cfg.engine.Pace = testPace
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(e.Close)
-	r := &rig{Emulator: e, placer: &placer{}}
+	r := &fixture{Emulator: e, placer: &placer{}}
 	clients := endpoint.NewClients(time.Second, testSilence)
 	config := entry.Config{
 		Limits:      testLimits(cfg.limits),
@@ -113,17 +113,17 @@
 	if cfg.configure != nil {
 		cfg.configure(&config)
 	}
-	r.config, r.all = config, record.NewSnapshot(1, records)
+	r.config, r.snapshot = config, record.NewSnapshot(1, records)
 	r.url = r.serve(t, config)
 	return r
 }
 
 // serve starts a server and returns its URL.
-func (r *rig) serve(t testing.TB, config entry.Config) string {
+func (r *fixture) serve(t testing.TB, config entry.Config) string {
 	t.Helper()
 	r.server = entry.NewServer(config)
 	server := r.server
-	server.SetRecords(r.all)
+	server.SetRecords(r.snapshot)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 	return "http://" + ln.Addr().String()
 }
 
-func (r *rig) newID() string {
+func (r *fixture) newID() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ids++
@@ -154,7 +154,7 @@
 	}
 }
 
-func testRecords(cfg rigConfig) []*recordspb.Record {
+func testRecords(cfg fixtureConfig) []*recordspb.Record {
 	pool := &recordspb.EndpointPool{BlockTokens: 64, CacheBlocks: 4096, Slots: 4, PrefillTokensPerSecond: 20000, LoadsAtOnce: 1}
 	for n := range cfg.engines {
 		pool.Endpoints = append(pool.Endpoints, &recordspb.Endpoint{Name: fmt.Sprintf("engine-%d", n), Address: "127.0.0.1:0"})
@@ -179,8 +179,8 @@
 	}
 }
 
-// engineOf returns the engine that runs the request.
-func (r *rig) engineOf(resp *http.Response) *emulator.Engine {
+// engineOf returns the engine that runs the request of resp.
+func (r *fixture) engineOf(resp *http.Response) *emulator.Engine {
 	for _, e := range r.Engines {
 		if e.Name() == resp.Header.Get("X-Sardinedock-Endpoint") {
 			return e
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (r *rig) do(t testing.TB, method, path string, header http.Header, body string) *http.Response {
+func (r *fixture) do(t testing.TB, method, path string, header http.Header, body string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, r.url+path, strings.NewReader(body))
 	if err != nil {
@@ -210,8 +210,8 @@
 	return resp
 }
 
-// askFor asks for a streamed completion.
-func (r *rig) askFor(t testing.TB, prompt string, tokens int, header http.Header) *reader {
+// startStream requests a streamed completion.
+func (r *fixture) startStream(t testing.TB, prompt string, tokens int, header http.Header) *reader {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"counter","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
 	resp := r.do(t, "POST", "/v1/completions", header, body)
@@ -229,7 +229,7 @@
 	done  bool
 }
 
-// piece reads one event; false at the end.
+// piece reads one event; it returns false at the end.
 func (rd *reader) piece() bool {
 	isError := false
 	for rd.lines.Scan() {
@@ -274,15 +274,15 @@
 	}
 }
 
-// rest reads to the end of the answer.
+// rest reads the rest of the answer.
 func (rd *reader) rest() *reader {
 	for rd.piece() {
 	}
 	return rd
 }
 
-// wantWhole checks that the caller has the whole answer to its own prompt.
-func (rd *reader) wantWhole(prompt string, tokens int) {
+// wantComplete checks that the answer is the complete one to the prompt.
+func (rd *reader) wantComplete(prompt string, tokens int) {
 	rd.t.Helper()
 	if rd.resp.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(rd.resp.Body)
@@ -296,14 +296,14 @@
 		rd.t.Fatalf("done %v, error %s", rd.done, rd.err)
 	}
 	if len(rd.ids) != 1 {
-		rd.t.Fatalf("pieces carry the ids %v", rd.ids)
+		rd.t.Fatalf("pieces have the ids %v", rd.ids)
 	}
 	if got := rd.resp.Trailer.Get("X-Sardinedock-Outcome"); got != "complete" {
 		rd.t.Fatalf("outcome %q", got)
 	}
 }
 
-// wantError checks that the answer ends in an explicit error.
+// wantError checks that the answer ended with an explicit error.
 func (rd *reader) wantError(code, outcome string) {
 	rd.t.Helper()
 	if rd.done || !strings.Contains(rd.err, `"code":"`+code+`"`) {
--- a/entry/service.go
+++ b/entry/service.go
@@ -17,18 +17,18 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// serviceCall is one call of a plain service.
+// serviceCall is one call of a plain HTTP service.
 type serviceCall struct {
-	srv     *Server
-	call    *call
-	account *outcome.Request
-	service *recordspb.Service
-	request endpoint.ServiceRequest
-	once    bool
-	ticket  *ticket
+	srv           *Server
+	call          *call
+	tracker       *outcome.Request
+	service       *recordspb.Service
+	request       endpoint.ServiceRequest
+	nonIdempotent bool
+	claimGuard    *claimGuard
 }
 
-// service routes a call by its path's prefix. Any method and body pass.
+// service routes a call by the prefix of its path. Methods and bodies are not restricted.
 func (s *Server) service(ctx *fasthttp.RequestCtx, records *record.Snapshot, organisation, id string) {
 	path := string(ctx.Path())
 	_, svc, ok := records.ServiceByPath(path)
@@ -41,41 +41,43 @@
 		s.refuse(ctx, err)
 		return
 	}
-	once, key, err := onceOf(ctx, class)
+	nonIdempotent, key, err := idempotencyOf(ctx, class)
 	if err != nil {
 		s.refuse(ctx, err)
 		return
 	}
-	once = once || slices.Contains(svc.GetNonIdempotentMethods(), string(ctx.Method()))
-	c := &serviceCall{srv: s, account: outcome.New(once), service: svc, once: once}
-	c.call = &call{id: id, organisation: organisation, class: className, conn: ctx.Conn(), keepRunning: once}
+	nonIdempotent = nonIdempotent || slices.Contains(svc.GetNonIdempotentMethods(), string(ctx.Method()))
+	c := &serviceCall{srv: s, tracker: outcome.New(nonIdempotent), service: svc, nonIdempotent: nonIdempotent}
+	c.call = &call{id: id, organisation: organisation, class: className, conn: ctx.Conn(), keepRunning: nonIdempotent}
 	c.request = endpoint.ServiceRequest{
 		Method: string(ctx.Method()),
 		URI:    serviceURI(ctx, svc.GetPathPrefix()),
 		Header: &ctx.Request.Header,
 		ID:     id,
 		Body:   ctx.PostBody(),
-		Fresh:  once,
-		// Only what may run twice may be given up on silence alone.
-		ReusedSilence: s.silence(),
+		Fresh:  nonIdempotent,
+		// Used only for idempotent calls: only a call that may run twice may be abandoned
+		// because of a timeout alone.
+		ReusedSilence: s.silenceTimeout(),
 	}
-	c.ticket = s.newTicket(c.account, key, claim.Request{
+	c.claimGuard = s.newClaimGuard(c.tracker, key, claim.Request{
 		Key:     claim.NewKey(organisation, key),
 		Body:    claim.NewBody(c.request.Method, path+"?"+string(ctx.URI().QueryString()), c.request.Body),
 		Attempt: id,
 	}, class)
-	s.reruns.accepted()
+	s.reruns.credit()
 	s.calls.begin(c.call, timeout(class))
 	defer s.calls.end(c.call)
 	c.answer(ctx)
 }
 
-// serviceURI cuts the service's prefix off the path. The path goes on as the
-// caller wrote it, unless it climbs: then what was routed by goes on.
-func serviceURI(ctx *fasthttp.RequestCtx, cut string) string {
-	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), cut)
+// serviceURI removes the prefix of the service from the path. The path is forwarded as the
+// caller wrote it, unless it contains "..": then the normalised path, by which the call was
+// routed, is forwarded.
+func serviceURI(ctx *fasthttp.RequestCtx, pathPrefix string) string {
+	path, ok := strings.CutPrefix(string(ctx.URI().PathOriginal()), pathPrefix)
 	if !ok || strings.Contains(path, "..") {
-		routed := url.URL{Path: strings.TrimPrefix(string(ctx.Path()), cut)}
+		routed := url.URL{Path: strings.TrimPrefix(string(ctx.Path()), pathPrefix)}
 		path = routed.EscapedPath()
 	}
 	if query := ctx.URI().QueryString(); len(query) > 0 {
@@ -86,8 +88,8 @@
 
 func (c *serviceCall) answer(ctx *fasthttp.RequestCtx) {
 	name, a, err := c.send()
-	err = c.ticket.settle(err)
-	verdict := c.account.Finish()
+	err = c.claimGuard.recordNotRun(err)
+	verdict := c.tracker.Finish()
 	c.srv.metrics.outcome(verdict)
 	c.record(verdict, name, a)
 	if name != "" {
@@ -102,13 +104,13 @@
 	ctx.SetBody(a.Body)
 }
 
-// record tells the claim's record what became of the call.
+// record stores the outcome of the call in the claims.
 func (c *serviceCall) record(v outcome.Verdict, name string, a *endpoint.ServiceAnswer) {
 	if a == nil {
-		c.ticket.end(v, claim.Answer{})
+		c.claimGuard.finish(v, claim.Answer{})
 		return
 	}
-	c.ticket.end(v, claim.Answer{
+	c.claimGuard.finish(v, claim.Answer{
 		Status:      a.Header.StatusCode(),
 		ContentType: string(a.Header.ContentType()),
 		Body:        a.Body,
@@ -117,15 +119,15 @@
 	})
 }
 
-// send tries the endpoints in an order of the call's own, so that calls spread
-// and no list of the busy ones is needed. A call that may have run is sent to
-// the next one only if it is idempotent.
+// send tries the endpoints in an order derived from the ID of the call, so that calls are
+// spread without load information. A call that may have run is sent to another endpoint only
+// if it is idempotent.
 func (c *serviceCall) send() (name string, a *endpoint.ServiceAnswer, err error) {
-	if err = c.ticket.look(c.call.ctx); err != nil {
+	if err = c.claimGuard.lookupKey(c.call.ctx); err != nil {
 		return "", nil, err
 	}
-	c.account.Admit()
-	if err = c.ticket.take(c.call.ctx); err != nil {
+	c.tracker.Admit()
+	if err = c.claimGuard.acquire(c.call.ctx); err != nil {
 		return "", nil, err
 	}
 	err = fault.New(fault.Unavailable, "add endpoints to the service's record", "no endpoint can take the call")
@@ -136,28 +138,28 @@
 		}
 		name = e.GetName()
 		a, err = c.sendTo(e.GetAddress())
-		if err == nil || !c.goesOn(err) {
-			return name, a, c.final(err)
+		if err == nil || !c.maySendAgain(err) {
+			return name, a, c.callerError(err)
 		}
 	}
-	return name, nil, c.final(err)
+	return name, nil, c.callerError(err)
 }
 
-// goesOn reports whether the call may be sent to another endpoint.
-func (c *serviceCall) goesOn(err error) bool {
-	if c.call.cause() != nil || !c.account.MaySend() {
+// maySendAgain reports whether the call may be sent again.
+func (c *serviceCall) maySendAgain(err error) bool {
+	if c.call.cause() != nil || !c.tracker.MaySend() {
 		return false
 	}
 	return fault.Is(err, fault.Unavailable) || c.srv.reruns.take()
 }
 
-// sendTo sends the call to one endpoint. On a connection that was used before,
-// silence may mean that something in between has forgotten the connection; a
-// idempotent call is then sent again on a new one.
+// sendTo sends the call to one endpoint. If an answer on a reused connection times out, a
+// middlebox may have dropped the connection; an idempotent call is then sent again on a new
+// one.
 func (c *serviceCall) sendTo(address string) (*endpoint.ServiceAnswer, error) {
 	service := c.srv.cfg.DialService(address)
 	a, err := c.sendOnce(service, c.request)
-	if err == nil || !endpoint.Silent(err) || !c.goesOn(err) {
+	if err == nil || !endpoint.Silent(err) || !c.maySendAgain(err) {
 		return a, err
 	}
 	fresh := c.request
@@ -166,30 +168,30 @@
 }
 
 func (c *serviceCall) sendOnce(service Service, r endpoint.ServiceRequest) (*endpoint.ServiceAnswer, error) {
-	send := c.account.Send()
+	send := c.tracker.Send()
 	a, err := service.Do(c.call.ctx, r)
 	if err == nil {
 		send.Answering()
 		send.Done()
 		return a, nil
 	}
-	// Only an endpoint that no byte reached has certainly not run the call; a
-	// plain service has no other word for it.
+	// The call has certainly not run only if no byte reached the endpoint: a plain service has
+	// no other way to report that it did not start a call.
 	if fault.Is(err, fault.Unavailable) {
 		send.NotStarted()
 	}
 	return nil, err
 }
 
-// final is the error that the caller reads.
-func (c *serviceCall) final(err error) error {
+// callerError returns the error for the caller.
+func (c *serviceCall) callerError(err error) error {
 	if err == nil {
 		return nil
 	}
 	if cause := c.call.cause(); cause != nil {
 		return cause
 	}
-	if !c.account.NoSendMayHaveRun() && c.once {
+	if !c.tracker.NoSendMayHaveRun() && c.nonIdempotent {
 		return fault.Wrap(err, fault.Unknown, "ask with the same Idempotency-Key what became of it", "a non-idempotent call broke off; it may have run")
 	}
 	return err
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -9,7 +9,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-func (r *rig) serviceRuns() int {
+func (r *fixture) serviceRuns() int {
 	runs := 0
 	for _, s := range r.Services {
 		runs += s.Runs()
@@ -17,13 +17,13 @@
 	return runs
 }
 
-func (r *rig) order(t *testing.T, method string) *http.Response {
+func (r *fixture) order(t *testing.T, method string) *http.Response {
 	t.Helper()
 	return r.do(t, method, "/services/ordering/dispatch/7?yard=2", nil, "ship 7")
 }
 
 func TestServiceByPath(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+	r := newFixture(t, fixtureConfig{services: 3})
 	for _, method := range []string{"POST", "PUT", "DELETE", "PATCH", "GET"} {
 		resp := r.order(t, method)
 		got, _ := io.ReadAll(resp.Body)
@@ -37,10 +37,10 @@
 	}
 }
 
-// The ordering app takes a confirmation, acts on it and dies before it answers.
-// Sending it again would ship the pallets twice.
-func TestServiceCrashAfterTheEffect(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+// The service runs an order confirmation and crashes before it answers. A rerun would ship the
+// order twice.
+func TestServiceCrashAfterSideEffect(t *testing.T) {
+	r := newFixture(t, fixtureConfig{services: 3})
 	for _, s := range r.Services {
 		s.SetFaults(emulator.ServiceFaults{CrashAfter: 1, DownMS: 1})
 	}
@@ -53,9 +53,9 @@
 	}
 }
 
-// The same for a call that may be repeated: another endpoint answers it.
+// The service crashes during an idempotent call. Another endpoint must answer it.
 func TestIdempotentServiceCallGoesElsewhere(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+	r := newFixture(t, fixtureConfig{services: 3})
 	for _, s := range r.Services[:2] {
 		s.SetFaults(emulator.ServiceFaults{CrashAfter: 1, DownMS: 1})
 	}
@@ -64,12 +64,12 @@
 	}
 }
 
-// A service takes a confirmation and never answers. The caller reads, when its
-// class's time is over, that nobody knows.
-func TestSilentService(t *testing.T) {
+// A service accepts an order confirmation and never answers. The caller must get the outcome
+// unknown when the timeout of its class is over.
+func TestUnresponsiveService(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 300}
-	r := newRig(t, rigConfig{services: 2, class: class})
+	r := newFixture(t, fixtureConfig{services: 2, class: class})
 	for _, s := range r.Services {
 		s.SetFaults(emulator.ServiceFaults{SilentAfter: 1})
 	}
@@ -82,12 +82,12 @@
 	}
 }
 
-// Connections to a service that were used before go silent for good while new
-// ones work. A confirmation never goes over such a connection, and a call that
-// may be repeated is sent again on a new one.
-func TestForgottenServiceConnections(t *testing.T) {
+// Reused connections to a service stop delivering data while new ones work. A non-idempotent
+// call must never use a reused connection, and an idempotent call must be sent again on a new
+// one.
+func TestUnresponsiveReusedServiceConnections(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, rigConfig{services: 1})
+	r := newFixture(t, fixtureConfig{services: 1})
 	for _, method := range []string{"POST", "GET"} {
 		r.order(t, "GET")
 		r.Services[0].SilenceOpen()
@@ -100,9 +100,9 @@
 	}
 }
 
-// No endpoint of the service listens: nothing ran, and the refusal says so.
-func TestServiceAway(t *testing.T) {
-	r := newRig(t, rigConfig{services: 2})
+// No endpoint of the service listens. Nothing ran, and the refusal must report not-run.
+func TestServiceUnreachable(t *testing.T) {
+	r := newFixture(t, fixtureConfig{services: 2})
 	for _, s := range r.Services {
 		_ = s.Close()
 	}
@@ -112,10 +112,10 @@
 	}
 }
 
-// One endpoint of the service is away. A confirmation that never left goes to
-// the next one.
-func TestConfirmationGoesPastAClosedEndpoint(t *testing.T) {
-	r := newRig(t, rigConfig{services: 3})
+// Some endpoints of the service do not listen. A non-idempotent call of which no byte was sent
+// must go to the next endpoint.
+func TestNonIdempotentCallSkipsClosedEndpoint(t *testing.T) {
+	r := newFixture(t, fixtureConfig{services: 3})
 	_ = r.Services[0].Close()
 	_ = r.Services[1].Close()
 	for range 6 {
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -10,32 +10,31 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// patient limits never end an idle connection by themselves.
-var patient = &settingspb.Limits{
+// noIdleTimeout sets limits under which idle connections practically never time out.
+var noIdleTimeout = &settingspb.Limits{
 	HeaderBytes: 16384, BodyBytes: 1 << 20, ReadTimeoutMs: 600000, WriteTimeoutMs: 1000,
 	Connections: 100, SilenceMs: testSilence.Milliseconds(),
 }
 
-// An operator replaces an instance while a review streams. The engineer must
-// get all of it.
+// An instance shuts down during a stream. The caller must get the whole answer.
 func TestShutdownLetsStreamsFinish(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: patient})
-	rd := r.askFor(t, prompt, 200, nil)
+	r := newFixture(t, fixtureConfig{engines: 1, limits: noIdleTimeout})
+	rd := r.startStream(t, prompt, 200, nil)
 	rd.piece()
 	done := make(chan error, 1)
 	go func() { done <- r.server.Shutdown(context.Background()) }()
 	for listens(strings.TrimPrefix(r.url, "http://")) {
 	}
-	rd.rest().wantWhole(prompt, 200)
+	rd.rest().wantComplete(prompt, 200)
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A balancer keeps idle connections open for long. They must not hold the
-// shutdown up.
-func TestIdleConnectionsDoNotHoldShutdown(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: patient})
+// A load balancer keeps idle connections open for a long time. They must not delay the
+// shutdown.
+func TestIdleConnectionsDoNotDelayShutdown(t *testing.T) {
+	r := newFixture(t, fixtureConfig{engines: 1, limits: noIdleTimeout})
 	client := &http.Client{Transport: &http.Transport{}}
 	req, err := http.NewRequest("GET", r.url+"/v1/models", nil)
 	if err != nil {
@@ -56,11 +55,11 @@
 	}
 }
 
-// A stream is longer than the time to drain. It ends with an error that says
-// so: an answer that just stops would pass for a whole one.
-func TestDrainTimeOverEndsStreamsWithAnError(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1, limits: patient})
-	rd := r.askFor(t, prompt, 90000, nil)
+// A stream takes longer than the drain timeout. It must end with an explicit error; a caller
+// could take a stream that just stops for a complete answer.
+func TestDrainTimeoutEndsStreamsWithError(t *testing.T) {
+	r := newFixture(t, fixtureConfig{engines: 1, limits: noIdleTimeout})
+	rd := r.startStream(t, prompt, 90000, nil)
 	rd.piece()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -73,10 +72,10 @@
 	waitIdle(t, r.Engines[0])
 }
 
-// The balancer still sends requests to an instance that is about to end. They
-// are served, and their connections are not kept.
+// The load balancer still sends requests to an instance that is draining. They must be served,
+// and their connections closed afterwards.
 func TestDrainingServes(t *testing.T) {
-	r := newRig(t, rigConfig{engines: 1})
+	r := newFixture(t, fixtureConfig{engines: 1})
 	r.server.Drain()
 	resp := r.do(t, "POST", "/v1/completions", nil, `{"model":"counter","prompt":"x","max_tokens":1}`)
 	if resp.StatusCode != 200 || !resp.Close {
--- a/entry/versions.go
+++ b/entry/versions.go
@@ -2,40 +2,41 @@
 
 import "sync"
 
-// maxVersions bounds what is remembered; see versions.
+// maxVersions is the maximum number of remembered versions. When it is reached, all are
+// dropped.
 const maxVersions = 16384
 
-// versions remembers which version of a model's weights each endpoint answered
-// with last. While a new version is rolled out, the record names one version
-// and some endpoints still run another. A cache salt made of the record's
-// version would then name blocks that the older weights computed, and after
-// the load a request could match them. The salt is therefore made of the
-// version that the endpoint runs. Any goroutine may use it.
+// versions remembers with which version of a model's weights each endpoint last answered.
+// During a rollout the record names one version while some endpoints still run another. A
+// cache salt derived from the version in the record would then cover blocks that the older
+// weights computed, and after the endpoint has loaded the new weights, a request could match
+// these blocks. The salt is therefore derived from the version that the endpoint runs.
+// versions is safe for concurrent use.
 type versions struct {
 	mu   sync.Mutex
-	last map[modelAt]string
+	last map[versionKey]string
 }
 
-type modelAt struct{ endpoint, model string }
+type versionKey struct{ endpoint, model string }
 
-func newVersions() *versions { return &versions{last: map[modelAt]string{}} }
+func newVersions() *versions { return &versions{last: map[versionKey]string{}} }
 
-// get returns the version seen last, or the given one where none was seen.
-func (v *versions) get(endpoint, model, otherwise string) string {
+// get returns the version last recorded, or fallback if there is none.
+func (v *versions) get(endpoint, model, fallback string) string {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if seen, ok := v.last[modelAt{endpoint, model}]; ok {
-		return seen
+	if version, ok := v.last[versionKey{endpoint, model}]; ok {
+		return version
 	}
-	return otherwise
+	return fallback
 }
 
-// saw books the version that an endpoint answered with.
-func (v *versions) saw(endpoint, model, version string) {
+// record stores the version with which an endpoint answered.
+func (v *versions) record(endpoint, model, version string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if len(v.last) >= maxVersions {
 		clear(v.last)
 	}
-	v.last[modelAt{endpoint, model}] = version
+	v.last[versionKey{endpoint, model}] = version
 }
