--- a/balance/admit.go
+++ b/balance/admit.go
@@ -2,76 +2,74 @@
 
 import "time"
 
-// Timing is what decides whether a model request is sent now.
+// Timing is the input of Admit.
 type Timing struct {
-	// Target is the time to the first token that the caller is content with, and
-	// Patience the time without a first token after which it gives up.
+	// Target is the time to the first token that satisfies the caller. Patience is the time
+	// after which the caller gives up if it has received no token.
 	Target, Patience time.Duration
-	// Elapsed since the request came.
+	// Elapsed is the time since the request arrived.
 	Elapsed time.Duration
-	// Backlog of the endpoint chosen, and First, the time to the first token if
-	// the request is sent now.
+	// Backlog of the chosen endpoint. First is the time to the first token if the request is
+	// sent now.
 	Backlog, First time.Duration
-	// Full says that the endpoint's memory does not hold the request beside those
-	// that run there.
+	// Full reports whether the request does not fit into the endpoint's memory beside the
+	// running requests.
 	Full bool
 }
 
-// Admission is what becomes of a model request for now.
+// Admission is the admission decision for a request.
 type Admission int
 
-// The decisions.
+// The admission decisions.
 const (
-	// Send: it goes to the endpoint.
+	// Send: the request is sent to the endpoint now.
 	Send Admission = iota
-	// Wait: it waits here and is looked at again.
+	// Wait: the request stays queued at this instance and is decided again later.
 	Wait
-	// Refuse: it can't be served in its time; the caller should come back after
-	// Backlog.
+	// Refuse: the request cannot be served in time; the caller should retry after Backlog.
 	Refuse
-	// OverQuota: its organisation's quota is used up; the caller should come back when
-	// the quota's decision says.
+	// OverQuota: the organisation's quota is used up; the caller should retry after the
+	// RetryAfter of the quota's decision.
 	OverQuota
-	// AtLimit: every endpoint that could take it has got the requests that it takes.
+	// AtLimit: every endpoint that could run the request has used up its rate limit.
 	AtLimit
 )
 
 const (
-	// lateBacklog is the work that an endpoint may have before it when a request
-	// is sent there that is late in any case.
+	// lateBacklog is the backlog that an endpoint may have when it is sent a request that
+	// will miss its target anyway.
 	lateBacklog = 60 * time.Millisecond
-	// agingShare is the share of its patience after which a late request is sent
-	// whatever the backlog. The rest has to suffice for its turn at the endpoint.
+	// agingShare is the fraction of its patience after which a late request is sent whatever
+	// the backlog. The rest is left for the time in the endpoint's own queue.
 	agingShare = 0.3
-	// behindShare is the part in percent of a request's target from which the work
-	// before it, and not its own length, makes it late. Smaller backlogs may end before
-	// the caller is back.
+	// behindShare is the backlog, in percent of the request's target, above which a request
+	// counts as late because of the backlog and not because of its own length. A smaller
+	// backlog may be done before the caller retries.
 	behindShare = 25
-	// memoryShare is the part in percent of a request's target that it may wait for
-	// memory. Refused then, its caller may still come back in time.
+	// memoryShare is how long, in percent of its target, a request may wait for memory. If
+	// it is refused at that point, a retry by the caller may still be on time.
 	memoryShare = 50
 )
 
-// Admit decides whether a model request goes to its endpoint now.
+// Admit decides whether a model request is sent to its endpoint now.
 //
-// Load: more prompt work arrives than the pool reads, for seconds. Harm prevented:
-// in one queue in order of arrival, the wait soon exceeds what callers are content
-// with, and then every request is late although the pool works at its limit; soon
-// after, endpoints read prompts whose callers have given up. A request that can
-// still be on time goes at once. One that is late in any case waits here until its
-// endpoint has little to do, since a little later is as good to its caller; it
-// waits less strictly the older it is, so that neither the longest prompts, which
-// are late from the start, nor a long burst starve it.
+// It protects the pool when, for some seconds, more prompt work arrives than the endpoints
+// can read. With a single FIFO queue the wait soon exceeds what callers accept; then every
+// request is late although the pool runs at its limit, and soon after the endpoints read
+// prompts whose callers have given up. So a request that can still be on time is sent at
+// once. One that will be late anyway waits here until its endpoint has little to do, since a
+// little more delay matters little to its caller. The allowed backlog grows with the
+// request's age, so that neither the longest prompts, which are late from the start, nor a
+// long burst starve it.
 //
-// One whose caller would have given up before its first token is refused at once, and so
-// is one that is late only for the work before it: served late it would make the next
-// ones late, while its caller, refused at once, comes back when the burst may be over.
+// A request whose caller would give up before the first token is refused at once. So is one
+// that is late only because of the backlog: if it were served late it would delay the next
+// ones, whereas a caller that is refused at once retries when the burst may be over.
 //
-// The same holds for one that no endpoint's memory has held for half of its target: sent
-// in the end all the same, it drives out others, and what they had read is read again.
-// Until then one that an endpoint's memory does not hold waits too: sent all the same, it
-// drives out a request in the middle of its answer, whose prompt is then read a second
-// time.
+// A request that does not fit into the endpoint's memory waits too: sent anyway, it would
+// preempt a request in the middle of its response, whose prompt is then read a second time.
+// Once it has found no memory for half of its target it is refused, because sending it in
+// the end would preempt others in the same way.
 func Admit(t Timing) Admission {
 	first := t.Elapsed + t.First
 	if first <= t.Target && !t.Full {
--- a/balance/backlog.go
+++ b/balance/backlog.go
@@ -1,27 +1,27 @@
 package balance
 
-// ranks is how many priorities endpoints tell apart; 0 goes first.
+// ranks is the number of priorities that endpoints distinguish; 0 is the most urgent.
 const ranks = 10
 
-// lessUrgentShare is the part of the less urgent prompt work at an endpoint that a
-// request has to wait for: what is being read goes on beside it for a step or two.
+// lessUrgentShare is the fraction of an endpoint's less urgent prompt work that delays a
+// request: prompts that are being read continue beside it for a step or two.
 const lessUrgentShare = 0.3
 
-// backlog is the prompt work in tokens that an endpoint has before it, by the rank of
-// the requests.
+// backlog is the prompt work in tokens that is queued at an endpoint, by the rank of the
+// requests.
 //
-// Load: long prompts fill the pool while short urgent ones go on coming. Harm
-// prevented: counted in one sum, the long ones make an endpoint look late for the
-// short ones, which it takes first; these are then refused, though they would have
-// been on time.
+// It is kept by rank because long prompts may fill the pool while short urgent requests keep
+// arriving. In a single sum, the long prompts make an endpoint look late for urgent
+// requests, which it would run first; these are then refused although they would have been
+// on time.
 type backlog [ranks]int64
 
-// rankOf keeps a rank within what endpoints know.
-func rankOf(rank int) int { return min(max(rank, 0), ranks-1) }
+// clampRank limits a rank to those that endpoints distinguish.
+func clampRank(rank int) int { return min(max(rank, 0), ranks-1) }
 
-func (b *backlog) add(rank int, tokens int64) { b[rankOf(rank)] += tokens }
+func (b *backlog) add(rank int, tokens int64) { b[clampRank(rank)] += tokens }
 
-// total is all work.
+// total returns the work of all ranks.
 func (b *backlog) total() int64 {
 	var n int64
 	for _, tokens := range b {
@@ -30,11 +30,11 @@
 	return n
 }
 
-// ahead is what a request of the rank has to wait for.
+// ahead returns the work that delays a request of the rank.
 func (b *backlog) ahead(rank int) int64 {
 	var first, later int64
 	for r, tokens := range b {
-		if r <= rankOf(rank) {
+		if r <= clampRank(rank) {
 			first += tokens
 			continue
 		}
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,7 +1,9 @@
-// Package balance decides which endpoint of a service runs a request, and when.
-// It does no I/O and takes the time as an argument. A State holds what is known
-// of all endpoints here: what this instance sent, what others told, and what
-// endpoints answered. Losing any of it costs speed, never correctness.
+// Package balance decides which endpoint of a service runs a request, and when. It does no
+// I/O and takes the time as an argument.
+//
+// A State combines what this instance has sent with what other instances and the endpoints
+// have reported. It is only a cache: losing any of it makes placement slower, never
+// incorrect.
 package balance
 
 import (
@@ -10,94 +12,96 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Endpoint is one incarnation of an endpoint, as the platform lists it.
+// Endpoint is one incarnation of an endpoint, as listed by the platform.
 type Endpoint struct {
-	// ID names the incarnation: all that is believed of an endpoint is kept under it,
-	// and an endpoint that starts again has another one.
+	// ID identifies the incarnation. All state of an endpoint is keyed by it; an endpoint
+	// that restarts has a new ID.
 	ID string
-	// Name is what the platform calls the endpoint; one that starts again may keep it.
+	// Name is the endpoint's name on the platform; it may survive a restart.
 	Name string
-	// Born is when the incarnation started, in ms since 1970, by its own word; 0
-	// where it does not say.
+	// Born is when the incarnation started, in ms since 1970, as the endpoint reports it; 0
+	// if it does not.
 	Born       int64
 	Address    string
 	Service    string
 	DataCentre string
-	// Slots is how many requests it runs at a time.
+	// Slots is the number of requests that the endpoint runs concurrently.
 	Slots int
-	// Draining endpoints take no new work.
+	// Draining endpoints accept no new requests.
 	Draining bool
-	// Versions of the weights that it holds, by model.
+	// Versions are the loaded versions of the weights, by model.
 	Versions map[string]int64
 }
 
-// Pool is what the records say of a service's endpoints.
+// Pool is the configuration of a service's endpoints.
 type Pool struct {
-	// CacheTokens is the memory of one endpoint for running requests and cached
+	// CacheTokens is the memory of one endpoint, in tokens, for running requests and cached
 	// parts; 0 for plain services.
 	CacheTokens int64
 }
 
-// RunID names one send of a request; it is unique over all instances.
+// RunID identifies one attempt to run a request; it is unique over all instances.
 type RunID uint64
 
-// Ask describes a request that wants an endpoint.
+// Ask describes a request that needs an endpoint.
 type Ask struct {
 	Service string
 	// Model is empty for plain services.
 	Model string
-	// Wall separates organisations that share no cached parts.
+	// Wall is the isolation domain of the prompt cache: requests with different walls share
+	// no cached parts.
 	Wall  string
 	Parts []prefix.Part
-	// PromptTokens and OutputTokens size the work.
+	// PromptTokens and OutputTokens are the size of the request.
 	PromptTokens, OutputTokens int64
-	// Rank is the request's priority at the endpoint; 0 goes first.
+	// Rank is the request's priority at the endpoint; 0 is the most urgent.
 	Rank int
-	// DataCentre of the instance that sends.
+	// DataCentre of the sending instance.
 	DataCentre string
-	// Exclude names endpoints that were tried before.
+	// Exclude lists the IDs of endpoints that have been tried already.
 	Exclude []string
-	// Again says that an endpoint has run the request before, which failed.
+	// Again reports whether the request has been run by an endpoint before and failed.
 	Again bool
-	// Turn says with which endpoint of the list the comparison begins, and so which one
-	// of several that are equally good is chosen.
+	// Turn is the index in the endpoint list at which the comparison starts. It decides
+	// between endpoints of equal cost.
 	Turn uint64
 }
 
-// Placement is where a request goes.
+// Placement is the endpoint chosen for a request.
 type Placement struct {
 	Endpoint Endpoint
-	// PlacedBy names the instance that has placed it; empty for this one.
+	// PlacedBy is the ID of the instance that made the placement; empty for this one.
 	PlacedBy string
-	// Version of the model's weights there.
+	// Version of the model's weights that the endpoint is expected to have loaded.
 	Version int64
-	// Keys of the prompt's parts under that version.
+	// Keys of the prompt's parts for that version.
 	Keys []prefix.PartKey
-	// Uncached is how many tokens of the prompt are read there, as far as known.
+	// Uncached is the number of prompt tokens that the endpoint has to read, as far as
+	// known.
 	Uncached int64
-	// FetchFrom is the address of an endpoint or a store that has more of the
-	// prompt; empty for none.
+	// FetchFrom is the address of an endpoint or cache store that has more of the prompt
+	// cached; empty for none.
 	FetchFrom string
-	// SaveTo is the address of a store that should keep the parts once they are
+	// SaveTo is the address of the cache store that should keep the parts once they are
 	// read; empty for none.
 	SaveTo string
-	// Ahead is the prompt work in tokens that the endpoint has to do before, and
-	// Queued all that it has, also of less urgent requests.
+	// Ahead is the prompt work, in tokens, that the endpoint does before this request.
+	// Queued is all of its prompt work, including that of less urgent requests.
 	Ahead, Queued int64
-	// Running is the number of requests there.
+	// Running is the number of requests running at the endpoint.
 	Running int
-	// Full says that the endpoint's memory does not hold the request beside those
-	// that run there.
+	// Full reports whether the request does not fit into the endpoint's memory beside the
+	// running requests.
 	Full bool
-	// Backlog is the time that the endpoint needs for Ahead, and First the time
-	// to the request's first token.
+	// Backlog is the time that the endpoint needs for Ahead. First is the time to the
+	// request's first token.
 	Backlog, First time.Duration
-	// PassedOver is the endpoint that would have been chosen but for the rate that it
-	// names; empty for none.
+	// PassedOver is the ID of the cheapest endpoint that was skipped because its rate limit
+	// is used up; empty for none.
 	PassedOver string
 }
 
-// Start says that a request was sent to an endpoint.
+// Start describes a request that was sent to an endpoint.
 type Start struct {
 	Run      RunID
 	Endpoint string
@@ -110,13 +114,13 @@
 	Tokens   []int64
 	Uncached int64
 	Output   int64
-	// SaveTo is the store that keeps the parts once they are read.
+	// SaveTo is the address of the cache store that keeps the parts once they are read.
 	SaveTo string
-	// Again says that the request has failed at another endpoint before.
+	// Again reports whether the request has failed at another endpoint before.
 	Again bool
 }
 
-// size of the request, in tokens of its prompt and its answer.
+// size returns the tokens of the request's prompt and output.
 func (st *Start) size() int64 {
 	n := st.Output
 	for _, tokens := range st.Tokens {
@@ -125,49 +129,49 @@
 	return n
 }
 
-// KeptStore keeps cached parts beside the endpoints, such that they outlive
-// endpoints and their memory.
+// KeptStore is a store of cached parts outside the endpoints. Its contents outlive the
+// endpoints and eviction from their memory.
 type KeptStore struct {
 	Address    string
 	DataCentre string
-	// CacheTokens is how much it holds.
+	// CacheTokens is the store's capacity in tokens.
 	CacheTokens int64
 }
 
-// Stage is what became of a run.
+// Stage is the progress or the result of a run.
 type Stage int
 
-// The stages.
+// The stages of a run.
 const (
-	// Answering: the prompt is read, tokens are being made.
+	// Answering: the prompt has been read and output tokens are being generated.
 	Answering Stage = iota
-	// Done: the answer came whole.
+	// Done: the response is complete.
 	Done
-	// Rejected: the endpoint did not run the request.
+	// Rejected: the endpoint refused the request without running it.
 	Rejected
-	// Errored: the endpoint answered with an error of its own.
+	// Errored: the endpoint responded with an application error.
 	Errored
-	// Misdirected: the endpoint did not run the request, since it is not the one, or
-	// does not hold the weights, that were expected.
+	// Misdirected: the endpoint did not run the request because its incarnation or the
+	// version of its weights was not the expected one.
 	Misdirected
-	// Failed: the run broke off.
+	// Failed: the run was interrupted, for example by a broken connection.
 	Failed
 	// Unreachable: no connection could be made.
 	Unreachable
-	// Abandoned: the caller left, or its time was over.
+	// Abandoned: the caller cancelled or its deadline passed.
 	Abandoned
 )
 
-// The times for which an endpoint is left out after it turned work away, or in
-// doubt after it failed. They are short because a wrong one costs a share of the pool, and each further
-// failure renews it.
+// How long an endpoint is skipped after it rejected a request, or suspected after it failed.
+// The times are short because a false positive costs a share of the pool's capacity, and
+// each further failure renews them.
 const (
-	// rejectedFor covers most of a load of new weights, half a second, without
-	// keeping an endpoint out that was only full for a moment.
-	rejectedFor = 300 * time.Millisecond
-	// brokenFor and unreachableFor bridge part of the time until the platform's
-	// list shows that an endpoint has gone, three of its heartbeats; what fails
-	// then renews them.
-	brokenFor      = 700 * time.Millisecond
-	unreachableFor = 1500 * time.Millisecond
+	// avoidAfterRejection covers most of a load of new weights, which takes half a second,
+	// without excluding an endpoint for long that was only briefly full.
+	avoidAfterRejection = 300 * time.Millisecond
+	// suspectAfterFailure and suspectAfterUnreachable cover part of the time until the
+	// platform's list drops a dead endpoint, which takes three heartbeats. Further failures
+	// renew them.
+	suspectAfterFailure     = 700 * time.Millisecond
+	suspectAfterUnreachable = 1500 * time.Millisecond
 )
--- a/balance/cache.go
+++ b/balance/cache.go
@@ -7,29 +7,29 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Scope is the text under which endpoints keep the parts of a request. It holds
-// the version, because endpoints do not tell under which weights a part was made:
-// parts of older weights, or of another organisation behind a wall, can then never
-// match.
+// Scope returns the prefix of the keys under which endpoints cache the parts of a request.
+// It contains the version of the weights, because endpoints do not report with which weights
+// a part was computed. Parts of older weights, or of an organisation behind another wall,
+// therefore never match.
 func Scope(wall string, version int64) string {
 	return wall + "/v" + strconv.FormatInt(version, 10)
 }
 
-// partCache models which prompt parts one endpoint holds: the least recently
-// used go first when the memory is full, as in the endpoint itself.
+// partCache models the prompt parts cached by one endpoint. Like the endpoint itself, it
+// evicts the least recently used parts when the memory is full.
 type partCache struct {
 	capacity int64
 	used     int64
 	parts    map[prefix.PartKey]*list.Element
-	// order has the part used last in front.
+	// order has the most recently used part at the front.
 	order *list.List
 }
 
 type cachedPart struct {
 	key    prefix.PartKey
 	tokens int64
-	// read says that the endpoint has read the part; before that it cannot be
-	// fetched from there.
+	// read reports whether the endpoint has read the part; until then it cannot be fetched
+	// from there.
 	read bool
 }
 
@@ -37,8 +37,8 @@
 	return &partCache{capacity: capacity, parts: map[prefix.PartKey]*list.Element{}, order: list.New()}
 }
 
-// use notes that a run uses the part.
-func (c *partCache) use(key prefix.PartKey, tokens int64) {
+// touch records the use of a part by a run.
+func (c *partCache) touch(key prefix.PartKey, tokens int64) {
 	if e, ok := c.parts[key]; ok {
 		c.order.MoveToFront(e)
 		return
@@ -46,11 +46,11 @@
 	c.parts[key] = c.order.PushFront(&cachedPart{key: key, tokens: tokens})
 	c.used += tokens
 	for c.used > c.capacity && c.order.Len() > 1 {
-		c.drop(c.order.Back())
+		c.evict(c.order.Back())
 	}
 }
 
-// markRead notes that the parts are in memory now.
+// markRead records that the parts are in memory.
 func (c *partCache) markRead(keys []prefix.PartKey) {
 	for _, k := range keys {
 		if e, ok := c.parts[k]; ok {
@@ -59,24 +59,24 @@
 	}
 }
 
-func (c *partCache) drop(e *list.Element) {
+func (c *partCache) evict(e *list.Element) {
 	p := e.Value.(*cachedPart)
 	c.order.Remove(e)
 	delete(c.parts, p.key)
 	c.used -= p.tokens
 }
 
-// forget drops parts that a run would have read but did not.
-func (c *partCache) forget(keys []prefix.PartKey) {
+// removeUnread removes the parts that a run should have read but did not.
+func (c *partCache) removeUnread(keys []prefix.PartKey) {
 	for _, k := range keys {
 		if e, ok := c.parts[k]; ok && !e.Value.(*cachedPart).read {
-			c.drop(e)
+			c.evict(e)
 		}
 	}
 }
 
-// leading returns how many of the leading parts are held or being read, and how
-// many are in memory now.
+// leading returns how many of the leading parts are cached or being read, and how many of
+// them have been read.
 func (c *partCache) leading(keys []prefix.PartKey) (held, read int) {
 	allRead := true
 	for _, k := range keys {
@@ -92,27 +92,27 @@
 	return held, read
 }
 
-// set notes that the endpoint says it has the part.
+// set records that the endpoint reported the part as cached.
 func (c *partCache) set(key prefix.PartKey, tokens int64) {
 	if e, ok := c.parts[key]; ok {
 		e.Value.(*cachedPart).read = true
 		return
 	}
-	c.use(key, tokens)
+	c.touch(key, tokens)
 	if e, ok := c.parts[key]; ok {
 		e.Value.(*cachedPart).read = true
 	}
 }
 
-// remove notes that the endpoint says it has the part no more.
+// remove records that the endpoint reported the part as evicted.
 func (c *partCache) remove(key prefix.PartKey) {
 	if e, ok := c.parts[key]; ok {
-		c.drop(e)
+		c.evict(e)
 	}
 }
 
-// held returns the parts that are in memory, the one used last first.
-func (c *partCache) held() []CachedPart {
+// cached returns the parts that have been read, the most recently used first.
+func (c *partCache) cached() []CachedPart {
 	var list []CachedPart
 	for e := c.order.Front(); e != nil; e = e.Next() {
 		if p := e.Value.(*cachedPart); p.read {
--- a/balance/cached.go
+++ b/balance/cached.go
@@ -6,26 +6,26 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// CachedPart is a part that an endpoint or a store holds.
+// CachedPart is a part cached by an endpoint or a cache store.
 type CachedPart struct {
 	Key    prefix.PartKey
 	Tokens int64
 }
 
-// CacheNews is what an endpoint says of its cache of one model, or a store of its
+// CacheNews is a report of an endpoint on its cache of one model, or of a cache store on its
 // parts.
 type CacheNews struct {
 	// Holder is the endpoint's ID or the store's address.
 	Holder string
 	Model  string
-	// Whole says that Added is all there is.
+	// Whole reports whether Added is the complete contents, and not a difference.
 	Whole   bool
 	Added   []CachedPart
 	Removed []prefix.PartKey
 }
 
-// Cached takes in what an endpoint or a store says of its cache. It goes before
-// what was inferred from requests.
+// Cached applies a cache report of an endpoint or a store. Reports take precedence over what
+// was inferred from requests.
 func (s *State) Cached(n CacheNews) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -34,24 +34,24 @@
 		return
 	}
 	if e := s.endpoints[n.Holder]; e != nil && n.Whole {
-		e.told = true
+		e.cacheReported = true
 	}
 	for _, key := range n.Removed {
 		cache.remove(key)
 	}
-	// The part used last comes first, and has to be in front at the end.
+	// Added starts with the most recently used part, which has to end up at the front.
 	for i := len(n.Added) - 1; i >= 0; i-- {
 		cache.set(n.Added[i].Key, n.Added[i].Tokens)
 	}
 }
 
-// Warm reports whether all endpoints of a service have told what they hold, since
-// this instance has started.
+// Warm reports whether every endpoint of a service that is not draining has reported its
+// complete cache since this instance started.
 func (s *State) Warm(service string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, e := range s.byService[service] {
-		if !e.told && !e.Draining {
+		if !e.cacheReported && !e.Draining {
 			return false
 		}
 	}
@@ -59,7 +59,7 @@
 }
 
 func (s *State) cacheFor(n CacheNews) *partCache {
-	if k := s.kept[n.Holder]; k != nil {
+	if k := s.stores[n.Holder]; k != nil {
 		if n.Whole {
 			k.parts = newPartCache(k.CacheTokens)
 		}
@@ -73,9 +73,9 @@
 	if n.Whole {
 		keep := newPartCache(e.capacity)
 		for _, el := range cache.parts {
-			// What is being read is not yet in the endpoint's word.
+			// Parts that are being read are not in the endpoint's report yet.
 			if p := el.Value.(*cachedPart); !p.read {
-				keep.use(p.key, p.tokens)
+				keep.touch(p.key, p.tokens)
 			}
 		}
 		e.caches[n.Model].parts = keep
@@ -91,43 +91,44 @@
 	return 0
 }
 
-// CachedParts returns the parts that an endpoint's cache of a model, or a store, is
-// known to hold.
+// CachedParts returns the parts that are known to be cached by an endpoint for a model, or
+// by a store.
 func (s *State) CachedParts(holder, model string) []CachedPart {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if k := s.kept[holder]; k != nil {
-		return k.parts.held()
+	if k := s.stores[holder]; k != nil {
+		return k.parts.cached()
 	}
 	if e := s.endpoints[holder]; e != nil && e.caches[model] != nil {
-		return e.caches[model].parts.held()
+		return e.caches[model].parts.cached()
 	}
 	return nil
 }
 
-// keptStore is what is known of a store of cached parts.
-type keptStore struct {
+// cacheStore is the state of one store of cached parts.
+type cacheStore struct {
 	KeptStore
 	parts *partCache
 }
 
-// score ranks the stores for a part: the one with the highest keeps it.
-func (k *keptStore) score(key prefix.PartKey) uint64 {
+// score ranks the stores for a part; the one with the highest score keeps it.
+func (k *cacheStore) score(key prefix.PartKey) uint64 {
 	return xxh3.HashSeed([]byte(k.Address), uint64(key))
 }
 
-// SetKept replaces the list of stores that keep cached parts.
+// SetKept replaces the list of cache stores. The contents known of stores that stay in the
+// list are retained.
 func (s *State) SetKept(list []KeptStore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := map[string]*keptStore{}
+	next := map[string]*cacheStore{}
 	for _, k := range list {
-		known, ok := s.kept[k.Address]
+		known, ok := s.stores[k.Address]
 		if !ok {
-			known = &keptStore{parts: newPartCache(k.CacheTokens)}
+			known = &cacheStore{parts: newPartCache(k.CacheTokens)}
 		}
 		known.KeptStore = k
 		next[k.Address] = known
 	}
-	s.kept = next
+	s.stores = next
 }
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -8,69 +8,72 @@
 )
 
 const (
-	// uncachedWeight is what a token that has to be read weighs against one that
-	// the endpoint reads for others before. Reading it costs the endpoint's
-	// other requests as much as this one, so it counts twice.
+	// uncachedWeight is the weight of a token that has to be read, relative to a token of
+	// the endpoint's backlog. Reading it delays the endpoint's other requests as much as
+	// this one, so it counts twice.
 	uncachedWeight = 2.0
-	// fetchedWeight is the same for a token that can be fetched from another
-	// endpoint: it takes link time and memory, but hardly any computing.
+	// fetchedWeight is the weight of a token that can be fetched from another endpoint: it
+	// takes link time and memory, but hardly any computation.
 	fetchedWeight = 0.4
-	// farTokens is what a send into another data centre weighs, in tokens: a
-	// round trip of a few ms and the price of the bytes between them.
-	farTokens = 150.0
-	// runningTokens is what each running request weighs, since it shares the
-	// steps of all others.
+	// crossDCTokens is the weight, in tokens, of sending to another data centre: a round
+	// trip of a few ms and the price of the traffic.
+	crossDCTokens = 150.0
+	// runningTokens is the weight of each running request, since it shares the engine's
+	// steps with all others.
 	runningTokens = 60.0
-	// overflowWeight counts tokens that do not fit into memory: they wait until
-	// other requests have ended, which takes longer than reading them.
+	// overflowWeight is the weight of a token that does not fit into memory: it waits until
+	// other requests have ended, which takes longer than reading it.
 	overflowWeight = 4.0
-	// staleAccepted is how long after a version was named callers are as content
-	// with an older one; staleTokens weighs it from then on.
+	// staleAccepted is how long after a new version was named callers accept an older one
+	// equally well. From then on staleTokens is added to the cost of an endpoint with an
+	// older version.
 	staleAccepted = 1400 * time.Millisecond
 	staleTokens   = 6000.0
-	// staleShare is the part in percent of the bound on old weights after which
-	// an endpoint that has them gets no work, such as one that restarts with the
-	// version it had before. The rest is room for what waits at the endpoint.
+	// staleShare is the percentage of staleBound after which an endpoint with old weights
+	// gets no requests, for example one that restarts with its previous version. The rest of
+	// the bound is left for requests in the endpoint's queue.
 	staleShare = 75
-	// soonTokens weighs an endpoint that is among the next to take new weights:
-	// what a run makes after the change is of no use to its caller.
-	// Runs with little output end before.
-	soonTokens = 16000.0
-	soonOutput = 200.0
-	// doubtTokens weighs an endpoint that broke a connection or could not be reached
-	// just now: more than any load, so that it is the last choice but still one.
-	// With all endpoints in doubt, after a network's fault, callers would otherwise
-	// be turned away though the endpoints serve.
-	doubtTokens = 1e7
-	// evenFailures is how far the share of failures of a plain endpoint may lie above its
+	// loadingSoonTokens is the weight of an endpoint that is among the next to load new
+	// weights: what a run generates after the change is of no use to its caller. It is
+	// scaled down for requests with fewer output tokens than loadingSoonOutput, which end
+	// before the load.
+	loadingSoonTokens = 16000.0
+	loadingSoonOutput = 200.0
+	// suspectTokens is the weight of an endpoint that has just broken a connection or was
+	// unreachable. It is more than any load, so that the endpoint is the last choice but
+	// remains one: if a network fault makes all endpoints suspected, callers would otherwise
+	// be refused although the endpoints serve.
+	suspectTokens = 1e7
+	// failureTolerance is how far the failure rate of a plain endpoint may exceed its
 	// service's by chance.
-	evenFailures = 0.2
-	// failureMemory is how long failures of a plain endpoint that gets no work weigh
-	// against it.
+	failureTolerance = 0.2
+	// failureMemory is the time constant with which the failure rate of a plain endpoint
+	// that gets no requests decays.
 	failureMemory = 2 * time.Second
-	// failureTokens is the weight of an endpoint all of whose runs fail.
+	// failureTokens is the weight of an endpoint whose runs all fail.
 	failureTokens = 20000.0
 )
 
-// Choose returns the endpoint that a request should run on now. ok is false
-// where none can take it at this moment; it may be asked for again when Changed
-// tells, or after a pause, since times of avoidance end silently. Where all that could have
-// got what they take, the placement names the best of them in PassedOver.
+// Choose returns the endpoint on which a request should run now. ok is false if no endpoint
+// can take it at this moment; the caller should retry when the channel of Changed is closed,
+// and after a pause, since the end of an avoidance period is not signalled. If all endpoints
+// that could have taken the request have used up their rate limits, PassedOver of the
+// placement is the best of them.
 //
-// Load: bursts of long prompts that share their beginnings, with a few endpoints
-// slow, loading or gone. Harm prevented: a choice by cached parts alone buries
-// the endpoint that holds a hot prefix, one by load alone has every endpoint read
-// every prefix. The sum of what waits ahead and of what would have to be read
-// weighs both in one unit, prompt tokens.
+// The cost of an endpoint is the sum of its backlog and of the tokens that it would have to
+// read, both in prompt tokens. Both matter when bursts of long prompts with shared prefixes
+// arrive while some endpoints are slow, loading or down: a choice by cached parts alone
+// overloads the endpoint that has a hot prefix, and one by load alone makes every endpoint
+// read every prefix.
 func (s *State) Choose(now time.Time, a Ask) (Placement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c := chooser{limits: s.limits, usualFailures: s.failures[a.Service], ask: a, now: now, keys: map[int64][]prefix.PartKey{}, named: s.wanted[a.Model], tooOld: s.staleBound * staleShare / 100}
+	c := chooser{limits: s.limits, serviceFailures: s.failures[a.Service], ask: a, now: now, keys: map[int64][]prefix.PartKey{}, targets: s.desired[a.Model], tooOld: s.staleBound * staleShare / 100}
 	list := s.byService[a.Service]
 	for i := range list {
 		e := list[(uint64(i)+a.Turn)%uint64(len(list))]
 		c.slowness, c.version = s.slowness(e), e.version(a.Model)
-		c.consider(e, s.holder(&c, list, e))
+		c.consider(e, s.bestSource(&c, list, e))
 	}
 	c.considerLimited(s.sizesOf(a.Service).smaller(a.PromptTokens + a.OutputTokens))
 	if c.best.endpoint == nil {
@@ -84,25 +87,24 @@
 	return p, true
 }
 
-// tokenTime is how long it takes to read tokens at a rate in tokens a ms.
+// tokenTime returns how long it takes to read tokens at a rate in tokens per ms.
 func tokenTime(tokens int64, rate float64) time.Duration {
 	return time.Duration(float64(tokens) / rate * float64(time.Millisecond))
 }
 
-// saveShare is the least part in percent of a request's own part that the shared parts
-// which it reads have to come to for the store to keep them all.
+// saveShare is the minimum size of the shared parts that a request reads, in percent of the
+// request's own part, for the prompt to be saved in a cache store.
 const saveShare = 50
 
-// saveTo returns the store that should keep what the placement reads. Endpoints send
-// whole prompts, and the last part is the request's own: nobody asks for it again, and
-// in the store it pushes out what others ask for. So only a prompt most of which is
-// worth keeping is sent.
+// saveTo returns the address of the cache store that should keep what the placement reads;
+// empty for none. Endpoints save whole prompts, and the last part belongs to this request
+// alone: no other request uses it, and in the store it evicts parts that others use. So a
+// prompt is saved only if enough of it is shared.
 //
-// Load: more catalogues are in use than one store holds, and there are several. Harm
-// prevented: with one store preferred it forgets parts within seconds while the
-// others stay empty, and what engines have forgotten too is read again. Each prompt
-// belongs to one store by a hash of its last shared part, so that all of them are
-// filled and none holds what another one does.
+// Each prompt is assigned to one store by a hash of its last shared part, so that all stores
+// are filled and none duplicates another. If one of several stores were preferred while more
+// catalogues are in use than it can keep, it would evict parts within seconds while the
+// others stay empty, and parts that the engines have evicted as well would be read again.
 func (s *State) saveTo(c *chooser, p Placement) string {
 	n := len(c.ask.Parts)
 	if n < 2 {
@@ -113,7 +115,7 @@
 		return ""
 	}
 	best, bestScore := "", uint64(0)
-	for _, k := range s.kept {
+	for _, k := range s.stores {
 		if score := k.score(p.Keys[n-2]); best == "" || score > bestScore {
 			best, bestScore = k.Address, score
 		}
@@ -121,20 +123,20 @@
 	return best
 }
 
-// evenShare is how far the measured rate of an endpoint may lie from its pool's
-// to count as even: measurements of equal endpoints differ by as much.
-const evenShare = 0.08
+// rateTolerance is how far the measured rate of an endpoint may differ from its pool's and
+// still count as equal: measurements of identical endpoints differ by as much.
+const rateTolerance = 0.08
 
-// slowness is how much longer an endpoint reads than its pool does.
+// slowness returns the factor by which an endpoint reads slower than its pool.
 func (s *State) slowness(e *endpoint) float64 {
 	ratio := s.poolRate(e.Service) / s.rateOf(e)
-	if ratio > 1-evenShare && ratio < 1+evenShare {
+	if ratio > 1-rateTolerance && ratio < 1+rateTolerance {
 		return 1
 	}
 	return ratio
 }
 
-// source has leading parts of the prompt.
+// source is an endpoint or cache store that has leading parts of the prompt.
 type source struct {
 	// id of the endpoint; empty for a store.
 	id      string
@@ -142,8 +144,9 @@
 	parts   int
 }
 
-// holder finds who has read most of the prompt for the version that e holds.
-func (s *State) holder(c *chooser, list []*endpoint, e *endpoint) source {
+// bestSource returns the endpoint or cache store that has read most leading parts of the
+// prompt for the version that e has loaded.
+func (s *State) bestSource(c *chooser, list []*endpoint, e *endpoint) source {
 	if len(c.ask.Parts) == 0 {
 		return source{}
 	}
@@ -154,14 +157,14 @@
 	var best source
 	for _, other := range list {
 		cache := other.caches[c.ask.Model]
-		if cache == nil || cache.version != version || c.now.Before(other.doubtUntil) {
+		if cache == nil || cache.version != version || c.now.Before(other.suspectUntil) {
 			continue
 		}
 		if _, read := cache.parts.leading(c.keysOf(version)); read > best.parts {
 			best = source{other.ID, other.Address, read}
 		}
 	}
-	for _, k := range s.kept {
+	for _, k := range s.stores {
 		if _, read := k.parts.leading(c.keysOf(version)); read > best.parts {
 			best = source{address: k.Address, parts: read}
 		}
@@ -173,38 +176,39 @@
 	return best
 }
 
-// chooser compares the endpoints for one ask.
+// chooser compares the endpoints for one request.
 type chooser struct {
 	ask     Ask
 	now     time.Time
 	keys    map[int64][]prefix.PartKey
 	sources map[int64]source
-	// named are the versions that operators have named; an endpoint that is
-	// behind one of them for tooOld gets no work.
-	named  []wanted
-	tooOld time.Duration
+	// targets are the versions that operators have named. An endpoint that has been behind
+	// one of them for longer than tooOld gets no requests.
+	targets []desired
+	tooOld  time.Duration
 
-	// usualFailures is the share of the service's runs that fail.
-	usualFailures float64
+	// serviceFailures is the failure rate of the service's runs.
+	serviceFailures float64
 
-	// slowness of the endpoint that is looked at, against its pool, the version of
-	// its weights, and whether its memory does not hold the request.
+	// State of the endpoint under consideration: its slowness relative to its pool, the
+	// version of its weights, and whether the request exceeds its free memory.
 	slowness float64
 	version  int64
 	full     bool
 
 	limits Limiter
-	// limited are the endpoints that name a rate, passedOver the cheapest of them that would
-	// have been chosen and takes no more.
+	// limited are the endpoints with a rate limit. passedOver is the ID of the cheapest of
+	// them that would have been chosen but has used up its limit.
 	limited    []candidate
 	passedOver string
-	// returns says that an endpoint is left out for a moment for another reason.
-	returns bool
+	// temporary reports whether an endpoint was skipped for a temporary reason other than
+	// its rate limit.
+	temporary bool
 
 	best candidate
 }
 
-// candidate is an endpoint that may take the request.
+// candidate is an endpoint that can run the request.
 type candidate struct {
 	*endpoint
 	cost     float64
@@ -227,8 +231,8 @@
 	if e.Draining {
 		return
 	}
-	if c.now.Before(e.avoidUntil) || c.now.Before(e.loadingUntil) || c.excluded(e.ID) || behindFor(c.named, c.version, c.now) > c.tooOld {
-		c.returns = true
+	if c.now.Before(e.avoidUntil) || c.now.Before(e.loadingUntil) || c.excluded(e.ID) || behindFor(c.targets, c.version, c.now) > c.tooOld {
+		c.temporary = true
 		return
 	}
 	cost, uncached, fetch := c.cost(e, from)
@@ -241,10 +245,10 @@
 	}
 }
 
-// atLimit describes that no endpoint takes the request. Where each of them has got what it
-// takes, PassedOver is set.
+// atLimit returns the placement of a request that no endpoint takes. PassedOver is set only
+// if rate limits are the only reason.
 func (c *chooser) atLimit() Placement {
-	if c.returns {
+	if c.temporary {
 		return Placement{}
 	}
 	return Placement{PassedOver: c.passedOver}
@@ -259,15 +263,15 @@
 	return false
 }
 
-// cost weighs an endpoint in prompt tokens. fetch is set where parts should
-// come from another endpoint.
+// cost returns the cost of running the request on e, in prompt tokens. fetch is the address
+// from which missing parts should be fetched; empty for none.
 func (c *chooser) cost(e *endpoint, from source) (cost float64, uncached int64, fetch string) {
 	if c.ask.DataCentre != e.DataCentre {
-		cost += farTokens
+		cost += crossDCTokens
 	}
-	cost += failureTokens * c.faults(e)
-	if c.now.Before(e.doubtUntil) {
-		cost += doubtTokens
+	cost += failureTokens * c.excessFailures(e)
+	if c.now.Before(e.suspectUntil) {
+		cost += suspectTokens
 	}
 	if c.ask.Model == "" {
 		return cost + c.plainCost(e), 0, ""
@@ -285,45 +289,49 @@
 	uncached = max(c.ask.PromptTokens-local-fetched, 0)
 	cost += c.slowness*(float64(e.reading.ahead(c.ask.Rank))+uncachedWeight*float64(uncached)) + fetchedWeight*float64(fetched)
 	cost += runningTokens * float64(e.running)
-	if c.now.Before(e.soonUntil) {
-		cost += soonTokens * min(1, float64(c.ask.OutputTokens)/soonOutput)
+	if c.now.Before(e.loadingSoonUntil) {
+		cost += loadingSoonTokens * min(1, float64(c.ask.OutputTokens)/loadingSoonOutput)
 	}
-	if behindFor(c.named, c.version, c.now) > staleAccepted {
+	if behindFor(c.targets, c.version, c.now) > staleAccepted {
 		cost += staleTokens
 	}
-	over := -c.room(e)
+	over := -c.freeMemory(e)
 	if c.full = over > 0; c.full {
 		cost += overflowWeight * float64(over)
 	}
 	return cost, uncached, fetch
 }
 
-// faults is the share of an endpoint's runs that fail through its own fault.
+// excessFailures returns the share of an endpoint's runs that fail through the endpoint's
+// own fault.
 //
-// Load: look-ups of which many fail wherever they run. Harm prevented: the chance of the
-// last few runs decides which endpoint looks best, and that one gets all work while the
-// others idle. A faulty one fails by far more than its service does.
-func (c *chooser) faults(e *endpoint) float64 {
+// In a plain service many requests may fail on any endpoint. If the endpoints' failure rates
+// were compared directly, the random results of the last few runs would decide which
+// endpoint looks best, and that one would get all requests while the others idle. So only
+// what exceeds the service's failure rate by more than failureTolerance counts; a faulty
+// endpoint exceeds it by far.
+func (c *chooser) excessFailures(e *endpoint) float64 {
 	if c.ask.Model != "" {
 		return e.failures
 	}
-	idle := c.now.Sub(e.judgedAt).Seconds()
-	return max(e.failures*math.Exp(-idle/failureMemory.Seconds())-c.usualFailures-evenFailures, 0)
+	idle := c.now.Sub(e.failuresAt).Seconds()
+	return max(e.failures*math.Exp(-idle/failureMemory.Seconds())-c.serviceFailures-failureTolerance, 0)
 }
 
-// room is how much of an endpoint's memory, in tokens, is left once the request
-// runs there too; less than 0 where it does not fit.
-func (c *chooser) room(e *endpoint) int64 {
-	need := c.ask.PromptTokens + outputRoom(c.ask.OutputTokens) - e.shared(c.keysOf(c.version), c.ask.Parts)
+// freeMemory returns how much of an endpoint's memory, in tokens, is left when the request
+// runs there too; negative if it does not fit.
+func (c *chooser) freeMemory(e *endpoint) int64 {
+	need := c.ask.PromptTokens + outputMemory(c.ask.OutputTokens) - e.shared(c.keysOf(c.version), c.ask.Parts)
 	return e.capacity - e.memory - need
 }
 
-// plainCost weighs an endpoint of a plain service by its load and usual latency.
+// plainCost returns the cost of an endpoint of a plain service, from its load and its
+// average latency.
 func (c *chooser) plainCost(e *endpoint) float64 {
 	return float64(e.running+1) / float64(max(e.Slots, 1)) * (e.latencyMs + 1) * plainTokens
 }
 
-// plainTokens puts the cost of plain calls, in ms, beside the other weights.
+// plainTokens converts the cost of plain calls, in ms, to the scale of the other weights.
 const plainTokens = 50.0
 
 func (c *chooser) placement() Placement {
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -7,35 +7,36 @@
 	"github.com/sardinedock/sardinedock/quota"
 )
 
-// Query asks where a request goes, and whether it goes there now.
+// Query is the input of Decide.
 type Query struct {
 	Ask
-	// Run is the name that the send will have.
+	// Run is the ID that the run gets if the request is sent.
 	Run RunID
-	// Target and Patience are those of Timing. Without a target the request is sent as
-	// soon as an endpoint takes it.
+	// Target and Patience are as in Timing. Without a target the request is sent as soon as
+	// an endpoint can take it.
 	Target, Patience time.Duration
-	// Elapsed since the request came.
+	// Elapsed is the time since the request arrived.
 	Elapsed time.Duration
-	// Charge is what the send counts against a quota.
+	// Charge is what the run costs against a quota.
 	Charge quota.Charge
 }
 
-// Decision answers a Query.
+// Decision is the result of a Query.
 type Decision struct {
 	Admission Admission
-	// Found says that an endpoint takes the request; Placement is only set then.
+	// Found reports whether an endpoint can take the request. If it is false, Placement is
+	// not set, except that its PassedOver is set for AtLimit.
 	Found     bool
 	Placement Placement
-	// Quota says why the request is OverQuota.
+	// Quota is the quota's decision if the request is OverQuota.
 	Quota quota.Decision
-	// FreeIn is when an endpoint takes a request that is AtLimit, after those refused
-	// before it; 0 for one that is sent again.
+	// FreeIn is the time until an endpoint can take a request that is AtLimit, counting the
+	// requests refused before it; 0 for a retry.
 	FreeIn time.Duration
 }
 
-// Decide chooses an endpoint and decides whether the request is sent now. One that is
-// counts at the endpoint from then on, so that the next decision sees it.
+// Decide chooses an endpoint and decides whether the request is sent now. A request that is
+// sent is counted at the endpoint at once, so that the next decision takes it into account.
 func (s *State) Decide(now time.Time, q Query) Decision {
 	p, ok := s.Choose(now, q.Ask)
 	if !ok && p.PassedOver != "" {
@@ -57,8 +58,8 @@
 	return v
 }
 
-// refuseAtLimit decides on a request for which every endpoint has got what it takes. One that
-// has begun elsewhere waits for its turn and is not told one.
+// refuseAtLimit decides on a request for which every endpoint has used up its rate limit. A
+// retry is not refused but waits for its turn, so it gets no FreeIn.
 func (s *State) refuseAtLimit(now time.Time, q Query, p Placement) Decision {
 	if q.Again {
 		return Decision{Admission: AtLimit, Placement: p}
@@ -70,7 +71,7 @@
 	return Decision{Admission: AtLimit, Placement: p, FreeIn: freeIn}
 }
 
-// StartOf describes the send of a request to where it was placed.
+// StartOf returns the Start of a request sent to its placement.
 func StartOf(q Query, p Placement) Start {
 	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Again: q.Again}
 	if q.Model == "" {
@@ -83,8 +84,8 @@
 	return st
 }
 
-// Resolve completes a placement that another instance has made with what is known of the
-// endpoint here. ok is false where it is known to leave, or to be gone.
+// Resolve completes a placement made by another instance with what is known here of the
+// endpoint. ok is false if the endpoint is draining or not listed.
 func (s *State) Resolve(a Ask, p Placement) (Placement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/balance/limited.go
+++ b/balance/limited.go
@@ -6,38 +6,40 @@
 	"time"
 )
 
-// Limiter says which endpoints take no more requests for now, by the rates that they name.
+// Limiter decides which endpoints take no more requests for now, by the rate limits that
+// they advertise.
 type Limiter interface {
-	// Limited reports whether an endpoint names a rate.
+	// Limited reports whether an endpoint has a rate limit.
 	Limited(endpoint string) bool
-	// Free reports whether an endpoint that names one takes another request now. reserve is
-	// the part of what it takes at once that has to be left afterwards, from 0 to 1.
+	// Free reports whether an endpoint with a rate limit takes another request now. reserve
+	// is the fraction of its burst, from 0 to 1, that must be left afterwards.
 	Free(now time.Time, endpoint string, reserve float64) bool
-	// FreeIn returns how long it is until it takes one that is refused now. ok is false while
-	// this instance has just started and does not know yet what others have sent.
+	// FreeIn returns the time until the endpoint takes a request that is refused now. ok is
+	// false while this instance has just started and does not yet know what other instances
+	// have sent.
 	FreeIn(now time.Time, endpoint string) (d time.Duration, ok bool)
 }
 
-// unlimited is the Limiter of endpoints that name no rates.
+// unlimited is the Limiter of endpoints without rate limits.
 type unlimited struct{}
 
 func (unlimited) Limited(string) bool                            { return false }
 func (unlimited) Free(time.Time, string, float64) bool           { return true }
 func (unlimited) FreeIn(time.Time, string) (time.Duration, bool) { return 0, true }
 
-// lowestRank is that of the least urgent requests.
+// lowestRank is the rank of the least urgent requests.
 const lowestRank = 9
 
-// considerLimited chooses an endpoint that names a rate where one is better than the others
-// and takes the request. smaller is the share of the service's requests that are smaller than
-// this one.
+// considerLimited chooses the cheapest endpoint with a rate limit that is cheaper than all
+// endpoints without one and takes the request. smaller is the fraction of the service's
+// recent requests that are smaller than this one.
 //
-// Load: some endpoints of a busy pool name a rate, in requests, far below what they got.
-// Harm prevented: spent on the requests that happen to come, the rate relieves the others of
-// little; spent on the largest, of most of the work. And requests that wait for an endpoint
-// which caches their prompt while others idle.
+// A limit is a number of requests, and in a busy pool it is far below what the endpoint
+// would get. Spent on requests in order of arrival, it relieves the other endpoints of
+// little work; spent on the largest requests, of most of it. Requests also must not wait for
+// a limited endpoint that has their prompt cached while others idle.
 //
-// Where no other endpoint takes the request, the urgent ones come first.
+// If there is no endpoint without a limit, urgent requests are preferred.
 func (c *chooser) considerLimited(smaller float64) {
 	slices.SortFunc(c.limited, func(a, b candidate) int { return cmp.Compare(a.cost, b.cost) })
 	reserve := c.reserve(smaller)
@@ -55,8 +57,8 @@
 	}
 }
 
-// reserve is the part of what an endpoint takes at once that has to be left for requests
-// that are worth more of its rate. One that has begun elsewhere leaves none.
+// reserve returns the fraction of an endpoint's burst that must be left for requests that
+// make better use of its limit. A retry need not leave any.
 func (c *chooser) reserve(smaller float64) float64 {
 	switch {
 	case c.ask.Again:
@@ -67,23 +69,24 @@
 	return float64(min(max(c.ask.Rank, 0), lowestRank)) / lowestRank
 }
 
-// sizesKept is how many requests of a service are compared with.
-const sizesKept = 64
+// sizeSamples is the number of recent requests of a service with which a request's size is
+// compared.
+const sizeSamples = 64
 
-// sizes are those of the requests that were sent to a service lately, in tokens.
+// sizes is a ring buffer of the sizes, in tokens, of the latest requests sent to a service.
 type sizes struct {
-	ring [sizesKept]int64
+	ring [sizeSamples]int64
 	next int
 	full bool
 }
 
 func (z *sizes) add(size int64) {
 	z.ring[z.next] = size
-	z.next = (z.next + 1) % sizesKept
+	z.next = (z.next + 1) % sizeSamples
 	z.full = z.full || z.next == 0
 }
 
-// smaller is the share of the sizes that are below one; equal ones count half.
+// smaller returns the fraction of the sizes that are below size; equal ones count half.
 func (z *sizes) smaller(size int64) float64 {
 	list := z.ring[:z.next]
 	if z.full {
@@ -104,7 +107,7 @@
 	return n / float64(len(list))
 }
 
-// sizesOf returns the sizes of a service's requests; the mutex is held.
+// sizesOf returns the sizes of a service's requests. The caller must hold s.mu.
 func (s *State) sizesOf(service string) *sizes {
 	z := s.sizes[service]
 	if z == nil {
--- a/balance/rates.go
+++ b/balance/rates.go
@@ -3,22 +3,23 @@
 import "time"
 
 const (
-	// firstRate is the guess of how fast an endpoint reads, in tokens a ms, until
-	// it was measured.
-	firstRate = 40.0
-	// fixedTime is the part of the time to a first token that does not depend on
-	// the prompt: two ways over the network, and a step of the engine.
+	// initialRate is the assumed rate at which an endpoint reads prompts, in tokens per ms,
+	// until it has been measured.
+	initialRate = 40.0
+	// fixedTime is the part of the time to first token that does not depend on the prompt: a
+	// network round trip and one step of the engine.
 	fixedTime = 30 * time.Millisecond
-	// measuredTokens is the least prompt whose time tells the rate. Before
-	// enoughMeasured an endpoint counts as its pool; rateWeight is the weight of the
-	// newest measurement: single ones differ by half, with what else runs there.
+	// measuredTokens is the shortest prompt whose time gives a usable rate. An endpoint with
+	// fewer than enoughMeasured measurements uses its pool's rate. rateWeight is the
+	// smoothing factor of the newest measurement: single ones differ by half, depending on
+	// what else runs there.
 	measuredTokens = 2000
 	enoughMeasured = 10
 	rateWeight     = 0.03
 )
 
-// measure learns how fast the endpoint reads prompts. Runs behind much other work
-// are left out: the endpoint may have taken them before it.
+// measure updates the rate at which the endpoint reads prompts. Runs behind much other work
+// are left out, because the endpoint may have run them first.
 func (s *State) measure(e *endpoint, r *run, took time.Duration) {
 	if r.Uncached < measuredTokens || r.ahead > r.Uncached || took <= fixedTime {
 		return
@@ -33,7 +34,7 @@
 	if r, ok := s.rates[service]; ok {
 		return r
 	}
-	return firstRate
+	return initialRate
 }
 
 func (s *State) rateOf(e *endpoint) float64 {
--- a/balance/runs.go
+++ b/balance/runs.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Started notes a run of any instance.
+// Started records a run that any instance has started.
 func (s *State) Started(now time.Time, st Start) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -14,7 +14,7 @@
 	s.runs[st.Run] = r
 	e.running++
 	e.reading.add(st.Rank, st.Uncached)
-	e.take(r)
+	e.allocate(r)
 	s.sizesOf(e.Service).add(st.size())
 	if st.Model == "" {
 		return
@@ -24,11 +24,11 @@
 		return
 	}
 	for i, k := range st.Keys {
-		cache.use(k, st.Tokens[i])
+		cache.touch(k, st.Tokens[i])
 	}
 }
 
-// Moved notes that a run has reached a stage.
+// Moved records that a run has reached a stage.
 func (s *State) Moved(now time.Time, id RunID, stage Stage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,45 +37,45 @@
 		return
 	}
 	if stage == Answering {
-		s.answering(now, r.on, r)
+		s.promptRead(now, r.on, r)
 		return
 	}
 	delete(s.runs, id)
 	s.end(now, r.on, r, stage)
-	s.wake()
+	s.notify()
 }
 
-// answering says that the prompt was read.
-func (s *State) answering(now time.Time, e *endpoint, r *run) {
+// promptRead records that the prompt of a run has been read.
+func (s *State) promptRead(now time.Time, e *endpoint, r *run) {
 	if r.answered {
 		return
 	}
 	s.measure(e, r, now.Sub(r.at))
 	r.answered = true
 	e.reading.add(r.Rank, -r.Uncached)
-	s.read(e, r)
-	s.wake()
+	s.recordRead(e, r)
+	s.notify()
 }
 
-// read notes that the parts of a run are in the endpoint's memory, and in the
-// store that it sends them to.
-func (s *State) read(e *endpoint, r *run) {
+// recordRead records that the parts of a run are in the endpoint's memory, and in the cache
+// store to which it saves them.
+func (s *State) recordRead(e *endpoint, r *run) {
 	if c := e.caches[r.Model]; c != nil && c.version == r.Version {
 		c.parts.markRead(r.Keys)
 	}
-	k := s.kept[r.SaveTo]
+	k := s.stores[r.SaveTo]
 	if k == nil {
 		return
 	}
 	for i, key := range r.Keys {
-		k.parts.use(key, r.Tokens[i])
+		k.parts.touch(key, r.Tokens[i])
 	}
 	k.parts.markRead(r.Keys)
 }
 
 func (s *State) end(now time.Time, e *endpoint, r *run, stage Stage) {
 	e.running--
-	e.give(r)
+	e.release(r)
 	if !r.answered {
 		e.reading.add(r.Rank, -r.Uncached)
 	}
@@ -83,60 +83,63 @@
 	switch stage {
 	case Done:
 		if !r.answered {
-			s.read(e, r)
+			s.recordRead(e, r)
 		}
 		if r.Model == "" {
 			e.latencyMs += latencyWeight * (float64(now.Sub(r.at).Milliseconds()) - e.latencyMs)
 		}
 	case Rejected:
-		e.avoid(now.Add(rejectedFor))
+		e.avoid(now.Add(avoidAfterRejection))
 	case Errored:
-		// One request's error says little of the next one's, so the endpoint
-		// stays among the choices; its share of failures weighs against it.
+		// One request's error predicts little about the next request, so the endpoint is not
+		// suspected; its failure rate adds to its cost.
 		failed = 1
 	case Failed:
 		failed = 1
-		e.doubt(now.Add(brokenFor))
+		e.suspect(now.Add(suspectAfterFailure))
 	case Unreachable:
 		failed = 1
-		e.doubt(now.Add(unreachableFor))
+		e.suspect(now.Add(suspectAfterUnreachable))
 	}
 	if stage != Done && r.Model != "" && !r.answered {
 		if c := e.caches[r.Model]; c != nil {
-			c.parts.forget(r.Keys)
+			c.parts.removeUnread(r.Keys)
 		}
 	}
-	if stage != Rejected && stage != Misdirected && stage != Abandoned && !r.errsAnywhere(stage) {
+	if stage != Rejected && stage != Misdirected && stage != Abandoned && !r.notEndpointFault(stage) {
 		e.failures += failureWeight * (failed - e.failures)
-		e.judgedAt = now
+		e.failuresAt = now
 		if r.Model == "" {
 			s.failures[e.Service] += serviceFailureWeight * (failed - s.failures[e.Service])
 		}
 	}
 }
 
-// errsAnywhere reports whether a run's error says nothing of its endpoint.
+// notEndpointFault reports whether an error is to be attributed to the request and not to
+// the endpoint, which is so for an error of a retry.
 //
-// Load: look-ups of which one in five fails, wherever it runs. Harm prevented: the
-// endpoints that second tries are sent to look faulty, and one of them gets all first
-// tries while the others idle.
-func (r *run) errsAnywhere(stage Stage) bool { return stage == Errored && r.Again }
+// Of some requests one in five fails on any endpoint. If the errors of retries counted, the
+// endpoints that get the retries would look faulty, and one of them would get all first
+// attempts while the others idle.
+func (r *run) notEndpointFault(stage Stage) bool { return stage == Errored && r.Again }
 
 const (
-	// failureWeight is the weight of the newest run in the share of failures:
-	// ten runs in a row tell a faulty endpoint from one with a single fault.
+	// failureWeight is the smoothing factor of an endpoint's failure rate: about ten runs
+	// distinguish a faulty endpoint from one with a single failure.
 	failureWeight = 0.1
-	// serviceFailureWeight is the same for all runs of a service.
+	// serviceFailureWeight is the smoothing factor of a service's failure rate, over all its
+	// runs.
 	serviceFailureWeight = 0.02
-	// latencyWeight is the same of the latency of plain calls.
+	// latencyWeight is the smoothing factor of the latency of plain calls.
 	latencyWeight = 0.2
 )
 
-// Sweep drops what nobody told the end of.
+// Sweep removes runs whose end was never reported, and endpoints that have been missing from
+// the list for too long.
 //
-// Load: datagrams are lost, or an instance is killed in the middle of its requests.
-// Harm prevented: prompt work that is counted for ever makes an endpoint look
-// behind, and in the end all requests are refused though the endpoints idle.
+// Reports get lost when datagrams are dropped or an instance is killed in the middle of its
+// requests. Prompt work that is never removed would make an endpoint look overloaded, and in
+// the end all requests would be refused although the endpoints idle.
 func (s *State) Sweep(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/balance/state.go
+++ b/balance/state.go
@@ -9,83 +9,90 @@
 )
 
 const (
-	// forgetRunsAfter drops runs whose end nobody told, such as those of an
-	// instance that was killed.
+	// forgetRunsAfter is the age at which runs are removed whose end was not reported, such
+	// as those of an instance that was killed.
 	forgetRunsAfter = 30 * time.Second
-	// forgetReadingAfter is how long a prompt counts as being read. Callers give up
-	// after some 3 s without a first token.
+	// forgetReadingAfter is how long a prompt counts as being read. Callers give up after
+	// about 3 s without a first token.
 	forgetReadingAfter = 4 * time.Second
-	// forgetDepartedAfter is how long an endpoint that is not listed is remembered:
-	// longer than any run there.
+	// forgetDepartedAfter is how long the state of an endpoint that is no longer listed is
+	// kept: longer than any run there.
 	forgetDepartedAfter = 60 * time.Second
-	// defaultCache is the memory assumed of an endpoint whose pool states none.
+	// defaultCache is the assumed cache memory, in tokens, of an endpoint whose pool
+	// configures none.
 	defaultCache = 200_000
 )
 
-// State is what is known of all endpoints. Any goroutine may use it; no method
-// blocks on anything but its mutex.
+// State is what this instance knows of all endpoints. It is safe for concurrent use; no
+// method blocks except on the mutex.
 type State struct {
 	mu        sync.Mutex
 	limits    Limiter
 	pools     map[string]Pool
 	endpoints map[string]*endpoint
-	// departed are endpoints that are not listed any more, in case they return.
+	// departed are the endpoints that are no longer listed, kept in case they return.
 	departed  map[string]*endpoint
 	byService map[string][]*endpoint
 	runs      map[RunID]*run
-	wanted    map[string][]wanted
-	// rates at which the endpoints of a pool read prompts, in tokens a ms.
+	desired   map[string][]desired
+	// rates are the average rates at which the endpoints of a service read prompts, in
+	// tokens per ms.
 	rates map[string]float64
-	// failures is the share of late runs that failed, by plain service.
+	// failures are the smoothed failure rates of plain services.
 	failures map[string]float64
-	// sizes of the requests sent lately, by service.
+	// sizes of the latest requests, by service.
 	sizes map[string]*sizes
-	// kept are the stores of cached parts by address.
-	kept map[string]*keptStore
-	// staleBound is how long after a version was named older ones still serve.
+	// stores are the cache stores by address.
+	stores map[string]*cacheStore
+	// staleBound is how long older versions may be served after a new one was named.
 	staleBound time.Duration
-	// unlisted says that this instance does not know which endpoints there are; others place
+	// unlisted reports whether this instance has no list of endpoints; other instances place
 	// its requests.
 	unlisted bool
-	// changed is closed and replaced when work may be placed that could not be.
+	// changed is closed and replaced when a request that could not be placed may be placed
+	// now.
 	changed chan struct{}
 	waiters int
 }
 
-// endpoint is what is known of one incarnation.
+// endpoint is the state of one incarnation.
 type endpoint struct {
 	Endpoint
-	// assumed are versions that were guessed, by model; see Mismatch.
+	// assumed are guessed versions of the weights, by model; see Mismatch.
 	assumed map[string]int64
 	caches  map[string]*modelCache
 	// capacity of the cache in tokens.
 	capacity int64
-	// told says that the endpoint's own word on its cache has come.
-	told    bool
-	running int
-	// reading is the prompt work in tokens of the runs that have not answered.
+	// cacheReported reports whether the endpoint has reported its complete cache.
+	cacheReported bool
+	running       int
+	// reading is the prompt work, in tokens, of the runs without a first token.
 	reading backlog
-	// memory in tokens of the running requests; a part that several of them share
-	// counts once.
+	// memory is the memory of the running requests in tokens. A part that several of them
+	// share counts once; users is the number of runs that use a part.
 	memory int64
 	users  map[prefix.PartKey]int
-	// avoidUntil leaves the endpoint out of choices; until doubtUntil it is chosen
-	// only where there is no other.
-	avoidUntil time.Time
-	doubtUntil time.Time
-	// loadingUntil is when new weights that were ordered should be in place.
+	// The endpoint is not chosen before avoidUntil, and before suspectUntil only if there is
+	// no other.
+	avoidUntil   time.Time
+	suspectUntil time.Time
+	// loadingUntil is when the new weights that the endpoint was ordered to load should be
+	// in place.
 	loadingUntil time.Time
-	// soonUntil is until when the endpoint counts as next to load.
-	soonUntil time.Time
-	// departedAt is when a sweep first found the endpoint missing.
+	// loadingSoonUntil is until when the endpoint counts as one of the next to load new
+	// weights.
+	loadingSoonUntil time.Time
+	// departedAt is the time of the first sweep that found the endpoint missing from the
+	// list.
 	departedAt time.Time
-	// failures is the share of late runs that failed, with the newest counting most.
+	// failures is the smoothed failure rate of recent runs.
 	failures float64
-	// judgedAt is when a run counted among them last.
-	judgedAt time.Time
-	// latencyMs is the usual latency of plain calls.
+	// failuresAt is when failures was last updated.
+	failuresAt time.Time
+	// latencyMs is the smoothed latency of plain calls.
 	latencyMs float64
-	// rate at which it reads prompts, in tokens a ms, as measured so often.
+	// rate is the measured rate at which the endpoint reads prompts, in tokens per ms, and
+	// measured the number of measurements.
 	rate     float64
 	measured int
 }
@@ -97,29 +104,30 @@
 
 type run struct {
 	Start
-	// on is the endpoint, also when it is not listed any more: its counts would
-	// drift if the end of a run were taken off another object than its start.
+	// on is the endpoint, even when it is no longer listed: its counters would drift if the
+	// end of a run were subtracted from another object than its start was added to.
 	on       *endpoint
 	at       time.Time
 	answered bool
-	// ahead is the prompt work that the endpoint had before this run's.
+	// ahead is the prompt work that was queued at the endpoint before this run's.
 	ahead int64
 }
 
-// wanted is the version of a model's weights that operators have named.
-type wanted struct {
+// desired is a version of a model's weights that operators have named, and when this
+// instance first saw it.
+type desired struct {
 	version int64
 	since   time.Time
 }
 
-// NewState returns a state without endpoints. Endpoints with older weights serve
-// for staleBound after newer ones were named.
+// NewState returns a state without endpoints. Endpoints with older weights may serve for
+// staleBound after a newer version was named.
 func NewState(staleBound time.Duration) *State {
 	return &State{
 		limits:     unlimited{},
 		staleBound: staleBound,
-		wanted:     map[string][]wanted{},
-		kept:       map[string]*keptStore{},
+		desired:    map[string][]desired{},
+		stores:     map[string]*cacheStore{},
 		rates:      map[string]float64{},
 		failures:   map[string]float64{},
 		sizes:      map[string]*sizes{},
@@ -132,15 +140,15 @@
 	}
 }
 
-// SetListed says whether all endpoints are known here. Where they are not, placements of
-// others are taken as they are.
+// SetListed sets whether this instance has the list of endpoints. Without it, Resolve
+// accepts placements of other instances at unknown endpoints.
 func (s *State) SetListed(listed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.unlisted = !listed
 }
 
-// SetLimiter replaces who says which endpoints take no more requests.
+// SetLimiter replaces the limiter of the endpoints' rates.
 func (s *State) SetLimiter(l Limiter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,14 +161,14 @@
 	return s.limits
 }
 
-// SetStaleBound replaces what NewState was given.
+// SetStaleBound replaces the bound given to NewState.
 func (s *State) SetStaleBound(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.staleBound = d
 }
 
-// SetPools replaces what the records say of the services.
+// SetPools replaces the configuration of the services.
 func (s *State) SetPools(pools map[string]Pool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,9 +189,9 @@
 	}
 }
 
-// PutEndpoint notes what the list says of an endpoint. What is known of it is kept,
-// also where it was missing for a moment, such as when its heartbeats were lost; an
-// endpoint under a new ID has an empty cache.
+// PutEndpoint adds or updates an endpoint of the list. The state of a known endpoint is
+// kept, even if it was missing for a moment, for example because its heartbeats were lost.
+// An endpoint with a new ID starts with an empty cache.
 func (s *State) PutEndpoint(e Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,10 +216,10 @@
 		s.endpoints[e.ID] = known
 		s.byService[e.Service] = append(s.byService[e.Service], known)
 	}
-	s.wake()
+	s.notify()
 }
 
-// RemoveEndpoint notes that the list does not name an endpoint any more.
+// RemoveEndpoint removes an endpoint that is no longer listed.
 func (s *State) RemoveEndpoint(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,11 +230,11 @@
 	delete(s.endpoints, id)
 	s.departed[id] = e
 	s.byService[e.Service] = slices.DeleteFunc(s.byService[e.Service], func(x *endpoint) bool { return x == e })
-	s.wake()
+	s.notify()
 }
 
-// newest merges what two sources say of the weights; versions only rise within
-// one incarnation.
+// newest merges the versions from two sources; a version never decreases within one
+// incarnation.
 func newest(a, b map[string]int64) map[string]int64 {
 	merged := make(map[string]int64, len(b))
 	for model, v := range b {
@@ -245,8 +253,7 @@
 	return defaultCache
 }
 
-// Changed returns a channel that is closed when a choice may come out
-// differently than before.
+// Changed returns a channel that is closed when the result of Choose may have changed.
 func (s *State) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -254,8 +261,8 @@
 	return s.changed
 }
 
-// wake tells those who wait; the mutex is held.
-func (s *State) wake() {
+// notify closes the channel of Changed. The caller must hold s.mu.
+func (s *State) notify() {
 	if s.waiters == 0 {
 		return
 	}
@@ -264,8 +271,8 @@
 	s.waiters = 0
 }
 
-// cacheOf returns the cache of a model's version, an empty one for a newer
-// version, and nil for an older one than the endpoint holds.
+// cacheOf returns the cache for a model's version: an empty one if the version is newer than
+// that of the existing cache, and nil if it is older.
 func (e *endpoint) cacheOf(model string, version int64) *partCache {
 	c := e.caches[model]
 	switch {
@@ -278,18 +285,17 @@
 	return c.parts
 }
 
-// outputRoom is how much memory an answer of so many tokens takes on average while it
-// is made.
+// outputMemory returns the average memory that an output of this many tokens takes while it
+// is generated.
 //
-// Load: a pool that is bound by memory in a burst. Harm prevented: with the whole
-// answer counted from the first token on, requests wait for room that is free, and are
-// refused for it. With much less than half, running requests are driven out in the
-// middle of their answers.
-func outputRoom(tokens int64) int64 { return tokens / 2 }
-
-// take counts the memory of a run.
-func (e *endpoint) take(r *run) {
-	e.memory += outputRoom(r.Output)
+// It is half of the output. In a burst on a pool that is limited by memory, counting all of
+// it from the first token on makes requests wait, and be refused, for memory that is free.
+// With much less than half, running requests are preempted in the middle of their output.
+func outputMemory(tokens int64) int64 { return tokens / 2 }
+
+// allocate adds the memory of a run.
+func (e *endpoint) allocate(r *run) {
+	e.memory += outputMemory(r.Output)
 	for i, k := range r.Keys {
 		if e.users[k]++; e.users[k] == 1 {
 			e.memory += r.Tokens[i]
@@ -297,9 +303,9 @@
 	}
 }
 
-// give counts the memory that is free once a run has ended.
-func (e *endpoint) give(r *run) {
-	e.memory -= outputRoom(r.Output)
+// release subtracts the memory of a run that has ended.
+func (e *endpoint) release(r *run) {
+	e.memory -= outputMemory(r.Output)
 	for i, k := range r.Keys {
 		if e.users[k]--; e.users[k] == 0 {
 			e.memory -= r.Tokens[i]
@@ -308,7 +314,7 @@
 	}
 }
 
-// shared returns how many tokens of a prompt's parts running requests hold already.
+// shared returns how many tokens of a prompt's parts are in use by running requests.
 func (e *endpoint) shared(keys []prefix.PartKey, parts []prefix.Part) int64 {
 	var n int64
 	for i, k := range keys {
@@ -325,24 +331,24 @@
 	}
 }
 
-func (e *endpoint) doubt(until time.Time) {
-	if until.After(e.doubtUntil) {
-		e.doubtUntil = until
+func (e *endpoint) suspect(until time.Time) {
+	if until.After(e.suspectUntil) {
+		e.suspectUntil = until
 	}
 }
 
-// Doubt has an endpoint chosen only where there is no other for a while, as
-// another instance tells that it broke a connection or could not be reached.
+// Doubt marks an endpoint as suspected, so that until then it is chosen only if there is no
+// other. It is called when another instance reports that the endpoint broke a connection or
+// was unreachable.
 func (s *State) Doubt(id string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e, ok := s.endpoints[id]; ok {
-		e.doubt(until)
+		e.suspect(until)
 	}
 }
 
-// Loading says that an endpoint takes new weights and turns requests away until
-// then.
+// Loading marks an endpoint as loading new weights; it rejects requests until then.
 func (s *State) Loading(id string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -351,17 +357,17 @@
 	}
 }
 
-// Soon says that an endpoint is among the next to take new weights, until then.
+// Soon marks an endpoint as one of the next to load new weights, until then.
 func (s *State) Soon(id string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e, ok := s.endpoints[id]; ok {
-		e.soonUntil = until
+		e.loadingSoonUntil = until
 	}
 }
 
-// Gone says that an incarnation has ended or takes no new work, before the
-// platform's list tells.
+// Gone marks an endpoint as draining when its incarnation is known to have ended, or to
+// accept no more requests, before the platform's list shows it.
 func (s *State) Gone(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -370,7 +376,7 @@
 	}
 }
 
-// Exists reports whether an endpoint is listed, or was until a moment ago.
+// Exists reports whether an endpoint is listed, or was until recently.
 func (s *State) Exists(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -383,14 +389,14 @@
 	Running int   `json:"running"`
 	Reading int64 `json:"reading_tokens"`
 	Memory  int64 `json:"memory_tokens"`
-	// Avoided endpoints get no work now, doubted ones only if there is no other.
+	// Avoided endpoints are not chosen at present, suspected ones only if there is no other.
 	Avoided bool    `json:"avoided"`
 	Doubted bool    `json:"doubted"`
 	Fails   float64 `json:"failure_share"`
 }
 
-// Endpoints returns what is known of each endpoint of a service, or of all
-// services for an empty name.
+// Endpoints returns the state of each endpoint of a service, or of all services if the name
+// is empty.
 func (s *State) Endpoints(service string, now time.Time) []View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -399,7 +405,7 @@
 		if service != "" && e.Service != service {
 			continue
 		}
-		list = append(list, View{e.Endpoint, e.running, e.reading.total(), e.memory, now.Before(e.avoidUntil), now.Before(e.doubtUntil), e.failures})
+		list = append(list, View{e.Endpoint, e.running, e.reading.total(), e.memory, now.Before(e.avoidUntil), now.Before(e.suspectUntil), e.failures})
 	}
 	return list
 }
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// Want says which version of a model's weights operators have named, as seen now.
+// Want records a version of a model's weights that operators have named, first seen now.
 func (s *State) Want(now time.Time, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	list := s.wanted[model]
+	list := s.desired[model]
 	if n := len(list); n > 0 && version <= list[n-1].version {
 		return
 	}
-	if len(list) == maxNamed {
+	if len(list) == maxTargets {
 		list = list[1:]
 	}
-	s.wanted[model] = append(list, wanted{version, now})
+	s.desired[model] = append(list, desired{version, now})
 }
 
-// maxNamed bounds the versions of one model that are remembered; the oldest go
-// first, when an endpoint that old has long been out of choices.
-const maxNamed = 64
+// maxTargets is the number of versions that are kept for a model. The oldest are dropped
+// first: an endpoint with such old weights has long been excluded from the choice.
+const maxTargets = 64
 
-// behindFor is how long ago the first version was named that is newer than the
-// one given; 0 where there is none. Versions may be named faster than they are
-// rolled out; each one's bound counts from its own naming.
-func behindFor(named []wanted, version int64, now time.Time) time.Duration {
-	for _, w := range named {
+// behindFor returns the time since the first version newer than the given one was named; 0
+// if there is none. Versions may be named faster than they are rolled out; the bound of each
+// starts when it was named.
+func behindFor(targets []desired, version int64, now time.Time) time.Duration {
+	for _, w := range targets {
 		if w.version > version {
 			return now.Sub(w.since)
 		}
@@ -32,8 +32,8 @@
 	return 0
 }
 
-// Holds says which version of a model's weights an endpoint has, by its own
-// word. What it had cached under an older one is gone.
+// Holds records the version of a model's weights that an endpoint has reported. Parts that
+// it had cached under an older version are no longer usable.
 func (s *State) Holds(id, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -44,60 +44,61 @@
 	e.Versions = newest(e.Versions, map[string]int64{model: version})
 	delete(e.assumed, model)
 	e.loadingUntil = time.Time{}
-	e.avoidUntil, e.doubtUntil = time.Time{}, time.Time{}
-	s.wake()
+	e.avoidUntil, e.suspectUntil = time.Time{}, time.Time{}
+	s.notify()
 }
 
-// Mismatch says that an endpoint does not hold the version that a request
-// expected, and returns the one to expect from now on: what it told that it holds, or,
-// where told is 0, a guess. The guess is the newest that operators have named, which it may have taken
-// while nobody could tell; or, if that was expected, the one named before, since its
-// load has not ended yet or it has started anew.
+// Mismatch records that an endpoint does not have the version that a request expected, and
+// returns the version to expect from now on. That is the one that the endpoint reported or,
+// if reported is 0, a guess: the newest version that operators have named, which the
+// endpoint may have loaded without this instance receiving a report of it. If the newest one
+// was expected, the guess is the one named before, since the endpoint is still loading or
+// has restarted.
 //
-// It is a guess of this instance alone. Told to others, or kept as what the endpoint
-// holds, a guess that is too high would end the endpoint's rollout: its holder would
-// never give the order.
-func (s *State) Mismatch(id, model string, expected, told int64) int64 {
+// The guess is used by this instance only. If it were reported to other instances, or stored
+// as the endpoint's version, a guess that is too high would end the endpoint's rollout: the
+// instance that runs the rollout would never send the order to load.
+func (s *State) Mismatch(id, model string, expected, reported int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.endpoints[id]
-	named := s.wanted[model]
-	if !ok || len(named) == 0 {
+	targets := s.desired[model]
+	if !ok || len(targets) == 0 {
 		return expected
 	}
 	if v := e.version(model); v != expected {
-		// Somebody has found out meanwhile.
+		// Another request has corrected the version in the meantime.
 		return v
 	}
-	if told > 0 {
-		e.assumed[model] = told
-		return told
+	if reported > 0 {
+		e.assumed[model] = reported
+		return reported
 	}
-	newest := named[len(named)-1].version
+	newest := targets[len(targets)-1].version
 	assumed := newest
 	if expected >= newest {
 		assumed = newest - 1
-		if len(named) > 1 {
-			assumed = named[len(named)-2].version
+		if len(targets) > 1 {
+			assumed = targets[len(targets)-2].version
 		}
 	}
 	e.assumed[model] = assumed
 	return assumed
 }
 
-// Misdirected says that a run of any instance met an endpoint that holds another version
-// than was expected, by the endpoint's own word. Without it, a scheduler would go on
-// placing requests there that are all turned away.
-func (s *State) Misdirected(id RunID, told int64) {
+// Misdirected records that a run of any instance met an endpoint that reported another
+// version than was expected. Without it, a scheduler would go on placing requests there that
+// are all rejected.
+func (s *State) Misdirected(id RunID, reported int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.runs[id]
-	if ok && told > 0 && r.on.version(r.Model) == r.Version {
-		r.on.assumed[r.Model] = told
+	if ok && reported > 0 && r.on.version(r.Model) == r.Version {
+		r.on.assumed[r.Model] = reported
 	}
 }
 
-// version is what requests expect of an endpoint's weights.
+// version returns the version of the weights that requests should expect at the endpoint.
 func (e *endpoint) version(model string) int64 {
 	if v, ok := e.assumed[model]; ok {
 		return v
