--- a/balance/backlog_test.go
+++ b/balance/backlog_test.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// Long prompts of a batch fill the pool while somebody asks a short urgent question.
-// Endpoints take the urgent one first; refused for the long ones' sake, the caller is
-// told to come back although it would have been on time.
-func TestUrgentRequestDoesNotCountLessUrgentWork(t *testing.T) {
+// Guards against a short urgent request being refused because of the long prompts of a
+// batch. The endpoint would run it first, so it would have been on time.
+func TestUrgentRequestIgnoresLessUrgentBacklog(t *testing.T) {
 	s := newPool(1, 1)
 	for i := range 6 {
 		long := prompt(i, i)
@@ -25,15 +24,16 @@
 		return Admit(Timing{Target: 500 * time.Millisecond, Patience: 2 * time.Second, Backlog: p.Backlog, First: p.First})
 	}
 	if got := decide(1); got != Send {
-		t.Errorf("decision %v for an urgent request behind long ones", got)
+		t.Errorf("decision %v for an urgent request behind long ones, want Send", got)
 	}
 	if got := decide(4); got != Refuse {
-		t.Errorf("decision %v for one of their own rank, 36,000 tokens behind", got)
+		t.Errorf("decision %v for a request behind 36,000 tokens of its own rank, want Refuse", got)
 	}
 }
 
-// Whatever begins and ends, in any order, an endpoint without work has no backlog.
-func TestBacklogEndsWithItsWork(t *testing.T) {
+// Guards against a backlog that remains at an idle endpoint, for any order in which runs
+// start and end.
+func TestIdleEndpointHasNoBacklog(t *testing.T) {
 	s := newPool(1, 1)
 	var runs []RunID
 	for i := range 12 {
@@ -55,26 +55,26 @@
 	}
 }
 
-// Long answers are made in a pool's memory bit by bit. If each counts as whole from
-// its first token on, half of the room stays empty while callers wait for it.
-func TestAnswersCountAsTheyGrow(t *testing.T) {
+// Guards against counting the whole output of a request from its first token on: outputs
+// grow token by token, and half of the memory would stay empty while requests wait for it.
+func TestOutputMemoryCountsHalfTheOutput(t *testing.T) {
 	s := newPool(1, 1)
 	asks := 0
 	for ; asks < 100; asks++ {
-		p, _ := s.Choose(start, longAnswer(asks))
+		p, _ := s.Choose(start, longOutput(asks))
 		if p.Full {
 			break
 		}
-		id, _ := send(t, s, start, longAnswer(asks))
+		id, _ := send(t, s, start, longOutput(asks))
 		s.Moved(start, id, Answering)
 	}
 	if want := 100_000 / (1000 + 4000/2); asks != want {
-		t.Errorf("%d answers fit, want %d", asks, want)
+		t.Errorf("%d outputs fit into memory, want %d", asks, want)
 	}
 }
 
-// longAnswer asks for 4,000 tokens on a prompt of 1,000.
-func longAnswer(own int) Ask {
+// longOutput returns a request for 4,000 output tokens on a prompt of 1,000.
+func longOutput(own int) Ask {
 	a := prompt(0, own)
 	a.Parts = a.Parts[1:]
 	a.PromptTokens, a.OutputTokens = 1000, 4000
--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -7,10 +7,10 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// All routers are killed together and come back a second later. The endpoints
-// still hold every catalogue, but a router that knows nothing of it has them all
-// read again, and callers wait for seconds at the worst moment.
-func TestNewInstanceUsesWhatEndpointsHold(t *testing.T) {
+// Guards against prompts being read again after all instances have restarted at once. The
+// endpoints still have every catalogue cached; an instance that does not use their reports
+// makes callers wait for seconds.
+func TestNewInstanceUsesReportedCaches(t *testing.T) {
 	old, fresh := newPool(3, 1), newPool(3, 1)
 	id, p := send(t, old, start, prompt(1, 1))
 	old.Moved(start, id, Answering)
@@ -22,25 +22,25 @@
 	}
 }
 
-// Requests wait for a moment after a start until endpoints have told what they hold;
-// an endpoint that leaves must not make them wait.
-func TestWarmOnceAllEndpointsHaveTold(t *testing.T) {
+// After a start, requests wait briefly until endpoints have reported their caches. Guards
+// against waiting for the report of an endpoint that is draining.
+func TestWarmOnceAllEndpointsHaveReported(t *testing.T) {
 	s := newPool(2, 1)
 	if s.Warm("pool") {
-		t.Error("warm before any endpoint has told")
+		t.Error("warm before any endpoint has reported its cache")
 	}
 	s.Cached(CacheNews{Holder: "e0", Model: model, Whole: true})
 	if s.Warm("pool") {
-		t.Error("warm with one endpoint missing")
+		t.Error("warm with the report of one endpoint missing")
 	}
 	s.Gone("e1")
 	if !s.Warm("pool") {
-		t.Error("not warm though the only endpoint that stays has told")
+		t.Error("not warm although the only endpoint that is not draining has reported its cache")
 	}
 }
 
-// An endpoint evicts a catalogue that the router still counts on. Requests that
-// are sent there to use it read it again, one after the other.
+// Guards against placing requests by a catalogue that the endpoint has evicted, where each
+// of them reads it again.
 func TestEvictedPartsAreForgotten(t *testing.T) {
 	s := newPool(1, 1)
 	id, p := send(t, s, start, prompt(1, 1))
@@ -51,8 +51,8 @@
 	}
 }
 
-// The store of kept cache restarts empty. Requests that are told to fetch from it
-// read everything all the same, after a vain try.
+// Guards against fetching from a cache store that has restarted empty: the attempt fails and
+// everything is read anyway.
 func TestEmptyStoreIsNotFetchedFrom(t *testing.T) {
 	s := newPool(2, 1)
 	s.SetKept([]KeptStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 1_000_000}})
@@ -63,14 +63,14 @@
 	}
 	s.Cached(CacheNews{Holder: "kept:1", Whole: true})
 	if got, _ := s.Choose(start, prompt(1, 3)); got.FetchFrom != "" {
-		t.Errorf("fetched from %q though the store is empty", got.FetchFrom)
+		t.Errorf("fetched from %q although the store is empty", got.FetchFrom)
 	}
 }
 
-// More catalogues are in use than one of three stores holds. With one store
-// preferred to the others, it forgets what was read a moment ago while they stay
-// empty, and callers wait until engines have read it again.
-func TestCataloguesAreSpreadOverTheStores(t *testing.T) {
+// Guards against preferring one of three cache stores while more catalogues are in use than
+// it can keep. It would evict parts within seconds while the others stay empty, and callers
+// would wait until engines have read them again.
+func TestCataloguesAreSpreadOverCacheStores(t *testing.T) {
 	s := newPool(4, 1)
 	var stores []KeptStore
 	for _, address := range []string{"kept:1", "kept:2", "kept:3"} {
@@ -84,20 +84,19 @@
 		s.Moved(start, run, Done)
 		saved[p.SaveTo]++
 		if again := s.saveTo(&chooser{ask: prompt(i, 1000+i)}, p); again != p.SaveTo {
-			t.Errorf("catalogue %d is kept by %s and by %s", i, p.SaveTo, again)
+			t.Errorf("catalogue %d is kept in %s and in %s", i, p.SaveTo, again)
 		}
 	}
 	for _, k := range stores {
 		if n := saved[k.Address]; n < catalogues/6 {
-			t.Errorf("%s keeps %d of %d catalogues: %v", k.Address, n, catalogues, saved)
+			t.Errorf("%s has %d of %d catalogues: %v", k.Address, n, catalogues, saved)
 		}
 	}
 }
 
-// Short questions with little in common stream past long ones about one catalogue.
-// Kept whole, each pushes its own text into the store, and the catalogue is gone from
-// it within seconds: the next caller waits until an engine has read it again.
-func TestShortPromptsDoNotPushCataloguesOutOfTheStore(t *testing.T) {
+// Guards against short prompts with little shared text evicting a catalogue from the cache
+// store. The next caller would wait until an engine has read the catalogue again.
+func TestShortPromptsDoNotEvictCataloguesFromCacheStore(t *testing.T) {
 	s := newPool(1, 1)
 	s.SetKept([]KeptStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
 	finish := func(a Ask) {
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
-// newPool returns a state with n endpoints of one pool on the version.
+// newPool returns a state with n endpoints of one pool, all with the given version.
 func newPool(n int, version int64) *State {
 	s := NewState(staleBound)
 	s.SetPools(map[string]Pool{"pool": {CacheTokens: 100_000}})
@@ -34,7 +34,7 @@
 	return list
 }
 
-// prompt of a catalogue that callers share, and a part of the request's own.
+// prompt returns a request for a shared catalogue followed by a part of its own.
 func prompt(catalogue, own int) Ask {
 	return Ask{
 		Service: "pool", Model: model, Wall: "all", DataCentre: "dc", OutputTokens: 50, PromptTokens: 6000,
@@ -44,7 +44,7 @@
 
 var nextRun RunID
 
-// send places a request and notes its start.
+// send places a request and records its start.
 func send(t *testing.T, s *State, now time.Time, a Ask) (RunID, Placement) {
 	t.Helper()
 	p, ok := s.Choose(now, a)
@@ -60,10 +60,10 @@
 	return nextRun, p
 }
 
-// An endpoint was dark while new weights were named and comes back with the old
-// ones, long after all others have changed. Sent there at once, callers get
-// answers of a version that operators have replaced.
-func TestReturningEndpointServesNothingOld(t *testing.T) {
+// Guards against requests to an endpoint that was offline while new weights were named and
+// returns with the old ones long after all others have loaded the new ones. Callers would
+// get responses of a replaced version.
+func TestReturningEndpointWithOldWeightsIsNotChosen(t *testing.T) {
 	s := newPool(2, 2)
 	s.Want(start, model, 2)
 	late := start.Add(12 * time.Second)
@@ -75,13 +75,14 @@
 	}
 	s.Holds("back", model, 2)
 	if _, p := send(t, s, late, prompt(50, 50)); p.Endpoint.ID != "back" {
-		t.Errorf("the idle endpoint on the new weights was passed over for %s", p.Endpoint.ID)
+		t.Errorf("the idle endpoint on the new weights was skipped in favour of %s", p.Endpoint.ID)
 	}
 }
 
-// Operators name a version each few seconds, faster than the pool changes over.
-// The bound of the first one is then over while the newest was named just now,
-// and requests must not begin on what came before the first.
+// Guards against measuring staleness only from the newest version when operators name
+// versions faster than the pool loads them. The bound of the first version has passed while
+// the newest was named just now, and requests must not start on the version before the
+// first.
 func TestEachVersionHasItsOwnBound(t *testing.T) {
 	s := newPool(2, 1)
 	s.Want(start, model, 2)
@@ -94,10 +95,10 @@
 	}
 }
 
-// A burst of requests on one hot catalogue arrives. Spread by load alone each
-// endpoint would read the catalogue anew; kept together by cache alone all
-// would queue at one endpoint while the others idle.
-func TestHotCatalogueIsReadOnceAndSpread(t *testing.T) {
+// Guards against both ways to misplace a burst of requests for one catalogue: by load alone,
+// each endpoint reads the catalogue again; by cached parts alone, all requests queue at one
+// endpoint while the others idle.
+func TestRequestsForHotCatalogueAreSpreadWithoutRereading(t *testing.T) {
 	s := newPool(4, 1)
 	first, _ := send(t, s, start, prompt(1, 0))
 	s.Moved(start, first, Answering)
@@ -116,14 +117,13 @@
 	}
 }
 
-// Endpoints turn requests away while they load. A request that was sent there
-// would come back refused.
-func TestLoadingEndpointIsLeftOut(t *testing.T) {
+// Guards against placing requests at an endpoint that is loading weights and rejects them.
+func TestLoadingEndpointIsNotChosen(t *testing.T) {
 	s := newPool(2, 1)
 	s.Loading("e0", start.Add(500*time.Millisecond))
 	for i := range 6 {
 		if _, p := send(t, s, start, prompt(i, i)); p.Endpoint.ID == "e0" {
-			t.Fatal("a request went to the endpoint that loads")
+			t.Fatal("a request went to an endpoint that is loading")
 		}
 	}
 	s.Loading("e1", start.Add(500*time.Millisecond))
@@ -135,8 +135,8 @@
 	}
 }
 
-// Two organisations ask about parts with the same names. What one has cached
-// must not count for the other behind a wall.
+// Guards against counting parts cached for one organisation for another that is behind a
+// wall and uses parts with the same names.
 func TestWallSeparatesCaches(t *testing.T) {
 	s := newPool(1, 1)
 	id, _ := send(t, s, start, prompt(1, 1))
@@ -151,11 +151,11 @@
 	}
 }
 
-// The store loses an endpoint's heartbeats, and its entry goes and comes back while
-// requests run there. If their ends are taken off what counts as another endpoint,
-// the counts drift: it looks idle or behind for ever, and in the end callers are
-// refused by a pool that idles.
-func TestEndpointThatIsMissingForAMomentKeepsItsCounts(t *testing.T) {
+// Guards against wrong counters when an endpoint is removed from the list and returns while
+// requests run there, as after lost heartbeats. If the ends of the runs were subtracted from
+// a new object, the endpoint would look idle or overloaded for ever, and in the end an idle
+// pool would refuse requests.
+func TestEndpointMissingFromListForAMomentKeepsItsCounters(t *testing.T) {
 	s := newPool(2, 1)
 	var runs []RunID
 	for i := range 6 {
@@ -176,9 +176,9 @@
 	}
 }
 
-// The datagram that tells of a run's first token is lost. The work must not count
-// as waiting for ever.
-func TestLostWordOfAFirstTokenIsForgotten(t *testing.T) {
+// Guards against prompt work that counts for ever because the datagram that reports a run's
+// first token was lost.
+func TestRunWithLostReportsIsSwept(t *testing.T) {
 	s := newPool(1, 1)
 	send(t, s, start, prompt(1, 1))
 	s.Sweep(start.Add(5 * time.Second))
@@ -191,28 +191,28 @@
 	}
 }
 
-// The holder of the rollout is cut off right after an endpoint has taken its order.
-// Everybody goes on to expect the old weights there, and the endpoint turns all of
-// that away: a pool in the middle of a rollout refuses its callers.
-func TestEndpointOnUnexpectedWeightsIsUsedAgain(t *testing.T) {
+// Guards against an endpoint that stays unused because it has loaded new weights and the
+// instance that runs the rollout was partitioned before it could report so. If all instances
+// went on expecting the old weights, the endpoint would reject every request.
+func TestEndpointWithUnexpectedWeightsIsUsedAgain(t *testing.T) {
 	s := newPool(1, 1)
 	s.Want(start, model, 2)
 	if got := s.Mismatch("e0", model, 1, 0); got != 2 {
-		t.Fatalf("version %d assumed, want the named one", got)
+		t.Fatalf("version %d assumed, want the newest named", got)
 	}
 	if p, ok := s.Choose(start, prompt(1, 1)); !ok || p.Version != 2 {
-		t.Errorf("placed %v expecting version %d", ok, p.Version)
+		t.Errorf("placed: %v, expecting version %d, want 2", ok, p.Version)
 	}
-	// The guess was wrong as well: it has started anew with the old weights.
+	// The guess was wrong: the endpoint has restarted with the old weights.
 	if got := s.Mismatch("e0", model, 2, 0); got != 1 {
-		t.Errorf("version %d assumed, want the one before", got)
+		t.Errorf("version %d assumed, want the one named before", got)
 	}
 }
 
-// Long answers fill the memory of a pool while more prompts come. Sent all the same,
-// a prompt drives out the request that came last, whose caller sees its answer stop
-// until the prompt was read again. Waiting here costs nobody, and a prompt whose
-// catalogue runs there already needs room for its own part alone.
+// Guards against sending a prompt that does not fit into a pool's memory, which long outputs
+// fill. It would preempt the newest request, whose output stops until its prompt has been
+// read again. Waiting is better; and a prompt whose catalogue is in use at the endpoint
+// needs room only for its own part.
 func TestPromptWaitsForMemory(t *testing.T) {
 	s := newPool(1, 1)
 	const fits = 16
@@ -227,18 +227,18 @@
 	}
 	p, _ := s.Choose(start, prompt(fits, fits))
 	if !p.Full {
-		t.Fatal("a prompt that does not fit beside those that run counts as fitting")
+		t.Fatal("a prompt that does not fit beside the running requests counts as fitting")
 	}
 	if shared, _ := s.Choose(start, prompt(3, 100)); shared.Full {
 		t.Error("a prompt whose catalogue is in use there counts as not fitting")
 	}
 	timing := Timing{Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, First: 100 * time.Millisecond, Full: true}
 	if got := Admit(timing); got != Wait {
-		t.Errorf("decision %v while memory is full, want to wait", got)
+		t.Errorf("decision %v while memory is full, want Wait", got)
 	}
 	timing.Elapsed = time.Second
 	if got := Admit(timing); got != Refuse {
-		t.Errorf("decision %v for one that has waited in vain for longer than its target, want to refuse", got)
+		t.Errorf("decision %v for a request that has waited for memory longer than its target, want to refuse", got)
 	}
 	s.Moved(start, runs[0], Done)
 	if p, _ := s.Choose(start, prompt(fits+1, fits+1)); p.Full {
@@ -246,10 +246,11 @@
 	}
 }
 
-// An engine takes new weights while the store is away, and newer ones are named. An
-// instance that is told "other weights" has to guess which. Its guess is too high; if
-// the rollout believes it, the engine never gets the order for the newest, and callers
-// get answers of replaced weights for good.
+// Guards against a guessed version that ends the rollout. An endpoint loads new weights
+// during a partition, and newer ones are named; an instance that is only told of a version
+// mismatch has to guess. If the rollout took a guess that is too high for the endpoint's
+// version, it would never order the newest weights, and callers would keep getting responses
+// of replaced ones.
 func TestGuessedWeightsDoNotEndTheRollout(t *testing.T) {
 	s := newPool(1, 1)
 	for v := int64(1); v <= 4; v++ {
@@ -262,17 +263,17 @@
 		t.Errorf("the next request expects %d", p.Version)
 	}
 	if v := s.Endpoints("pool", start)[0].Versions[model]; v != 1 {
-		t.Errorf("the rollout is told that the endpoint holds %d, nobody has seen it", v)
+		t.Errorf("the rollout sees version %d, which the endpoint has not reported", v)
 	}
 	if got := s.Mismatch("e0", model, 4, 0); got != 3 {
-		t.Fatalf("assumed %d after a second mismatch, want the one before", got)
+		t.Fatalf("assumed %d after a second mismatch, want the one named before", got)
 	}
 	s.SetEndpoints(endpoints(1, 1))
 	if _, p := send(t, s, start, prompt(2, 2)); p.Version != 3 {
-		t.Errorf("a list without news of the weights has changed the guess to %d", p.Version)
+		t.Errorf("a list with the same weights has changed the guess to %d", p.Version)
 	}
 	s.Holds("e0", model, 3)
 	if v := s.Endpoints("pool", start)[0].Versions[model]; v != 3 {
-		t.Errorf("its own word, 3, is told as %d", v)
+		t.Errorf("version %d, want the endpoint's own report of 3", v)
 	}
 }
--- a/balance/decide_test.go
+++ b/balance/decide_test.go
@@ -14,10 +14,10 @@
 	}}
 }
 
-// Two requests of different catalogues come in the same moment, before the first one has
-// been sent. Unless the decision on the first counts for the second, both go to the same
-// endpoint, and one waits for the other's prompt while the next endpoint idles.
-func TestADecisionCountsForTheNext(t *testing.T) {
+// Guards against two requests for different catalogues that arrive at the same time being
+// placed at one endpoint, where one waits for the other's prompt while the next endpoint
+// idles. The first decision must count before the request has been sent.
+func TestDecisionCountsForTheNextOne(t *testing.T) {
 	s := NewState(time.Minute)
 	now := time.Unix(1000, 0)
 	s.SetEndpoints([]Endpoint{{ID: "a", Service: "pool", Versions: map[string]int64{"m": 1}}, {ID: "b", Service: "pool", Versions: map[string]int64{"m": 1}}})
@@ -30,9 +30,9 @@
 	}
 }
 
-// A scheduler is asked by instances that know a little more than it does: one of them has
-// heard that the endpoint chosen leaves. The request must not be sent there.
-func TestPlacementAtALeavingEndpointIsNotTaken(t *testing.T) {
+// Guards against sending a request to an endpoint chosen by a scheduler although this
+// instance already knows that the endpoint is draining.
+func TestPlacementAtDrainingEndpointIsNotResolved(t *testing.T) {
 	s := NewState(time.Minute)
 	s.SetEndpoints([]Endpoint{{ID: "a", Service: "pool", Address: "10.0.0.1:80"}})
 	p := Placement{Endpoint: Endpoint{ID: "a"}, Version: 1}
@@ -42,7 +42,7 @@
 	}
 	s.Gone("a")
 	if _, ok := s.Resolve(query(1).Ask, p); ok {
-		t.Error("placed at an endpoint that leaves")
+		t.Error("placed at an endpoint that is draining")
 	}
 	b := Placement{Endpoint: Endpoint{ID: "b", Name: "b", Address: "10.0.0.2:80"}}
 	if _, ok := s.Resolve(query(1).Ask, b); ok {
@@ -50,14 +50,14 @@
 	}
 	s.SetListed(false)
 	if got, ok := s.Resolve(query(1).Ask, b); !ok || got.Endpoint.Address != "10.0.0.2:80" {
-		t.Errorf("an instance that knows no endpoints itself resolved to %+v, %v", got, ok)
+		t.Errorf("an instance without a list of endpoints resolved to %+v, %v", got, ok)
 	}
 }
 
-// An endpoint has taken new weights, and the scheduler has not heard of it. The first
-// request that it places there is turned away. Unless it learns why, it places the next
-// ones there as well, and all of them come back.
-func TestSchedulerLearnsFromATurnedAwayRun(t *testing.T) {
+// Guards against a scheduler that does not know that an endpoint has loaded new weights. Its
+// first request there is rejected; unless the scheduler learns the version from that, it
+// places the next ones there as well, and all of them are rejected.
+func TestSchedulerLearnsVersionFromRejectedRun(t *testing.T) {
 	s := NewState(time.Minute)
 	now := time.Unix(1000, 0)
 	s.SetEndpoints([]Endpoint{{ID: "a", Service: "pool", Versions: map[string]int64{"m": 1}}})
@@ -67,6 +67,6 @@
 	s.Misdirected(1, 2)
 	s.Moved(now, 1, Misdirected)
 	if v := s.Decide(now, query(2)); v.Placement.Version != 2 {
-		t.Errorf("placed for version %d, the endpoint has said that it holds 2", v.Placement.Version)
+		t.Errorf("placed for version %d, the endpoint has reported version 2", v.Placement.Version)
 	}
 }
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -12,7 +12,7 @@
 	"github.com/sardinedock/sardinedock/ratelimit"
 )
 
-// fakeLimits are endpoints that take no more requests.
+// fakeLimits is the set of endpoints with a rate limit, all of which are used up.
 type fakeLimits map[string]bool
 
 func (l fakeLimits) Limited(endpoint string) bool { return l[endpoint] }
@@ -37,41 +37,42 @@
 
 func orderQuery() Query { return Query{Run: 1, Ask: Ask{Service: "orders", DataCentre: "dc"}} }
 
-// Guards against a request that goes to an endpoint which has got what it takes, or waits for
-// it, while another one is free.
-func TestEndpointAtItsLimitIsPassedOver(t *testing.T) {
+// Guards against a request that is sent to an endpoint whose rate limit is used up, or waits
+// for it, while another endpoint is available.
+func TestEndpointAtItsLimitIsSkipped(t *testing.T) {
 	s := limitedState(t, fakeLimits{"e1": true}, "e1", "e2")
-	// Work at e2 makes e1 the cheaper one.
+	// A run at e2 makes e1 the cheaper endpoint.
 	s.Started(time.Now(), Start{Run: 9, Endpoint: "e2"})
 	d := s.Decide(time.Now(), orderQuery())
 	if d.Admission != Send || d.Placement.Endpoint.ID != "e2" || d.Placement.PassedOver != "e1" {
-		t.Errorf("admission %v at %q, passed over %q", d.Admission, d.Placement.Endpoint.ID, d.Placement.PassedOver)
+		t.Errorf("admission %v at %q, skipped %q", d.Admission, d.Placement.Endpoint.ID, d.Placement.PassedOver)
 	}
 }
 
-// Guards against callers that wait in vain, or are refused without a time, where every endpoint
-// has got what it takes; and against refusals while another one is back in a moment.
-func TestRequestIsRefusedAtOnceWhereAllEndpointsAreAtTheirLimit(t *testing.T) {
+// Guards against callers that wait, or are refused without a retry time, when the rate
+// limits of all endpoints are used up; and against refusing them while another endpoint will
+// be available in a moment.
+func TestRequestIsRefusedAtOnceIfAllEndpointsAreAtTheirLimit(t *testing.T) {
 	now := time.Now()
 	s := limitedState(t, fakeLimits{"e1": true}, "e1")
 	if d := s.Decide(now, orderQuery()); d.Admission != AtLimit || d.FreeIn != 300*time.Millisecond || d.Placement.PassedOver != "e1" {
-		t.Errorf("admission %v, free in %v, passed over %q", d.Admission, d.FreeIn, d.Placement.PassedOver)
+		t.Errorf("admission %v, free in %v, skipped %q", d.Admission, d.FreeIn, d.Placement.PassedOver)
 	}
 	s = limitedState(t, fakeLimits{"e1": true}, "e1", "e2")
 	s.Loading("e2", now.Add(time.Second))
 	if d := s.Decide(now, orderQuery()); d.Admission != Wait {
-		t.Errorf("admission %v while another endpoint loads, want to wait", d.Admission)
+		t.Errorf("admission %v while another endpoint loads, want Wait", d.Admission)
 	}
 	q := orderQuery()
 	q.Again = true
 	s = limitedState(t, fakeLimits{"e1": true}, "e1")
 	if d := s.Decide(now, q); d.Admission != AtLimit || d.FreeIn != 0 {
-		t.Errorf("sent again: admission %v, free in %v", d.Admission, d.FreeIn)
+		t.Errorf("request sent again: admission %v, free in %v", d.Admission, d.FreeIn)
 	}
 }
 
-// Guards against a limited endpoint whose few requests relieve the pool of little: of 20 requests a
-// second a third are five times as large as the others, and it takes two.
+// Guards against a rate-limited endpoint that takes little work off its pool. Of 20 requests
+// a second a third are five times as large as the others, and the endpoint takes two.
 func TestLimitedEndpointTakesTheLargestRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limits := ratelimit.NewLimits(now, "i", 1)
--- a/balance/plain_test.go
+++ b/balance/plain_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// desk is a plain service of three endpoints in virtual time, whose look-ups fail often:
-// some wherever they run, some by chance.
-type desk struct {
+// plainService simulates a plain service of three endpoints in virtual time. Many of its
+// look-ups fail: some on any endpoint, some at random.
+type plainService struct {
 	state *State
 	rng   *rand.Rand
 	now   time.Time
-	// grey endpoints fail that share of what they run.
-	grey map[string]float64
-	// runs of each endpoint since counted last.
+	// faulty is the failure rate of faulty endpoints.
+	faulty map[string]float64
+	// runs is the number of runs of each endpoint since play was called.
 	runs map[string]int
-	ends deskEnds
+	ends plainEnds
 	next RunID
 }
 
-// deskEnd is the end of a run.
-type deskEnd struct {
+// plainEnd is the end of a run.
+type plainEnd struct {
 	at     time.Time
 	run    RunID
 	id     string
@@ -32,13 +32,13 @@
 	again  bool
 }
 
-type deskEnds []deskEnd
+type plainEnds []plainEnd
 
-func (e deskEnds) Len() int           { return len(e) }
-func (e deskEnds) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e deskEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
-func (e *deskEnds) Push(x any)        { *e = append(*e, x.(deskEnd)) }
-func (e *deskEnds) Pop() any {
+func (e plainEnds) Len() int           { return len(e) }
+func (e plainEnds) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
+func (e plainEnds) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (e *plainEnds) Push(x any)        { *e = append(*e, x.(plainEnd)) }
+func (e *plainEnds) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
@@ -47,14 +47,15 @@
 const (
 	lookupsPerS  = 82
 	confirmsPerS = 118
-	// failsAnywhere of the look-ups fail wherever they run, failsOnce by chance.
+	// failsAnywhere is the share of look-ups that fail on any endpoint, failsOnce of those
+	// that fail at random.
 	failsAnywhere = 0.15
 	failsOnce     = 0.06
-	deskWork      = 15 * time.Millisecond
+	plainWork     = 15 * time.Millisecond
 )
 
-func newDesk(seed uint64) *desk {
-	d := &desk{state: NewState(8 * time.Second), rng: rand.New(rand.NewPCG(seed, 1)), now: start, grey: map[string]float64{}, runs: map[string]int{}}
+func newPlainService(seed uint64) *plainService {
+	d := &plainService{state: NewState(8 * time.Second), rng: rand.New(rand.NewPCG(seed, 1)), now: start, faulty: map[string]float64{}, runs: map[string]int{}}
 	var list []Endpoint
 	for k := range 3 {
 		list = append(list, Endpoint{ID: fmt.Sprint("d", k), Address: fmt.Sprint("d", k), Service: "desk", DataCentre: fmt.Sprint("dc-", k), Slots: 6})
@@ -63,7 +64,7 @@
 	return d
 }
 
-func (d *desk) send(lookup, always, again bool, exclude []string) {
+func (d *plainService) send(lookup, always, again bool, exclude []string) {
 	d.next++
 	v := d.state.Decide(d.now, Query{Run: d.next, Ask: Ask{Service: "desk", DataCentre: fmt.Sprint("dc-", d.rng.IntN(3)), Exclude: exclude, Again: again}})
 	if !v.Found {
@@ -71,12 +72,12 @@
 	}
 	id := v.Placement.Endpoint.ID
 	d.runs[id]++
-	work := time.Duration((0.5 + d.rng.Float64()) * float64(deskWork))
-	heap.Push(&d.ends, deskEnd{d.now.Add(work), d.next, id, lookup, always, again})
+	work := time.Duration((0.5 + d.rng.Float64()) * float64(plainWork))
+	heap.Push(&d.ends, plainEnd{d.now.Add(work), d.next, id, lookup, always, again})
 }
 
-func (d *desk) end(e deskEnd) {
-	failed := d.rng.Float64() < d.grey[e.id] || e.lookup && (e.always || d.rng.Float64() < failsOnce)
+func (d *plainService) end(e plainEnd) {
+	failed := d.rng.Float64() < d.faulty[e.id] || e.lookup && (e.always || d.rng.Float64() < failsOnce)
 	if !failed {
 		d.state.Moved(d.now, e.run, Done)
 		return
@@ -87,14 +88,14 @@
 	}
 }
 
-// play runs for a time, and counts what each endpoint gets.
-func (d *desk) play(long time.Duration) {
+// play runs the simulation for a time and counts the runs of each endpoint.
+func (d *plainService) play(long time.Duration) {
 	clear(d.runs)
 	until := d.now.Add(long)
 	const perS = lookupsPerS + confirmsPerS
 	for next := d.now; next.Before(until); {
 		for len(d.ends) > 0 && d.ends[0].at.Before(next) {
-			e := heap.Pop(&d.ends).(deskEnd)
+			e := heap.Pop(&d.ends).(plainEnd)
 			d.now = e.at
 			d.end(e)
 		}
@@ -106,8 +107,8 @@
 	d.now = until
 }
 
-// busiest is what the busiest endpoint gets against the mean.
-func (d *desk) busiest() float64 {
+// busiest returns the runs of the busiest endpoint relative to the mean.
+func (d *plainService) busiest() float64 {
 	most, sum := 0, 0
 	for _, n := range d.runs {
 		most, sum = max(most, n), sum+n
@@ -115,11 +116,11 @@
 	return float64(most) * 3 / float64(sum)
 }
 
-// Guards against one endpoint of a plain service that gets nearly all the work since the
-// others look faulty: second tries at them fail with the request.
-func TestErrorsOfRequestsLeaveTheLoadEven(t *testing.T) {
+// Guards against one endpoint of a plain service getting nearly all requests because the
+// others look faulty: retries there fail because of the request.
+func TestRequestErrorsDoNotSkewLoad(t *testing.T) {
 	for seed := range uint64(10) {
-		d := newDesk(seed)
+		d := newPlainService(seed)
 		d.play(5 * time.Second)
 		d.play(20 * time.Second)
 		if got := d.busiest(); got > 1.3 {
@@ -128,12 +129,13 @@
 	}
 }
 
-// Guards against a faulty endpoint that goes unnoticed among requests that fail anywhere.
-func TestGreyPlainEndpointIsFoundWithinASecond(t *testing.T) {
+// Guards against a faulty endpoint that is not detected among requests that fail on any
+// endpoint.
+func TestFaultyPlainEndpointIsAvoidedWithinASecond(t *testing.T) {
 	for seed := range uint64(10) {
-		d := newDesk(seed)
+		d := newPlainService(seed)
 		d.play(5 * time.Second)
-		d.grey["d1"] = 0.45
+		d.faulty["d1"] = 0.45
 		d.play(time.Second)
 		d.play(5 * time.Second)
 		sum := 0
