--- a/quota/book.go
+++ b/quota/book.go
@@ -9,69 +9,69 @@
 )
 
 const (
-	// learning is how long after its start an instance that is short of quota has
-	// requests wait instead of refusing them: the others are heard of by then.
-	learning = 1500 * time.Millisecond
-	// takingOver is the same for one that has become a scheduler: within it the others
-	// report which quotas are short, and all instances are heard of.
-	takingOver = 600 * time.Millisecond
-	// returnable is how long a charge can be given back: longer than a request waits in
-	// an endpoint's queue.
-	returnable = 20 * time.Second
-	// separated is how long nothing was reported where reports were lost by a cut.
-	separated = time.Second
-	// forgetUsage is after how long without a report an instance's total is dropped, and
-	// the bucket of an account that has no limit any more.
-	forgetUsage = 10 * time.Minute
-	// shortShare of what may be saved is the balance below which a bucket counts as
-	// short.
-	shortShare = 0.5
+	// startupDelay is how long after its start an instance makes requests wait that it would
+	// otherwise refuse: by then it has received the reports of the others.
+	startupDelay = 1500 * time.Millisecond
+	// takeoverDelay is the same for an instance that has become a scheduler: by then the
+	// others have reported which quotas are low, and all instances are known.
+	takeoverDelay = 600 * time.Millisecond
+	// refundWindow is how long a charge can be refunded: longer than a request waits in an
+	// endpoint's queue.
+	refundWindow = 20 * time.Second
+	// partitionGap is the time without a report after which reports are taken to have been
+	// lost in a partition.
+	partitionGap = time.Second
+	// usageTTL is the time without a report after which an instance's total is dropped, and
+	// also the bucket of an account that no longer has a limit.
+	usageTTL = 10 * time.Minute
+	// lowShare is the fraction of its capacity below which a bucket is low.
+	lowShare = 0.5
 )
 
-// Book holds the buckets of one instance. Any goroutine may use it; no method blocks
-// on anything but its mutex.
+// Book keeps the buckets of one instance. It is safe for concurrent use; no method blocks
+// except on the mutex.
 type Book struct {
 	self        string
 	incarnation uint64
 	started     time.Time
-	draw        func() float64
+	random      func() float64
 
 	mu    sync.Mutex
 	reach Reach
-	// certain is when enough is known of what others let pass.
-	certain time.Time
-	buckets map[string]*bucket
-	// removed are the buckets of accounts that have no limit any more: one that is
-	// written again finds its bucket as it was.
+	// certainAt is when enough is known of what other instances have passed.
+	certainAt time.Time
+	buckets   map[string]*bucket
+	// removed are the buckets of accounts that no longer have a limit, so that an account
+	// whose limit is set again gets its old bucket.
 	removed map[string]*bucket
 	own     map[string]*Usage
 	number  uint64
 	charges map[uint64]charged
-	heard   map[origin]*report
+	reports map[origin]*report
 }
 
-// charged is what a run was charged, and when.
+// charged is the charge of a run and its time.
 type charged struct {
 	Charge
 	at time.Time
 }
 
-// origin is whose total a report is.
+// origin identifies the instance and the account of a report.
 type origin struct{ instance, account string }
 
-// report is the newest usage of an origin, and when it came.
+// report is the newest usage of an origin and the time of its arrival.
 type report struct {
 	Usage
 	at time.Time
 }
 
-// NewBook returns the book of an instance that starts now. incarnation rises with each
+// NewBook returns the book of an instance that starts now. incarnation increases with each
 // start.
 func NewBook(now time.Time, self string, incarnation uint64) *Book {
 	return &Book{
-		self: self, incarnation: incarnation, started: now, certain: now.Add(learning), draw: rand.Float64,
+		self: self, incarnation: incarnation, started: now, certainAt: now.Add(startupDelay), random: rand.Float64,
 		buckets: map[string]*bucket{}, removed: map[string]*bucket{}, own: map[string]*Usage{},
-		charges: map[uint64]charged{}, heard: map[origin]*report{},
+		charges: map[uint64]charged{}, reports: map[origin]*report{},
 	}
 }
 
@@ -94,12 +94,12 @@
 		if known == nil {
 			known = newBucket(now, l, b.reach.share())
 		}
-		known.set(now, l, b.reach.share())
+		known.update(now, l, b.reach.share())
 		b.buckets[name] = known
 	}
 }
 
-// Limit returns the limit in force for an account.
+// Limit returns the current limit of an account.
 func (b *Book) Limit(account string) Limit {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,7 +109,7 @@
 	return Limit{}
 }
 
-// Price returns a charge with its cost; the zero value where the account has no limit.
+// Price returns a charge with its cost set, or the zero value if the account has no limit.
 func (b *Book) Price(c Charge) Charge {
 	l := b.Limit(c.Account)
 	if !l.Limited() {
@@ -119,7 +119,7 @@
 	return c
 }
 
-// SetReach replaces for how much of the fleet the instance decides.
+// SetReach replaces the part of the fleet for which the instance decides.
 func (b *Book) SetReach(now time.Time, r Reach) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,36 +131,36 @@
 	}
 	b.reach = r
 	for _, k := range b.buckets {
-		k.set(now, k.limit, r.share())
+		k.update(now, k.limit, r.share())
 	}
 }
 
-// takeOver begins to decide for others; the mutex is held. Until now the buckets were
-// those of one instance alone. Where other schedulers are, a quota counts as half used;
-// they report the balance of those that hold less.
+// takeOver starts deciding for other instances, and replaces the buckets, which until now
+// were those of this instance alone. If there are other schedulers, each quota counts as
+// half used until they have reported the balances that are lower. The caller must hold b.mu.
 func (b *Book) takeOver(now time.Time, r Reach) {
-	if c := now.Add(takingOver); c.After(b.certain) {
-		b.certain = c
+	if c := now.Add(takeoverDelay); c.After(b.certainAt) {
+		b.certainAt = c
 	}
 	for name, k := range b.buckets {
 		fresh := newBucket(now, k.limit, r.share())
 		if r.Peers > 0 {
-			fresh.level = shortShare * fresh.capacity()
+			fresh.level = lowShare * fresh.capacity()
 		}
 		b.buckets[name] = fresh
 	}
 }
 
-// Decides reports whether the instance decides for others, as far as SetReach was told.
+// Decides reports whether the instance decides for others, according to the last SetReach.
 func (b *Book) Decides() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reach.Scheduler
 }
 
-// Ask decides whether a request may be sent now. What is sent then has to be charged.
-// again says that the request has passed before and is sent once more; it is not refused,
-// since it may have run.
+// Ask decides whether a request may be sent now. A request that is sent must then be
+// charged. again reports whether the request has passed before and is a retry; a retry is
+// not refused, since the request may have run.
 func (b *Book) Ask(now time.Time, c Charge, again bool) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -168,11 +168,11 @@
 	if k == nil {
 		return Decision{Share: 1}
 	}
-	passes := k.allows(now, float64(c.Cost), b.draw)
+	passes := k.allows(now, float64(c.Cost), b.random)
 	d := Decision{Cost: c.Cost, Balance: k.level, Share: k.share}
 	switch {
 	case passes || again:
-	case now.Before(b.certain):
+	case now.Before(b.certainAt):
 		d.Outcome = Unknown
 	default:
 		d.Outcome, d.RetryAfter = Over, k.retryAfter(float64(c.Cost))
@@ -180,9 +180,9 @@
 	return d
 }
 
-// Holds reports whether an account's bucket holds a cost now; that of an account without a
-// limit always does. reserve is how much of what may be saved beyond the cost has to be there
-// too, from 0 to 1. What is sent then has to be charged.
+// Holds reports whether an account's bucket covers a cost now and leaves the reserve, a
+// fraction from 0 to 1 of the capacity beyond the cost. It is always true for an account
+// without a limit. A request that is sent must then be charged.
 func (b *Book) Holds(now time.Time, account string, cost, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -190,17 +190,18 @@
 	if k == nil {
 		return true
 	}
-	return k.holds(now, k.reserved(cost, reserve, b.reach.Peers == 0), b.draw)
+	return k.covers(now, k.required(cost, reserve, b.reach.Peers == 0), b.random)
 }
 
-// Promise returns when a cost that is refused now will be there, after that of those refused
-// before it. ok is false while it is not known yet what others let pass.
+// Promise returns the time until the bucket covers a cost that is refused now, after the
+// costs refused before it. ok is false while it is not known yet what other instances have
+// passed.
 func (b *Book) Promise(now time.Time, account string, cost float64) (d time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.buckets[account]
 	switch {
-	case now.Before(b.certain):
+	case now.Before(b.certainAt):
 		return 0, false
 	case k == nil:
 		return 0, true
@@ -209,8 +210,8 @@
 	return k.retryAfter(cost), true
 }
 
-// Charge debits what a run costs. The usage has to be reported to the other
-// schedulers; ok is false where the account has no limit.
+// Charge debits the cost of a run. The returned usage has to be reported to the other
+// schedulers; ok is false if the account has no limit.
 func (b *Book) Charge(now time.Time, run uint64, c Charge) (u Usage, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -221,8 +222,8 @@
 	return b.debit(now, c.Account, c.Cost), true
 }
 
-// Return credits a run that this instance has charged and that has not run. ok is false
-// where it has charged none.
+// Return refunds a run that this instance has charged and that did not run. ok is false if
+// this instance has no charge for the run.
 func (b *Book) Return(now time.Time, run uint64) (u Usage, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -234,10 +235,10 @@
 	return b.debit(now, c.Account, -c.Cost), true
 }
 
-// debit counts a cost as this instance's own; the mutex is held.
+// debit debits a cost and adds it to this instance's own usage. The caller must hold b.mu.
 func (b *Book) debit(now time.Time, account string, cost int64) Usage {
 	if k := b.buckets[account]; k != nil {
-		k.debit(now, cost, b.draw)
+		k.debit(now, cost, b.random)
 	}
 	u := b.own[account]
 	if u == nil {
@@ -249,32 +250,32 @@
 	return *u
 }
 
-// Reported takes in the usage of another instance. Of one that was not heard of before,
-// only the last part counts: the rest may have passed long ago.
+// Reported applies the usage report of another instance. Of the first report of an instance
+// only the last part is debited, since the rest may have passed long ago.
 func (b *Book) Reported(now time.Time, u Usage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if u.Instance == b.self {
 		return
 	}
-	if k := b.buckets[u.Account]; k != nil && u.Short && now.Before(b.certain) {
+	if k := b.buckets[u.Account]; k != nil && u.Short && now.Before(b.certainAt) {
 		k.advance(now)
 		k.level = min(k.level, u.Balance)
 	}
 	key := origin{u.Instance, u.Account}
-	before := b.heard[key]
+	before := b.reports[key]
 	if before.supersedes(now, u) {
 		return
 	}
-	b.heard[key] = &report{u, now}
+	b.reports[key] = &report{u, now}
 	if k := b.buckets[u.Account]; k != nil {
-		k.debit(now, before.added(now, u), b.draw)
+		k.debit(now, before.added(now, u), b.random)
 	}
 }
 
-// supersedes reports whether a usage is no newer than the report. One of an earlier
-// incarnation is late, unless the later one has fallen silent: then the instance has
-// started again with its clock set back.
+// supersedes reports whether the report makes a usage obsolete. A usage of an earlier
+// incarnation is a late report, unless the later incarnation has sent none for some time:
+// then the instance has restarted with its clock set back.
 func (r *report) supersedes(now time.Time, u Usage) bool {
 	switch {
 	case r == nil:
@@ -282,14 +283,14 @@
 	case u.Incarnation == r.Incarnation:
 		return u.Number <= r.Number
 	}
-	return u.Incarnation < r.Incarnation && now.Sub(r.at) < learning
+	return u.Incarnation < r.Incarnation && now.Sub(r.at) < startupDelay
 }
 
-// added is what a newer usage adds to the report.
+// added returns the cost by which a newer usage exceeds the report.
 func (r *report) added(now time.Time, u Usage) int64 {
 	switch {
-	case r == nil || now.Sub(r.at) > separated:
-		// What passed while its instance was out of reach is of its own share.
+	case r == nil || now.Sub(r.at) > partitionGap:
+		// What the instance passed while it was unreachable came from its own share.
 		return u.Last
 	case u.Incarnation == r.Incarnation:
 		return u.Total - r.Total
@@ -297,37 +298,37 @@
 	return u.Total
 }
 
-// Sweep drops charges that can't be given back any more, and totals of instances that
-// have long been silent.
+// Sweep drops charges that can no longer be refunded, usage of instances that have not
+// reported for long, and old buckets of accounts without a limit.
 func (b *Book) Sweep(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for run, c := range b.charges {
-		if now.Sub(c.at) > returnable {
+		if now.Sub(c.at) > refundWindow {
 			delete(b.charges, run)
 		}
 	}
-	for key, r := range b.heard {
-		if now.Sub(r.at) > forgetUsage {
-			delete(b.heard, key)
+	for key, r := range b.reports {
+		if now.Sub(r.at) > usageTTL {
+			delete(b.reports, key)
 		}
 	}
 	for name, k := range b.removed {
-		if now.Sub(k.last) > forgetUsage {
+		if now.Sub(k.last) > usageTTL {
 			delete(b.removed, name)
 		}
 	}
 }
 
-// Short returns the newest totals, of this instance and of others, of accounts
-// whose balance is short, as far as they are newer than since. Passed on, they reach
-// schedulers that do not hear each other.
+// Short returns the usage of this instance for all accounts whose balance is low, and that
+// of other instances for them if it arrived after since. Forwarding it reaches schedulers
+// that cannot communicate with its origin directly.
 func (b *Book) Short(now, since time.Time) []Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var list []Usage
 	for name, k := range b.buckets {
-		if k.advance(now); k.level >= shortShare*k.capacity() {
+		if k.advance(now); k.level >= lowShare*k.capacity() {
 			continue
 		}
 		own := Usage{Instance: b.self, Incarnation: b.incarnation, Account: name}
@@ -336,7 +337,7 @@
 		}
 		own.Short, own.Balance = true, k.level
 		list = append(list, own)
-		for key, r := range b.heard {
+		for key, r := range b.reports {
 			if key.account == name && r.at.After(since) {
 				list = append(list, r.Usage)
 			}
@@ -345,7 +346,7 @@
 	return list
 }
 
-// View is the state of one quota, for operators.
+// View is the state of one quota in the state dump.
 type View struct {
 	Account string  `json:"account"`
 	Rate    float64 `json:"rate"`
@@ -355,7 +356,7 @@
 	Passed  int64   `json:"passed_here"`
 }
 
-// Views returns the state of all quotas, in the order of the names.
+// Views returns the state of all quotas, sorted by account.
 func (b *Book) Views(now time.Time) []View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -11,7 +11,7 @@
 
 var bookStart = time.Unix(1000, 0)
 
-// settled returns the book of a fleet's only instance, long after its start.
+// settled returns the book of the only instance of a fleet, and a time long after its start.
 func settled(l Limit) (*Book, time.Time) {
 	b := NewBook(bookStart, "a", 1)
 	b.SetReach(bookStart, Reach{Scheduler: true, Heard: 1, Listed: 1})
@@ -28,8 +28,8 @@
 	return d
 }
 
-// Guards against long requests that wait for ever while short ones use up each token.
-func TestLongRequestsPassBesideShortOnes(t *testing.T) {
+// Guards against long requests that never pass because short ones use up each token.
+func TestLongRequestsPassAmongShortOnes(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	rng := rand.New(rand.NewPCG(1, 1))
 	asked, passed := map[int64]int{}, map[int64]int{}
@@ -50,8 +50,9 @@
 	}
 }
 
-// Guards against a request that never passes since it costs more than may be saved.
-func TestRequestAboveTheBurstPassesInItsTurn(t *testing.T) {
+// Guards against a request that never passes because it costs more than the bucket's
+// capacity.
+func TestRequestAboveTheBurstPasses(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	passed := 0
 	for range 60 {
@@ -65,8 +66,8 @@
 	}
 }
 
-// Guards against refused callers that all come back in the same moment.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+// Guards against refused callers that all retry at the same moment.
+func TestRefusedCallersGetConsecutiveRetryTimes(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 1, Charge{Account: "o", Cost: 2000})
 	last := time.Duration(0)
@@ -79,7 +80,7 @@
 	}
 }
 
-// Guards against a request that counts nothing and is refused for others' debt.
+// Guards against a request without cost being refused because of a debt.
 func TestRequestWithoutCostPasses(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 1, Charge{Account: "o", Cost: 2000})
@@ -88,23 +89,24 @@
 	}
 }
 
-// Guards against charges that are given back twice, or by who has not charged them.
-func TestChargeIsGivenBackOnce(t *testing.T) {
+// Guards against charges that are refunded twice, or by an instance that has not charged
+// them.
+func TestChargeIsRefundedOnce(t *testing.T) {
 	b, now := settled(Limit{Rate: 1, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 7, Charge{Account: "o", Cost: 300})
 	if u, ok := b.Return(now, 7); !ok || u.Total != 0 {
-		t.Errorf("given back %v, total %d", ok, u.Total)
+		t.Errorf("refunded: %v, total %d", ok, u.Total)
 	}
 	if _, ok := b.Return(now, 7); ok {
-		t.Error("given back twice")
+		t.Error("refunded twice")
 	}
 	if _, ok := b.Return(now, 8); ok {
-		t.Error("given back without a charge")
+		t.Error("refunded without a charge")
 	}
 }
 
-// Guards against reports that count twice when they come twice or late.
-func TestReportsCountOnceInAnyOrder(t *testing.T) {
+// Guards against duplicate or late reports being counted twice.
+func TestDuplicateAndLateReportsCountOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sender, _ := settled(Limit{Rate: 1, Burst: 1e6, Unit: Tokens})
 		receiver := NewBook(bookStart, "b", 1)
@@ -129,8 +131,8 @@
 	})
 }
 
-// Guards against an organisation without a quota that pays for those that have one.
-func TestOrganisationWithoutQuotaCostsNothing(t *testing.T) {
+// Guards against charging an organisation that has no quota.
+func TestOrganisationWithoutQuotaIsNotCharged(t *testing.T) {
 	b, now := settled(Limit{Rate: 1, Burst: 1, Unit: Tokens})
 	if c := b.Price(Charge{Account: "free", Tokens: 9, Sized: true}); c != (Charge{}) {
 		t.Errorf("priced at %+v", c)
@@ -143,7 +145,8 @@
 	}
 }
 
-// BenchmarkQuota is one decision with its charge: a mutex, a map and a few sums.
+// BenchmarkQuota measures one decision with its charge: a mutex, a map access and a few
+// additions.
 func BenchmarkQuota(b *testing.B) {
 	const organisations = 1100
 	book := NewBook(bookStart, "a", 1)
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -3,46 +3,49 @@
 import "time"
 
 const (
-	// startBalance is what a new bucket holds, as a time at its rate: enough for the first
-	// requests of a new account, too little for a burst by restarts.
+	// startBalance is the balance of a new bucket, as a time at its rate: enough for the
+	// first requests of a new account, too little to gain a burst by restarts.
 	startBalance = 500 * time.Millisecond
-	// leastBurst is what may be saved where the limit states no burst, as a time at
-	// its rate.
-	leastBurst = 100 * time.Millisecond
-	// noticeTime is how long it takes until a share that falls is noticed.
-	noticeTime = 900 * time.Millisecond
-	// longestPromise bounds how far ahead refused callers are told to come back.
-	longestPromise = 5 * time.Second
-	// lendEvery is how many requests that find a part of their cost make one that passes.
-	lendEvery = 5
-	// headroom is how much more than its limit an account gets, so that none of its
-	// requests within the limit is refused for what is known a moment late.
+	// minBurst is the capacity of a bucket whose limit has no burst, as a time at its rate.
+	minBurst = 100 * time.Millisecond
+	// detectionDelay is how long it takes until instances notice that their share has
+	// fallen.
+	detectionDelay = 900 * time.Millisecond
+	// maxPromise bounds the retry times given to refused callers.
+	maxPromise = 5 * time.Second
+	// overdraftEvery is the number of requests whose cost is covered only in part after
+	// which one of them passes.
+	overdraftEvery = 5
+	// headroom is the factor by which a bucket exceeds its limit, so that no request within
+	// the limit is refused because of reports that arrive late.
 	headroom = 1.03
-	// noRateRetry is when to come back where nothing may pass now.
+	// noRateRetry is the retry time if the rate is 0.
 	noRateRetry = time.Second
 )
 
-// bucket is a token bucket that may go into debt.
+// bucket is a token bucket whose balance may become negative.
 //
-// Load: an account at its limit, with short and long requests. Harm prevented: where
-// the whole cost has to be there, short requests use up each unit as it comes and long
-// ones never pass; where any balance will do, short ones that are within the quota are
-// refused for a long one's debt. So the whole cost has to be there, but for one in
-// lendEvery of those that find only a part.
+// A request normally passes only if the bucket covers its whole cost. At an account's limit,
+// short requests would then use up each unit as it arrives and long ones would never pass.
+// If any positive balance were enough, short requests within the quota would be refused
+// because of a long one's debt. So one in overdraftEvery of the requests whose cost is
+// covered only in part passes too.
 type bucket struct {
 	limit Limit
 	share float64
 	level float64
-	// promised is the cost of those refused lately, which are told to come back one
-	// after the other.
+	// promised is the cost of recently refused requests, whose callers are given consecutive
+	// retry times.
 	promised float64
-	// passedOver counts requests refused though a part of their cost was there.
-	passedOver int
-	// drawn says that allows has drawn since the bucket was full.
-	drawn bool
-	// turn is drawn anew with each debit, from 0 to 1; see reserved.
-	turn float64
-	last time.Time
+	// partial counts the requests that were refused although a part of their cost was
+	// covered.
+	partial int
+	// predebited reports whether covers has subtracted a random part of an oversized cost
+	// since the bucket was last full.
+	predebited bool
+	// jitter is a random number from 0 to 1 that changes with each debit; see required.
+	jitter float64
+	last   time.Time
 }
 
 func newBucket(now time.Time, l Limit, share float64) *bucket {
@@ -53,9 +56,9 @@
 
 func (b *bucket) rate() float64 { return b.limit.Rate * b.share * headroom }
 
-// capacity is what may be saved.
+// capacity returns the maximum balance.
 func (b *bucket) capacity() float64 {
-	return max(b.limit.Burst, b.limit.Rate*leastBurst.Seconds()) * b.share * headroom
+	return max(b.limit.Burst, b.limit.Rate*minBurst.Seconds()) * b.share * headroom
 }
 
 func (b *bucket) advance(now time.Time) {
@@ -67,38 +70,41 @@
 	b.level = min(b.level, b.capacity())
 }
 
-// allows reports whether a request of the cost may pass now, which one of lendEvery does
-// that finds a part of it. draw returns a number from 0 to 1.
-func (b *bucket) allows(now time.Time, cost float64, draw func() float64) bool {
+// allows reports whether a request of the cost may pass now. Of the requests whose cost is
+// covered only in part, one in overdraftEvery may. random returns a number from 0 to 1.
+func (b *bucket) allows(now time.Time, cost float64, random func() float64) bool {
 	switch {
-	case b.holds(now, cost, draw):
+	case b.covers(now, cost, random):
 		return true
 	case b.level <= 0:
 		return false
 	}
-	b.passedOver++
-	if b.passedOver < lendEvery {
+	b.partial++
+	if b.partial < overdraftEvery {
 		return false
 	}
-	b.passedOver = 0
+	b.partial = 0
 	return true
 }
 
-// holds reports whether the whole cost is there.
+// covers reports whether the bucket covers the whole cost. A cost above the bucket's
+// capacity is covered by any positive balance, but since the bucket was last full a random
+// part of one such cost is subtracted first, as if the bucket had paid for one some time
+// ago.
 //
-// Load: a request that costs more than may be saved, at each of many instances that are
-// cut off and have a small share each. Harm prevented: if each let its first one pass,
-// they would together exceed their shares many times. Drawn, as if each had paid for
-// one some time ago, they keep to them on average, and no such request waits for ever.
-func (b *bucket) holds(now time.Time, cost float64, draw func() float64) bool {
+// In a partitioned fleet each of many instances has a small share, and a request may cost
+// more than its capacity. If each instance passed its first such request, together they
+// would exceed their shares many times. With the random part they keep to them on average,
+// and no such request waits for ever.
+func (b *bucket) covers(now time.Time, cost float64, random func() float64) bool {
 	b.advance(now)
 	full := b.capacity()
 	if b.level >= full {
-		b.drawn = false
+		b.predebited = false
 	}
-	if cost > full && !b.drawn {
-		b.level -= draw() * cost
-		b.drawn = true
+	if cost > full && !b.predebited {
+		b.level -= random() * cost
+		b.predebited = true
 	}
 	switch {
 	case cost <= 0:
@@ -109,50 +115,52 @@
 	return cost > full || b.level >= cost
 }
 
-// turnShare is the part of what may be saved beyond one cost over which the turns of the
-// schedulers are spread.
-const turnShare = 0.25
+// jitterShare is the fraction of the capacity beyond one cost over which the thresholds of
+// the schedulers are spread.
+const jitterShare = 0.25
 
-// reserved returns what has to be there for a cost to pass with a reserve, from 0 to 1, of
-// what may be saved beyond it. alone says that no other scheduler is heard of.
+// required returns the balance that a cost needs to pass while leaving a reserve, a fraction
+// from 0 to 1 of the capacity beyond the cost. alone reports whether no other scheduler is
+// known.
 //
-// Load: callers wait at all schedulers for the next unit. Harm prevented: the unit comes at
-// all of them in the same moment, and each sends one before it has the others' reports. Each
-// has a turn of its own, drawn anew after each that passes.
-func (b *bucket) reserved(cost, reserve float64, alone bool) float64 {
+// Callers may be waiting at all schedulers for the next unit, which all buckets gain at the
+// same moment. Without jitter, each scheduler would send one request before it has the
+// others' reports. So each one has a random threshold of its own, which changes after each
+// request that passes.
+func (b *bucket) required(cost, reserve float64, alone bool) float64 {
 	spare := max(b.capacity()-cost, 0)
 	if alone {
 		return cost + reserve*spare
 	}
-	return cost + ((1-turnShare)*reserve+turnShare*b.turn)*spare
+	return cost + ((1-jitterShare)*reserve+jitterShare*b.jitter)*spare
 }
 
-// debit takes off what has passed; a negative cost gives it back.
-func (b *bucket) debit(now time.Time, cost int64, draw func() float64) {
+// debit subtracts a cost; a negative cost is a refund.
+func (b *bucket) debit(now time.Time, cost int64, random func() float64) {
 	b.advance(now)
 	b.level -= float64(cost)
-	b.turn = draw()
+	b.jitter = random()
 }
 
-// retryAfter returns when the cost will be there, and counts it as promised.
+// retryAfter returns the time until the bucket covers the cost, and adds the cost to those
+// promised.
 func (b *bucket) retryAfter(cost float64) time.Duration {
 	rate := b.rate()
 	if rate <= 0 {
 		return noRateRetry
 	}
 	missing := max(cost+b.promised-b.level, 0)
-	b.promised = min(b.promised+cost, rate*longestPromise.Seconds())
+	b.promised = min(b.promised+cost, rate*maxPromise.Seconds())
 	return time.Duration(missing / rate * float64(time.Second))
 }
 
-// set puts another limit or share in force. What is in the bucket stays.
-//
-// Failure: the fleet falls apart. Until each part has noticed, it lets pass what the
-// others do too, which is taken off the part that loses it.
-func (b *bucket) set(now time.Time, l Limit, share float64) {
+// update changes the limit and the share. The balance stays, except that a bucket that loses
+// part of its share is debited with what the other side of the partition passes on that part
+// until it notices: until each side has noticed, both pass requests on the same share.
+func (b *bucket) update(now time.Time, l Limit, share float64) {
 	b.advance(now)
 	if lost := b.share - share; lost > 0 {
-		b.level -= lost * l.Rate * noticeTime.Seconds()
+		b.level -= lost * l.Rate * detectionDelay.Seconds()
 	}
 	b.limit, b.share = l, share
 	b.level = min(b.level, b.capacity())
--- a/quota/counted_test.go
+++ b/quota/counted_test.go
@@ -6,18 +6,20 @@
 	"time"
 )
 
-// An endpoint's rate as the fleet keeps to it, and what it tolerates.
+// The rate limit of an endpoint, the window in which it is checked, and the load as a
+// multiple of the rate.
 const (
 	countedBurst  = 2
 	countedWindow = 4 * time.Second
 	countedLoad   = 8
 )
 
-// countedTolerance is what an endpoint may get beyond its rate and the burst in a window: half
-// as much again and five requests.
+// countedTolerance returns how many requests beyond its rate and the burst an endpoint
+// tolerates in a window: half of the rate and five requests.
 func countedTolerance(l Limit) float64 { return 0.5*l.Rate*countedWindow.Seconds() + 5 - l.Burst }
 
-// newCountedModel is a fleet that is sent many times what an endpoint takes, in requests.
+// newCountedModel returns a fleet whose quota counts requests. runCounted sends it many
+// times the rate that the endpoint accepts.
 func newCountedModel(size int, rate float64, seed uint64) *fleetModel {
 	m := newFleetModel(size, Limit{Rate: rate, Burst: countedBurst}, seed)
 	m.counted, m.judged, m.tolerated = true, countedWindow, countedTolerance
@@ -28,9 +30,9 @@
 	m.run(modelTime, func(time.Duration) float64 { return countedLoad })
 }
 
-// Guards against an endpoint that takes few requests a second getting more than it tolerates
-// from the fleet, whatever fails, and against a fleet that leaves most of its rate unused.
-func TestFailuresSendNoMoreThanAnEndpointTakes(t *testing.T) {
+// Guards against an endpoint with a low rate limit getting more requests from the fleet than
+// it tolerates, whatever fails, and against a fleet that leaves most of the rate unused.
+func TestFailuresDoNotExceedAnEndpointsRate(t *testing.T) {
 	for _, c := range []struct {
 		size int
 		rate float64
@@ -46,17 +48,18 @@
 					t.Errorf("the worst window uses %.2f of the tolerance", x)
 				}
 				if f.name == "nothing fails" && used < 0.9 {
-					t.Errorf("%.2f of the rate is used", used)
+					t.Errorf("only %.2f of the rate is used", used)
 				}
 			})
 		}
 	}
 }
 
-// TestCountedWays prints the ways for an endpoint's rate: go test ./quota -run CountedWays -v -ways.
+// TestCountedWays compares the ways to enforce an endpoint's rate: go test ./quota -run
+// CountedWays -v -ways.
 func TestCountedWays(t *testing.T) {
 	if !*compareWays {
-		t.Skip("a comparison by hand: -ways")
+		t.Skip("a comparison that is run by hand with -ways")
 	}
 	for _, size := range []int{8, 65} {
 		for _, rate := range []float64{1.3, 5} {
--- a/quota/failures_test.go
+++ b/quota/failures_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// smallLimit lets three long prompts a second pass over the whole fleet, largeLimit a
+// smallLimit lets three long prompts per second pass over the whole fleet, largeLimit a
 // hundred.
 var (
 	smallLimit = Limit{Rate: 36_000, Burst: 36_000, Unit: Tokens}
@@ -16,23 +16,23 @@
 
 const (
 	modelTime = 30 * time.Second
-	// mostExcess is how much of the tolerance may be used in any failure.
-	mostExcess = 0.8
-	calmLoad   = 0.55
-	hotLoad    = 2.6
+	// maxExcess is the fraction of the tolerance that may be used in any failure.
+	maxExcess  = 0.8
+	normalLoad = 0.55
+	highLoad   = 2.6
 )
 
-func calm(time.Duration) float64 { return calmLoad }
+func atNormalLoad(time.Duration) float64 { return normalLoad }
 
-// hot is a load far above the limit for 12 s.
-func hot(t time.Duration) float64 {
+// overload returns a load far above the limit for 12 s.
+func overload(t time.Duration) float64 {
 	if t > 8*time.Second && t < 20*time.Second {
-		return hotLoad
+		return highLoad
 	}
-	return calmLoad
+	return normalLoad
 }
 
-// failures are what happens to a fleet while an organisation sends far more than its
+// failures are the faults that are injected while an organisation sends far more than its
 // quota.
 var failures = []struct {
 	name  string
@@ -40,17 +40,17 @@
 }{
 	{"nothing fails", func(*fleetModel) {}},
 	{"all schedulers are killed", func(m *fleetModel) {
-		m.at(10*time.Second, func() { m.killFor(2*time.Second, 0, modelSched) })
+		m.at(10*time.Second, func() { m.killFor(2*time.Second, 0, modelSchedulers) })
 	}},
 	{"one scheduler freezes for 5 s and wakes", func(m *fleetModel) {
 		m.at(10*time.Second, func() { m.frozen[0] = true })
 		m.at(15*time.Second, func() { m.frozen[0] = false })
 	}},
-	{"a third of the instances is cut off", func(m *fleetModel) {
+	{"a third of the instances is partitioned", func(m *fleetModel) {
 		m.at(10*time.Second, func() { m.split(func(i int) int { return btoi(i%3 == 2) }) })
 		m.at(18*time.Second, func() { m.split(func(int) int { return 0 }) })
 	}},
-	{"a third of the instances is alone, each by itself", func(m *fleetModel) {
+	{"a third of the instances is isolated, each one alone", func(m *fleetModel) {
 		m.at(10*time.Second, func() {
 			m.split(func(i int) int {
 				if i%3 == 2 {
@@ -61,24 +61,24 @@
 		})
 		m.at(18*time.Second, func() { m.split(func(int) int { return 0 }) })
 	}},
-	{"three parts that do not hear each other", func(m *fleetModel) {
+	{"three parts that cannot reach each other", func(m *fleetModel) {
 		m.at(10*time.Second, func() { m.split(func(i int) int { return i % 3 }) })
 		m.at(18*time.Second, func() { m.split(func(int) int { return 0 }) })
 	}},
-	{"two schedulers do not hear each other", func(m *fleetModel) {
-		m.at(9*time.Second, func() { m.deaf[[2]int{0, 1}], m.deaf[[2]int{1, 0}] = true, true })
+	{"two schedulers cannot reach each other", func(m *fleetModel) {
+		m.at(9*time.Second, func() { m.blocked[[2]int{0, 1}], m.blocked[[2]int{1, 0}] = true, true })
 	}},
-	{"a scheduler is heard and hears nobody", func(m *fleetModel) {
+	{"a scheduler sends reports and receives none", func(m *fleetModel) {
 		m.at(9*time.Second, func() {
 			for i := 1; i < m.size; i++ {
-				m.deaf[[2]int{i, 0}] = true
+				m.blocked[[2]int{i, 0}] = true
 			}
 		})
 	}},
-	{"a scheduler hears and is not heard", func(m *fleetModel) {
+	{"a scheduler receives reports and sends none", func(m *fleetModel) {
 		m.at(9*time.Second, func() {
 			for i := 1; i < m.size; i++ {
-				m.deaf[[2]int{0, i}] = true
+				m.blocked[[2]int{0, i}] = true
 			}
 		})
 	}},
@@ -92,7 +92,7 @@
 			m.at(8*time.Second+time.Duration(i)*12*time.Second/time.Duration(m.size), func() { m.killFor(time.Second, i, i+1) })
 		}
 	}},
-	{"reports are lost, late and doubled", func(m *fleetModel) { m.loss, m.late, m.twice = 0.1, 0.1, 0.1 }},
+	{"reports are lost, late and duplicated", func(m *fleetModel) { m.loss, m.late, m.twice = 0.1, 0.1, 0.1 }},
 	{"the quota is lowered far below what is sent, and raised again", func(m *fleetModel) {
 		low := m.limit
 		low.Rate, low.Burst = low.Rate/4, low.Burst/4
@@ -112,13 +112,13 @@
 func (m *fleetModel) killFor(d time.Duration, from, to int) {
 	for i := from; i < min(to, m.size); i++ {
 		m.kill(i)
-		m.in(d+time.Duration(m.rng.IntN(300))*time.Millisecond, func() { m.boot(i) })
+		m.in(d+time.Duration(m.rng.IntN(300))*time.Millisecond, func() { m.startInstance(i) })
 	}
 }
 
-func (m *fleetModel) split(part func(i int) int) {
+func (m *fleetModel) split(partition func(i int) int) {
 	for i := range m.size {
-		m.part[i] = part(i)
+		m.partition[i] = partition(i)
 	}
 }
 
@@ -135,9 +135,9 @@
 	return 0
 }
 
-// Guards against a fleet that lets more pass than the limit and its tolerance, whatever
-// fails while an organisation sends far too much.
-func TestFailuresLetNoMorePassThanTheLimit(t *testing.T) {
+// Guards against a fleet that passes more than the limit and its tolerance, whatever fails
+// while an organisation sends far too much.
+func TestFailuresDoNotExceedTheLimit(t *testing.T) {
 	for _, size := range []int{8, 65} {
 		for name, limit := range map[string]Limit{"small": smallLimit, "large": largeLimit} {
 			for _, f := range failures {
@@ -145,9 +145,9 @@
 					for seed := range uint64(2) {
 						m := newFleetModel(size, limit, seed)
 						f.setup(m)
-						m.run(modelTime, hot)
-						if x := m.excess(); x > mostExcess {
-							t.Errorf("seed %d: the worst window uses %.2f of the tolerance, at most %.1f", seed, x, mostExcess)
+						m.run(modelTime, overload)
+						if x := m.excess(); x > maxExcess {
+							t.Errorf("seed %d: the worst window uses %.2f of the tolerance, at most %.1f", seed, x, maxExcess)
 						}
 						t.Logf("seed %d: excess %.2f, passed %.2f of the rate", seed, m.excess(), float64(m.total())/limit.Rate/modelTime.Seconds())
 					}
@@ -157,9 +157,9 @@
 	}
 }
 
-// perfect is what one bucket that knows all would let pass in calm: what costs no more
-// than it holds, or finds it full.
-func perfect(l Limit, seed uint64) (total int64) {
+// singleBucket returns what one bucket with complete information would pass at normal load:
+// requests that cost no more than its level, or that find it full.
+func singleBucket(l Limit, seed uint64) (total int64) {
 	m := newFleetModel(1, l, seed)
 	level, last := l.Burst, m.now
 	m.decided = func(cost int64) {
@@ -169,46 +169,48 @@
 			total += cost
 		}
 	}
-	m.run(modelTime, calm)
+	m.run(modelTime, atNormalLoad)
 	return total
 }
 
-// Guards against a fleet that refuses what one perfect bucket would let pass, also where
-// one long prompt costs more than an instance's part of the quota.
-func TestCalmFleetLetsPassWhatOneBucketWould(t *testing.T) {
+// Guards against a fleet that refuses what a single bucket would pass, including when one
+// long prompt costs more than an instance's share of the quota.
+func TestFleetAtNormalLoadPassesWhatASingleBucketWould(t *testing.T) {
 	for name, limit := range map[string]Limit{"small": smallLimit, "large": largeLimit} {
 		for seed := range uint64(4) {
 			m := newFleetModel(65, limit, seed)
-			m.run(modelTime, calm)
-			if share := float64(m.total()) / float64(perfect(limit, seed)); share < 0.97 {
-				t.Errorf("%s, seed %d: passed %.3f of what one bucket passes", name, seed, share)
+			m.run(modelTime, atNormalLoad)
+			if share := float64(m.total()) / float64(singleBucket(limit, seed)); share < 0.97 {
+				t.Errorf("%s, seed %d: passed %.3f of what a single bucket passes", name, seed, share)
 			}
 		}
 	}
 }
 
-// ways has the comparison of who decides printed: go test ./quota -run Ways -v -ways.
-var compareWays = flag.Bool("ways", false, "compare who decides what may pass, at several sizes of the fleet")
+// compareWays enables the comparisons of where quotas are decided: go test ./quota -run Ways
+// -v -ways.
+var compareWays = flag.Bool("ways", false, "compare the ways to decide what may pass, at several sizes of the fleet")
 
-// TestWays prints for each way the worst excess over the failures and what passes in calm.
+// TestWays prints for each way the worst excess over all failures and what passes at normal
+// load.
 func TestWays(t *testing.T) {
 	if !*compareWays {
-		t.Skip("a comparison by hand: -ways")
+		t.Skip("a comparison that is run by hand with -ways")
 	}
 	for _, size := range []int{8, 65, 195, 1000} {
 		for name, limit := range map[string]Limit{"small": smallLimit, "large": largeLimit} {
-			one := perfect(limit, 0)
+			one := singleBucket(limit, 0)
 			for w := bucketsByReach; w <= sharesByDemand; w++ {
 				m := newFleetModel(size, limit, 0)
 				m.way = w
-				m.run(modelTime, calm)
+				m.run(modelTime, atNormalLoad)
 				calmShare := float64(m.total()) / float64(one)
 				worst, at, served := 0.0, "", 0.0
 				for _, f := range failures {
 					m := newFleetModel(size, limit, 0)
 					m.way = w
 					f.setup(m)
-					m.run(modelTime, hot)
+					m.run(modelTime, overload)
 					served += float64(m.total()) / limit.Rate / modelTime.Seconds() / float64(len(failures))
 					if x := m.excess(); x > worst {
 						worst, at = x, f.name
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -7,67 +7,72 @@
 	"time"
 )
 
-// Times of the model: how long reports take, how long a silent instance counts as heard
-// of, how long a request looks for a scheduler before it is decided alone, and the window
-// over which what passed is judged.
+// Parameters of the model: the latency of reports, how long an unresponsive instance counts
+// as live, how long a request looks for a scheduler before its instance decides alone, the
+// window over which the passed cost is checked, the number of schedulers, and the size up to
+// which all instances of a fleet are schedulers.
 const (
-	modelLag    = 12 * time.Millisecond
-	modelHeard  = 1100 * time.Millisecond
-	modelAlone  = 300 * time.Millisecond
-	modelWindow = 8 * time.Second
-	modelSched  = 5
-	modelSmall  = 16
+	modelLag        = 12 * time.Millisecond
+	modelLiveFor    = 1100 * time.Millisecond
+	modelFallback   = 300 * time.Millisecond
+	modelWindow     = 8 * time.Second
+	modelSchedulers = 5
+	smallFleet      = 16
 )
 
-// fleetModel is a fleet in virtual time: instances with a book each, schedulers that
-// report to each other, callers of one organisation.
+// fleetModel simulates a fleet in virtual time: instances with a book each, schedulers that
+// report to each other, and callers of one organisation.
 type fleetModel struct {
 	size  int
 	limit Limit
 	rng   *rand.Rand
-	// callers draws what callers send, the same for each size of the fleet.
+	// callers generates the requests, the same for each size of the fleet.
 	callers *rand.Rand
 	now     time.Time
 	start   time.Time
 	books   []*Book
 	alive   []bool
-	// frozen instances neither decide nor take in reports.
+	// frozen instances neither decide nor process reports.
 	frozen []bool
-	// part separates instances that do not hear each other.
-	part []int
-	// deaf says of pairs that reports from the first do not reach the second.
-	deaf map[[2]int]bool
-	// loss, twice and late are shares of the reports that are lost, come twice or half a
-	// second late.
+	// partition is the partition of each instance; instances in different ones cannot
+	// communicate.
+	partition []int
+	// blocked are the pairs of instances where messages from the first do not reach the
+	// second.
+	blocked map[[2]int]bool
+	// loss, twice and late are the fractions of reports that are lost, duplicated or delayed
+	// by half a second.
 	loss, twice, late float64
-	lastHeard         [][]time.Time
+	lastSeen          [][]time.Time
 	queue             events
 	passed            []passed
 	refused           int
-	// decided replaces the decision where it is set.
+	// decided replaces the decision if it is set.
 	decided func(cost int64)
 	way     way
-	// demand is each instance's smoothed demand, for sharesByDemand.
+	// demand is the smoothed demand of each instance, for sharesByDemand.
 	demand []float64
-	// counted says that each request costs 1, and judged over what window what passed is
-	// judged; tolerated is how much more than the limit names may pass in it.
+	// counted reports whether each request costs 1. judged is the window over which the
+	// passed cost is checked, and tolerated returns how much more than the limit may pass in
+	// it.
 	counted   bool
 	judged    time.Duration
 	tolerated func(l Limit) float64
 }
 
-// way is who decides what may pass.
+// way is where it is decided what may pass.
 type way int
 
 const (
-	// bucketsByReach: a bucket at each scheduler, of the share of those that it hears.
+	// bucketsByReach: each scheduler has a bucket with the share of the instances that it
+	// reaches.
 	bucketsByReach way = iota
-	// wholeBuckets: a bucket at each scheduler, of the whole quota.
+	// wholeBuckets: each scheduler has a bucket with the whole quota.
 	wholeBuckets
-	// oneHolder: the first scheduler alone decides, asked for each request; an instance
-	// that does not reach it refuses.
+	// oneHolder: only the first scheduler decides and is asked for each request; an instance
+	// that cannot reach it refuses.
 	oneHolder
-	// evenShares and sharesByDemand: each instance decides on a share of its own.
+	// evenShares and sharesByDemand: each instance decides on its own share.
 	evenShares
 	sharesByDemand
 )
@@ -81,7 +86,7 @@
 	cost int64
 }
 
-// event is something to do at a time.
+// event is an action scheduled at a time.
 type event struct {
 	at time.Time
 	do func()
@@ -102,52 +107,53 @@
 func newFleetModel(size int, l Limit, seed uint64) *fleetModel {
 	m := &fleetModel{
 		size: size, limit: l, rng: rand.New(rand.NewPCG(seed, 1)), callers: rand.New(rand.NewPCG(seed, 2)), now: time.Unix(1000, 0), start: time.Unix(1000, 0),
-		books: make([]*Book, size), alive: make([]bool, size), frozen: make([]bool, size), part: make([]int, size),
-		demand: make([]float64, size),
-		deaf:   map[[2]int]bool{}, lastHeard: make([][]time.Time, size),
+		books: make([]*Book, size), alive: make([]bool, size), frozen: make([]bool, size), partition: make([]int, size),
+		demand:  make([]float64, size),
+		blocked: map[[2]int]bool{}, lastSeen: make([][]time.Time, size),
 		judged: modelWindow, tolerated: tokenTolerance,
 	}
 	for i := range size {
-		m.lastHeard[i] = make([]time.Time, size)
-		m.boot(i)
+		m.lastSeen[i] = make([]time.Time, size)
+		m.startInstance(i)
 	}
-	m.at(0, m.beat)
+	m.at(0, m.heartbeat)
 	return m
 }
 
-// boot starts an instance anew.
-func (m *fleetModel) boot(i int) {
+// startInstance starts an instance with empty state.
+func (m *fleetModel) startInstance(i int) {
 	m.books[i] = NewBook(m.now, string(rune('a'+i)), uint64(m.now.UnixNano()))
-	m.books[i].draw = m.rng.Float64
+	m.books[i].random = m.rng.Float64
 	m.books[i].SetLimits(m.now, map[string]Limit{"o": m.limit})
 	m.alive[i] = true
-	clear(m.lastHeard[i])
+	clear(m.lastSeen[i])
 	m.reachOf(i)
 }
 
 func (m *fleetModel) kill(i int) { m.alive[i] = false }
 
-// at does something d after the start.
+// at schedules an action at d after the start.
 func (m *fleetModel) at(d time.Duration, do func()) {
 	heap.Push(&m.queue, event{m.start.Add(d), do})
 }
 
 func (m *fleetModel) in(d time.Duration, do func()) { heap.Push(&m.queue, event{m.now.Add(d), do}) }
 
-// hears reports whether what i says reaches j.
-func (m *fleetModel) hears(j, i int) bool {
-	return m.alive[i] && m.alive[j] && !m.frozen[i] && m.part[i] == m.part[j] && !m.deaf[[2]int{i, j}]
+// receives reports whether messages from i reach j.
+func (m *fleetModel) receives(j, i int) bool {
+	return m.alive[i] && m.alive[j] && !m.frozen[i] && m.partition[i] == m.partition[j] && !m.blocked[[2]int{i, j}]
 }
 
-// beat has all instances hear each other, and schedulers repeat what is short.
-func (m *fleetModel) beat() {
+// heartbeat updates which instances are live to each other, and makes schedulers repeat the
+// usage of low accounts.
+func (m *fleetModel) heartbeat() {
 	for j := range m.size {
 		if !m.alive[j] || m.frozen[j] {
 			continue
 		}
 		for i := range m.size {
-			if m.hears(j, i) || m.relayed(j, i) {
-				m.lastHeard[j][i] = m.now
+			if m.receives(j, i) || m.relayed(j, i) {
+				m.lastSeen[j][i] = m.now
 			}
 		}
 		m.reachOf(j)
@@ -159,27 +165,28 @@
 			}
 		}
 	}
-	m.in(100*time.Millisecond, m.beat)
+	m.in(100*time.Millisecond, m.heartbeat)
 }
 
-// reports says whether schedulers report to each other what they let pass.
+// reports reports whether schedulers report to each other what they pass.
 func (m *fleetModel) reports() bool { return m.way == bucketsByReach || m.way == wholeBuckets }
 
-// relayed reports whether an instance that is no scheduler is heard of through others.
+// relayed reports whether an instance that is not a scheduler is known to be live through
+// others.
 func (m *fleetModel) relayed(j, i int) bool {
-	return m.alive[i] && !m.frozen[i] && m.part[i] == m.part[j] && m.size > modelSmall && !m.isScheduler(i)
+	return m.alive[i] && !m.frozen[i] && m.partition[i] == m.partition[j] && m.size > smallFleet && !m.isScheduler(i)
 }
 
-func (m *fleetModel) heardLately(j, i int) bool {
-	return i == j || m.now.Sub(m.lastHeard[j][i]) < modelHeard
+func (m *fleetModel) isLive(j, i int) bool {
+	return i == j || m.now.Sub(m.lastSeen[j][i]) < modelLiveFor
 }
 
-// schedulersOf are the schedulers as an instance knows them: the first ones that it has
-// heard of.
+// schedulersOf returns the schedulers as an instance knows them: the first ones that are
+// live to it.
 func (m *fleetModel) schedulersOf(j int) []int {
 	var list []int
 	for i := range m.size {
-		if m.heardLately(j, i) && (len(list) < modelSched || m.size <= modelSmall) {
+		if m.isLive(j, i) && (len(list) < modelSchedulers || m.size <= smallFleet) {
 			list = append(list, i)
 		}
 	}
@@ -187,22 +194,22 @@
 }
 
 func (m *fleetModel) isScheduler(j int) bool {
-	if m.size <= modelSmall {
+	if m.size <= smallFleet {
 		return true
 	}
 	before := 0
 	for i := range j {
-		if m.heardLately(j, i) {
+		if m.isLive(j, i) {
 			before++
 		}
 	}
-	return before < modelSched
+	return before < modelSchedulers
 }
 
 func (m *fleetModel) reachOf(j int) {
 	r := Reach{Scheduler: m.isScheduler(j), Listed: m.size, Peers: len(m.schedulersOf(j)) - 1}
 	for i := range m.size {
-		if m.heardLately(j, i) {
+		if m.isLive(j, i) {
 			r.Heard++
 		}
 	}
@@ -219,16 +226,18 @@
 }
 
 const (
-	// demandMemory and spareShare are those of shares by demand.
+	// demandMemory is the time constant of demand in s, and spareShare the fraction of the
+	// quota that is divided evenly, for sharesByDemand.
 	demandMemory = 4.0
 	spareShare   = 0.1
 )
 
-// shareByDemand sets the share of an instance by what those that it hears report.
+// shareByDemand sets the share of an instance from the demand of the instances that are live
+// to it.
 func (m *fleetModel) shareByDemand(j int) {
 	sum := 0.0
 	for i := range m.size {
-		if m.heardLately(j, i) {
+		if m.isLive(j, i) {
 			sum += m.demand[i]
 		}
 	}
@@ -243,11 +252,11 @@
 	m.demand[j] *= math.Exp(-0.1 / demandMemory)
 }
 
-// report brings a usage to the other schedulers. In a small fleet all are, and reports go
-// to all that are listed.
+// report sends a usage to the other schedulers. In a small fleet all instances are
+// schedulers, and reports go to all that are listed.
 func (m *fleetModel) report(from int, u Usage) {
 	for _, to := range m.receivers(from) {
-		if to == from || m.rng.Float64() < m.loss || !m.hears(to, from) {
+		if to == from || m.rng.Float64() < m.loss || !m.receives(to, from) {
 			continue
 		}
 		copies, lag := 1, modelLag
@@ -264,7 +273,7 @@
 }
 
 func (m *fleetModel) receivers(from int) []int {
-	if m.size > modelSmall {
+	if m.size > smallFleet {
 		return m.schedulersOf(from)
 	}
 	all := make([]int, m.size)
@@ -284,7 +293,7 @@
 	}
 }
 
-// request is one of the organisation's, at any instance that lives.
+// request sends a request of the organisation to a random instance, if it runs.
 func (m *fleetModel) request(cost int64) {
 	if m.decided != nil {
 		m.decided(cost)
@@ -296,7 +305,8 @@
 	}
 }
 
-// decide has a request decided by a scheduler, or alone where none answers.
+// decide lets a scheduler decide on a request, or the instance itself if no scheduler
+// answers.
 func (m *fleetModel) decide(at int, c Charge, since time.Time) {
 	if !m.alive[at] {
 		return
@@ -308,7 +318,7 @@
 	}
 	if m.way == oneHolder {
 		holder := m.schedulersOf(at)[0]
-		if holder == at || m.hears(holder, at) && m.hears(at, holder) {
+		if holder == at || m.receives(holder, at) && m.receives(at, holder) {
 			m.settle(holder, at, c, since)
 		}
 		return
@@ -320,7 +330,7 @@
 	list := m.schedulersOf(at)
 	m.rng.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	for _, s := range list {
-		if s != at && m.hears(s, at) && m.hears(at, s) {
+		if s != at && m.receives(s, at) && m.receives(at, s) {
 			if !m.isScheduler(s) {
 				continue
 			}
@@ -328,14 +338,14 @@
 			return
 		}
 	}
-	if m.now.Sub(since) < modelAlone {
+	if m.now.Sub(since) < modelFallback {
 		m.in(80*time.Millisecond, func() { m.decide(at, c, since) })
 		return
 	}
 	m.settle(at, at, c, since)
 }
 
-// settle has one instance decide on the request of another.
+// settle lets one instance decide on a request of another.
 func (m *fleetModel) settle(by, at int, c Charge, since time.Time) {
 	d := m.books[by].Ask(m.now, c, false)
 	switch {
@@ -352,7 +362,8 @@
 	}
 }
 
-// run plays until d after the start. load is the demand as a multiple of the rate.
+// run runs the simulation until d after the start. load is the demand as a multiple of the
+// rate.
 func (m *fleetModel) run(d time.Duration, load func(time.Duration) float64) {
 	m.at(0, func() { m.arrive(d, load) })
 	for m.queue.Len() > 0 && m.queue[0].at.Sub(m.start) < d {
@@ -362,7 +373,7 @@
 	}
 }
 
-// Sizes of requests: one in five is a long prompt.
+// Sizes of requests: one in five is a long prompt. They arrive in groups of clump.
 const (
 	longCost   = 12_000
 	shortCost  = 2_400
@@ -382,7 +393,7 @@
 	return int64(max(mean*math.Exp(m.callers.NormFloat64()*costSpread-costSpread*costSpread/2), 100))
 }
 
-// arrive has requests come in clumps.
+// arrive sends requests in groups.
 func (m *fleetModel) arrive(until time.Duration, load func(time.Duration) float64) {
 	t := m.now.Sub(m.start)
 	if t >= until {
@@ -399,7 +410,7 @@
 	m.in(time.Duration(m.callers.ExpFloat64()/perSecond*float64(time.Second)), func() { m.arrive(until, load) })
 }
 
-// excess is the most that passed in a window beyond what the limit names, as a part of
+// excess returns the largest cost that passed in a window beyond the limit, as a fraction of
 // the tolerance.
 func (m *fleetModel) excess() float64 {
 	worst, sum, from := 0.0, 0.0, 0
@@ -415,12 +426,12 @@
 	return (worst - named) / m.tolerated(m.limit)
 }
 
-// tokenTolerance is what may pass beyond what a quota of tokens names.
+// tokenTolerance returns what may pass beyond a quota of tokens.
 func tokenTolerance(l Limit) float64 {
 	return (l.Rate*modelWindow.Seconds()+l.Burst)*tolerance + toleranceTokens
 }
 
-// The tolerance that a fleet is given over what the limit names.
+// The tolerance of a fleet beyond its limit.
 const (
 	tolerance       = 0.1
 	toleranceTokens = 140_000
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,40 +1,40 @@
-// Package quota decides which requests a quota lets pass over the whole fleet: that of an
-// organisation, or the rate that an endpoint takes. It does no I/O and takes the time as an
-// argument.
+// Package quota decides which requests are within a quota over the whole fleet: the quota of
+// an organisation, or the rate that an endpoint accepts. It does no I/O and takes the time
+// as an argument.
 //
-// Each instance that places requests has a token bucket for each account and debits it with what it lets pass and with what the others report. Nobody holds the
-// quota, so nobody's loss stops it; a fleet that is apart divides it by the number of
-// instances on each side.
+// Each instance that places requests has a token bucket for each account. It debits the
+// bucket with the requests that it passes itself and with those that other instances report.
+// No instance owns a quota, so the loss of an instance does not block it; the sides of a
+// partitioned fleet split it by their numbers of instances.
 package quota
 
 import "time"
 
-// Unit is what a quota counts.
+// Unit is the unit in which a quota counts.
 type Unit int
 
-// The units.
+// The units of a quota.
 const (
 	Requests Unit = iota
 	Tokens
 )
 
-// Limit is the quota of one account over the whole fleet. The zero value is no
-// limit.
+// Limit is the quota of one account over the whole fleet. The zero value is unlimited.
 type Limit struct {
-	// Rate is what may pass in a second, in units of Unit.
+	// Rate is the number of units that may pass per second.
 	Rate float64
-	// Burst may pass at once after a time of rest.
+	// Burst is the number of units that may pass at once after an idle period.
 	Burst float64
 	Unit  Unit
 	// Unsized is the cost in tokens of a request that states no number of tokens.
 	Unsized int64
 }
 
-// Limited reports whether there is a limit.
+// Limited reports whether the account has a limit.
 func (l Limit) Limited() bool { return l.Rate > 0 }
 
-// Cost returns what a request counts against the limit. sized says that the request
-// states its number of tokens.
+// Cost returns the cost of a request in units of the limit. sized reports whether the
+// request states its number of tokens.
 func (l Limit) Cost(tokens int64, sized bool) int64 {
 	switch {
 	case l.Unit == Requests:
@@ -45,79 +45,77 @@
 	return l.Unsized
 }
 
-// Charge is what one send of a request counts. The zero value counts nothing.
+// Charge is the cost of one attempt to run a request. The zero value costs nothing.
 type Charge struct {
-	// Account names whose quota it is.
+	// Account is the name of the account that is charged.
 	Account string
-	// Tokens is the size that the request states; Sized says that it states one.
+	// Tokens is the size that the request states; Sized reports whether it states one.
 	Tokens int64
 	Sized  bool
-	// Cost in units of the limit; Book.Price sets it.
+	// Cost is in units of the limit; Book.Price sets it.
 	Cost int64
 }
 
-// Outcome is what becomes of a request.
+// Outcome is the result of a quota decision.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a quota decision.
 const (
-	// Pass: it is within the quota.
+	// Pass: the request is within the quota.
 	Pass Outcome = iota
-	// Unknown: this instance has just started and does not know yet what others let
-	// pass. The request should be asked for again in a moment.
+	// Unknown: this instance has just started and does not yet know what other instances
+	// have passed. The caller should ask again in a moment.
 	Unknown
-	// Over: it is above the quota.
+	// Over: the request exceeds the quota.
 	Over
 )
 
-// Decision says whether a request may be sent, and why.
+// Decision is the decision whether a request may be sent, with the reasons.
 type Decision struct {
 	Outcome Outcome
-	// RetryAfter is when the request's cost will be there, after that of those
-	// refused before it.
+	// RetryAfter is the time until the bucket covers the request's cost, after the costs of
+	// the requests refused before it.
 	RetryAfter time.Duration
 	// Cost of the request.
 	Cost int64
-	// Balance of the bucket, in units; below 0 where more has passed than is there.
+	// Balance of the bucket in units; negative if more has passed than it had.
 	Balance float64
-	// Share is the part of the quota that was decided on.
+	// Share is the fraction of the quota on which the deciding instance decides.
 	Share float64
 }
 
-// Usage reports what one instance has let pass for one account since its start.
-// It is a state and not an event: one that is lost, late or doubled does no harm once
-// a newer one has come.
+// Usage reports what one instance has passed for one account since its start. It is a state
+// and not an event: a lost, late or duplicate report does no harm once a newer one has
+// arrived.
 type Usage struct {
 	Instance    string
 	Incarnation uint64
-	// Number rises with each report of the instance.
+	// Number increases with each report of the instance.
 	Number  uint64
 	Account string
-	// Total is what passed since the start, less what did not run; Last is the part
-	// that this report adds.
+	// Total is the cost passed since the start, less that of requests that did not run. Last
+	// is the part of it that this report adds.
 	Total, Last int64
-	// Short says that the instance's bucket is, which then holds Balance.
+	// Short reports whether the instance's bucket is low; Balance is set only then.
 	Short   bool
 	Balance float64
 }
 
-// Reach says how much of the fleet an instance decides for.
+// Reach describes the part of the fleet for which an instance decides.
 type Reach struct {
-	// Scheduler says that it decides for all instances that it hears; otherwise it
-	// decides only for itself, when it reaches no scheduler.
+	// Scheduler reports whether the instance decides for all live instances known to it.
+	// Otherwise it decides only for itself, when it reaches no scheduler.
 	Scheduler bool
-	// Peers is how many other schedulers it hears of.
+	// Peers is the number of other live schedulers known to this instance.
 	Peers int
-	// Heard and Listed count instances, this one included: those it hears of, and all.
-	// Listed is 0 while that is not known.
+	// Heard and Listed are numbers of instances, including this one: those known to be live,
+	// and all. Listed is 0 while it is unknown.
 	Heard, Listed int
 }
 
-// share is the part of each quota that the instance may let pass. The shares of
-// instances that do not hear each other add up to 1 at most.
-//
-// Failure: the fleet is apart. With the whole quota on each side, the fleet would let
-// pass a multiple of it.
+// share returns the fraction of each quota that the instance may pass. The shares of
+// instances that cannot communicate add up to at most 1: in a partitioned fleet that used
+// the whole quota on each side, a multiple of it would pass.
 func (r Reach) share() float64 {
 	switch {
 	case r.Listed <= 0:
