--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock is the time source that decisions and duties are given, so
-// that tests can run them in virtual time.
+// Package clock provides the time source of the other packages, so that tests can run them
+// in virtual time.
 package clock
 
 import (
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// Clock tells the time.
+// Clock returns the current time.
 type Clock interface {
 	Now() time.Time
 }
 
-// System is the machine's clock. Under testing/synctest it is the bubble's.
+// System is the system clock. Under testing/synctest it is the bubble's clock.
 type System struct{}
 
 // Now returns the current time with its monotonic reading.
 func (System) Now() time.Time { return time.Now() }
 
-// Sleep blocks for d, or until ctx ends; then it returns the cause. With a d of
-// zero or less it returns at once.
+// Sleep blocks for d, or until ctx ends; then it returns the cause. If d is zero or less it
+// returns at once.
 func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 || ctx.Err() != nil {
 		return context.Cause(ctx)
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -9,63 +9,63 @@
 )
 
 const (
-	// burst is how many requests an endpoint gets at once after a time of rest. What is
-	// sent at the same moment by several schedulers comes on top.
+	// burst is the number of requests that an endpoint may get at once after an idle period.
+	// Requests that several schedulers send at the same moment come on top.
 	burst = 2
-	// leastPerSecond is the rate kept to where an endpoint takes less: only an answer tells
-	// that its need is over.
-	leastPerSecond = 0.25
+	// minPerSecond is the lowest rate at which a limited endpoint is still sent requests:
+	// only a response shows that its limit has been lifted.
+	minPerSecond = 0.25
 )
 
-// Limits decides which endpoints take a request now, by the rates that they name and by
-// what the whole fleet has sent. Any goroutine may use it; no method blocks on anything but
-// its mutex.
+// Limits decides which endpoints take a request now, from the rate limits that they
+// advertise and from what the whole fleet has sent. It is safe for concurrent use; no method
+// blocks except on its mutexes.
 //
-// Load: a few endpoints of a pool are in need while the pool is busy, and what they take is
-// less than one request a second for each instance. Harm prevented: with a part of the rate
-// at each instance, most of it is lost in fractions; with all of it, the endpoint gets a
-// multiple. The schedulers share it as they do an organisation's quota.
+// In a busy pool the limit of an endpoint may be below one request per second for each
+// instance. If the rate were divided between the instances, most of it would be lost to
+// fractions; if each instance used all of it, the endpoint would get a multiple. So the
+// schedulers share it in the same way as an organisation's quota.
 type Limits struct {
 	registry *Registry
 	book     *quota.Book
 
-	// changing keeps the book's limits in the order of the registry's changes.
+	// changing makes the book's limits change in the same order as the registry's.
 	changing sync.Mutex
-	// limited are the endpoints with a limit. It is replaced, never changed: each decision
-	// looks at every endpoint of a pool.
+	// limited are the endpoints with a limit. The map is replaced and never modified, so
+	// that it can be read without a lock: each decision looks up every endpoint of a pool.
 	limited atomic.Pointer[map[string]Rate]
 }
 
-// NewLimits returns limits of an instance that starts now. incarnation rises with each
-// start.
+// NewLimits returns the limits of an instance that starts now. incarnation increases with
+// each start.
 func NewLimits(now time.Time, self string, incarnation uint64) *Limits {
 	return &Limits{registry: NewRegistry(), book: quota.NewBook(now, self, incarnation)}
 }
 
-// Take takes in a statement.
+// Take applies a statement and returns what it has changed.
 func (l *Limits) Take(now time.Time, s Statement) Change {
 	l.changing.Lock()
 	defer l.changing.Unlock()
 	c := l.registry.Take(s)
 	if c.Changed {
-		l.putInForce(now)
+		l.updateBook(now)
 	}
 	return c
 }
 
-// putInForce hands the registry's limits to the book; the mutex is held.
-func (l *Limits) putInForce(now time.Time) {
+// updateBook copies the registry's limits to the book. The caller must hold l.changing.
+func (l *Limits) updateBook(now time.Time) {
 	limited := map[string]Rate{}
 	quotas := map[string]quota.Limit{}
 	for _, s := range l.registry.InForce() {
 		limited[s.Endpoint] = s.Rate
-		quotas[s.Endpoint] = quota.Limit{Rate: max(s.Rate.PerSecond, leastPerSecond), Burst: burst}
+		quotas[s.Endpoint] = quota.Limit{Rate: max(s.Rate.PerSecond, minPerSecond), Burst: burst}
 	}
 	l.book.SetLimits(now, quotas)
 	l.limited.Store(&limited)
 }
 
-// Rate returns the limit in force of an endpoint.
+// Rate returns the current limit of an endpoint.
 func (l *Limits) Rate(endpoint string) Rate {
 	if m := l.limited.Load(); m != nil {
 		return (*m)[endpoint]
@@ -73,24 +73,24 @@
 	return Rate{}
 }
 
-// Limited reports whether an endpoint names a rate.
+// Limited reports whether an endpoint has a rate limit.
 func (l *Limits) Limited(endpoint string) bool { return l.Rate(endpoint).Limited }
 
-// Free reports whether an endpoint that names a rate takes another request now. reserve is
-// the part of the burst that has to be left afterwards, from 0 to 1.
+// Free reports whether an endpoint with a rate limit takes another request now. reserve is
+// the fraction of the burst, from 0 to 1, that must be left afterwards.
 func (l *Limits) Free(now time.Time, endpoint string, reserve float64) bool {
 	return l.book.Holds(now, endpoint, 1, reserve)
 }
 
-// FreeIn returns how long it is until an endpoint takes a request that is refused now, after
-// those refused before it. ok is false while this instance has just started and does not know
-// yet what others have sent.
+// FreeIn returns the time until an endpoint takes a request that is refused now, after those
+// refused before it. ok is false while this instance has just started and does not yet know
+// what other instances have sent.
 func (l *Limits) FreeIn(now time.Time, endpoint string) (d time.Duration, ok bool) {
 	return l.book.Promise(now, endpoint, 1)
 }
 
-// Charge counts a run that is sent to an endpoint. The usage has to be reported to the
-// other schedulers; ok is false where the endpoint has no limit.
+// Charge counts a run that is sent to an endpoint. The returned usage has to be reported to
+// the other schedulers; ok is false if the endpoint has no limit.
 func (l *Limits) Charge(now time.Time, run uint64, endpoint string) (u quota.Usage, ok bool) {
 	if !l.Limited(endpoint) {
 		return quota.Usage{}, false
@@ -98,41 +98,41 @@
 	return l.book.Charge(now, run, quota.Charge{Account: endpoint, Cost: 1})
 }
 
-// Reported takes in what another scheduler has sent.
+// Reported applies the usage report of another scheduler.
 func (l *Limits) Reported(now time.Time, u quota.Usage) { l.book.Reported(now, u) }
 
-// Short returns what to report again; see quota.Book.
+// Short returns the usage to report again; see quota.Book.
 func (l *Limits) Short(now, since time.Time) []quota.Usage { return l.book.Short(now, since) }
 
-// SetReach replaces for how much of the fleet this instance decides.
+// SetReach replaces the part of the fleet for which this instance decides.
 func (l *Limits) SetReach(now time.Time, r quota.Reach) { l.book.SetReach(now, r) }
 
-// InForce returns a statement for each limit in force, in the order of the endpoints.
+// InForce returns a statement for each current limit, sorted by endpoint.
 func (l *Limits) InForce() []Statement { return l.registry.InForce() }
 
-// Sweep drops what is not needed any more; exists reports whether an endpoint may still be
-// sent requests.
+// Sweep drops state that is no longer needed. exists reports whether an endpoint may still
+// be sent requests.
 func (l *Limits) Sweep(now time.Time, exists func(endpoint string) bool) {
 	l.changing.Lock()
 	defer l.changing.Unlock()
 	if l.registry.Sweep(now, exists) {
-		l.putInForce(now)
+		l.updateBook(now)
 	}
 	l.book.Sweep(now)
 }
 
-// View is the state of one endpoint's limit, for operators.
+// View is the state of one endpoint's limit in the state dump.
 type View struct {
 	Endpoint string  `json:"endpoint"`
 	Rate     float64 `json:"rate"`
-	// Balance is how many requests it takes at once, Share the part of the rate that this
-	// instance decides on.
+	// Balance is the number of requests that the endpoint takes at once. Share is the
+	// fraction of the rate on which this instance decides.
 	Balance float64 `json:"balance"`
 	Share   float64 `json:"share"`
 	Passed  int64   `json:"passed_here"`
 }
 
-// Views returns the state of all limits in force, in the order of the endpoints.
+// Views returns the state of all current limits, sorted by endpoint.
 func (l *Limits) Views(now time.Time) []View {
 	list := []View{}
 	for _, v := range l.book.Views(now) {
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -10,8 +10,8 @@
 	"github.com/sardinedock/sardinedock/quota"
 )
 
-// alone returns the limits of a fleet of one instance, with one endpoint's rate in force, long
-// after the start.
+// alone returns the limits of the only instance of a fleet with one endpoint's rate limit,
+// and a time long after the start.
 func alone(rate Rate) (*Limits, time.Time) {
 	l := NewLimits(start, "i", 1)
 	l.SetReach(start, quota.Reach{Scheduler: true, Heard: 1, Listed: 1})
@@ -20,7 +20,7 @@
 	return l, now
 }
 
-// sender sends to one endpoint whenever that is free.
+// sender sends requests to one endpoint as far as its limit allows.
 type sender struct {
 	limits *Limits
 	run    uint64
@@ -35,9 +35,9 @@
 	return true
 }
 
-// Guards against an urgent request that is refused while less urgent ones use up what an
-// endpoint in need takes: 5 of each come a second, and it takes 2.
-func TestUrgentRequestsGoFirst(t *testing.T) {
+// Guards against an urgent request being refused while less urgent ones use up the limit of
+// an endpoint: 5 of each arrive per second, and the limit is 2.
+func TestUrgentRequestsAreSentFirst(t *testing.T) {
 	l, now := alone(limited(2))
 	s := sender{limits: l}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -56,9 +56,9 @@
 	}
 }
 
-// Guards against less urgent requests that get nothing though few urgent ones come: one in
-// two seconds, at an endpoint that takes 2 a second.
-func TestLessUrgentRequestsGetTheRest(t *testing.T) {
+// Guards against less urgent requests never being sent although few urgent ones arrive: one
+// in two seconds, at a limit of 2 per second.
+func TestLessUrgentRequestsUseTheRemainingRate(t *testing.T) {
 	l, now := alone(limited(2))
 	s := sender{limits: l}
 	const seconds = 60
@@ -77,9 +77,9 @@
 	}
 }
 
-// Guards against an endpoint that gets no request any more since it once took none: only
-// an answer tells that it takes some again.
-func TestEndpointThatTookNothingIsAskedAgain(t *testing.T) {
+// Guards against an endpoint that never gets a request again after it advertised a limit of
+// 0: only a response shows that the limit has changed.
+func TestEndpointWithZeroRateIsStillProbed(t *testing.T) {
 	l, now := alone(limited(0))
 	s := sender{limits: l}
 	sent := 0
@@ -95,17 +95,17 @@
 	l.Take(now, Statement{Endpoint: "e", SentAt: now, AnsweredAt: now})
 	for range 10 {
 		if !s.send(now, 1) {
-			t.Fatal("held back though the endpoint names no limit any more")
+			t.Fatal("held back although the endpoint's limit has been lifted")
 		}
 	}
 }
 
-// Guards against refused callers that all come back for the same free place.
-func TestRefusedCallersAreToldTheirTurns(t *testing.T) {
+// Guards against refused callers that all retry at the same time.
+func TestRefusedCallersGetConsecutiveRetryTimes(t *testing.T) {
 	l, now := alone(limited(2))
 	s := sender{limits: l}
 	for s.send(now, 0) {
-		// What may be sent at once is sent.
+		// Use up the burst.
 	}
 	last := time.Duration(0)
 	for n := range 5 {
@@ -117,9 +117,9 @@
 	}
 }
 
-// Guards against an endpoint that gets more than half as much again as it takes, and five
-// requests, in any 4 s, whatever its rate does and however many want to go there.
-func TestNoWindowHasMoreThanTheEndpointTolerates(t *testing.T) {
+// Guards against an endpoint getting more than 1.5 times its rate and five requests in any 4
+// s, whatever its rate and the demand.
+func TestNoWindowExceedsTheEndpointsTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 30).Draw(t, "rate")
 		l, now := alone(limited(rate))
@@ -146,9 +146,10 @@
 	})
 }
 
-// Guards against a burst from all instances at the moment at which an endpoint takes one more
-// request: each has callers waiting that look again every few ms, and a report takes 12 ms.
-func TestWaitingCallersOfAllInstancesDoNotRushIn(t *testing.T) {
+// Guards against a burst from all instances at the moment when an endpoint takes one more
+// request: each instance has waiting requests that are decided again every few ms, and a
+// report takes 12 ms.
+func TestWaitingRequestsOfAllInstancesDoNotBurst(t *testing.T) {
 	const (
 		instances = 8
 		lag       = 12 * time.Millisecond
@@ -172,7 +173,7 @@
 		}
 		var reports []report
 		var sent []time.Time
-		looks := make([]time.Time, instances)
+		nextLook := make([]time.Time, instances)
 		for end := now.Add(length); now.Before(end); now = now.Add(time.Millisecond) {
 			for len(reports) > 0 && !reports[0].at.After(now) {
 				for n, l := range fleet {
@@ -183,10 +184,10 @@
 				reports = reports[1:]
 			}
 			for n, l := range fleet {
-				if now.Before(looks[n]) {
+				if now.Before(nextLook[n]) {
 					continue
 				}
-				looks[n] = now.Add(lag + time.Duration(rng.Int64N(int64(lag))))
+				nextLook[n] = now.Add(lag + time.Duration(rng.Int64N(int64(lag))))
 				if l.Free(now, "e", 0) {
 					u, _ := l.Charge(now, uint64(len(sent)), "e")
 					reports = append(reports, report{now.Add(lag), n, u})
@@ -202,7 +203,7 @@
 			}
 			worst = max(worst, n)
 		}
-		used := float64(len(sent)) / length.Seconds() / max(rate, leastPerSecond)
+		used := float64(len(sent)) / length.Seconds() / max(rate, minPerSecond)
 		t.Logf("%v a second: at most %d in 4 s, %.2f of the rate used", rate, worst, used)
 		if allowed := 1.5*rate*window.Seconds() + 5; float64(worst) > allowed || used < 0.9 {
 			t.Errorf("%v a second: %d in 4 s, at most %.1f are allowed; %.2f of the rate used", rate, worst, allowed, used)
--- a/ratelimit/registry.go
+++ b/ratelimit/registry.go
@@ -1,6 +1,6 @@
-// Package ratelimit keeps the rates that endpoints in need name in their answers, and
-// decides which sends stay within them over the whole fleet. It does no I/O and takes the
-// time as an argument.
+// Package ratelimit tracks the rate limits that overloaded endpoints advertise in their
+// responses, and decides which requests stay within them over the whole fleet. It does no
+// I/O and takes the time as an argument.
 package ratelimit
 
 import (
@@ -15,10 +15,11 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// Rate is what an endpoint takes from all instances together. The zero value is no limit.
+// Rate is the rate limit of an endpoint for all instances together. The zero value is
+// unlimited.
 type Rate struct {
 	Limited bool `json:"limited"`
-	// PerSecond is in requests a second.
+	// PerSecond is in requests per second.
 	PerSecond float64 `json:"per_second"`
 }
 
@@ -30,7 +31,7 @@
 	return strconv.FormatFloat(r.PerSecond, 'g', -1, 64)
 }
 
-// ParseRate reads a decimal number of requests a second; 0 means that the endpoint takes
+// ParseRate parses a decimal number of requests per second; 0 means that the endpoint takes
 // none. The error is of kind fault.Broken.
 func ParseRate(text string) (Rate, error) {
 	perSecond, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
@@ -40,43 +41,43 @@
 	return Rate{Limited: true, PerSecond: perSecond}, nil
 }
 
-// Statement is what one answer of an endpoint says of its limit.
+// Statement is the rate limit that an endpoint advertised in one response.
 type Statement struct {
 	Endpoint string
 	Rate     Rate
-	// SentAt is when the request was sent, AnsweredAt when the head of its answer came.
-	// The endpoint made the statement in between.
+	// SentAt is when the request was sent, and AnsweredAt when the header of the response
+	// arrived. The endpoint made the statement at some time in between.
 	SentAt, AnsweredAt time.Time
 }
 
-// Change is what a statement has changed.
+// Change is the effect of a statement on an endpoint's limit.
 type Change struct {
 	Changed     bool
 	Before, Now Rate
 }
 
-// Registry has the limits in force, by endpoint. Any goroutine may use it; no method
-// blocks on anything but its mutex.
+// Registry keeps the current limits by endpoint. It is safe for concurrent use; no method
+// blocks except on the mutex.
 type Registry struct {
 	mu    sync.Mutex
 	known map[string]*known
 }
 
-// known is the limit of one endpoint that has named one.
+// known is the limit of one endpoint that has advertised one.
 type known struct {
 	rate Rate
-	// sentAt and answeredAt are the latest of the statements that agree with it.
+	// sentAt and answeredAt are the latest times of the statements with this rate.
 	sentAt, answeredAt time.Time
 }
 
 // NewRegistry returns a registry without limits.
 func NewRegistry() *Registry { return &Registry{known: map[string]*known{}} }
 
-// Take takes in a statement.
+// Take applies a statement and returns what it has changed.
 //
-// Failure: answers cross on their way, and one that was made earlier comes later. It may
-// neither lift a limit nor bring an old one back. Of two statements that may have been made
-// in either order, the stricter holds until a request that was sent after both is answered.
+// Responses may overtake each other, so an earlier statement can arrive after a later one;
+// it must neither lift a limit nor restore an old one. Of two statements whose order is
+// unknown the stricter one applies until a request that was sent after both is answered.
 func (r *Registry) Take(s Statement) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -100,7 +101,7 @@
 	return c
 }
 
-// supersededBy reports whether a statement takes the place of what is known.
+// supersededBy reports whether a statement replaces the known limit.
 func (k *known) supersededBy(s Statement) bool {
 	switch {
 	case k.rate == s.Rate, !s.AnsweredAt.After(k.sentAt):
@@ -111,7 +112,7 @@
 	return s.Rate.stricter(k.rate)
 }
 
-// stricter reports whether a limit lets less pass than another one.
+// stricter reports whether a limit is lower than another one.
 func (r Rate) stricter(than Rate) bool {
 	return r.Limited && (!than.Limited || r.PerSecond < than.PerSecond)
 }
@@ -123,7 +124,7 @@
 	return a
 }
 
-// Rate returns the limit in force of an endpoint.
+// Rate returns the current limit of an endpoint.
 func (r *Registry) Rate(endpoint string) Rate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -133,7 +134,7 @@
 	return Rate{}
 }
 
-// InForce returns a statement for each limit in force, in the order of the endpoints.
+// InForce returns a statement for each current limit, sorted by endpoint.
 func (r *Registry) InForce() []Statement {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,12 +148,12 @@
 	return list
 }
 
-// forgetAfter is for how long what a limit was is kept once it is lifted or its endpoint
-// is gone: longer than answers are on their way.
+// forgetAfter is how long the state of a limit is kept after it was lifted or its endpoint
+// was removed: longer than any response takes to arrive.
 const forgetAfter = time.Minute
 
-// Sweep drops what is not needed any more; exists reports whether an endpoint may still be
-// sent requests. It reports whether a limit in force is among it.
+// Sweep drops state that is no longer needed. exists reports whether an endpoint may still
+// be sent requests. changed reports whether a current limit was dropped.
 func (r *Registry) Sweep(now time.Time, exists func(endpoint string) bool) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,14 +1,15 @@
-// Package rendezvous chooses among names by rendezvous hashing: whoever has the same
-// list of names makes the same choice without asking anybody, and a name that comes or
-// goes changes only the choices that fell on it.
+// Package rendezvous implements rendezvous hashing: all instances with the same list of
+// names make the same choice without communication, and adding or removing a name changes
+// only the choices of that name.
 package rendezvous
 
 import "github.com/zeebo/xxh3"
 
-// Score ranks a name for a key; the highest comes first.
+// Score returns the score of a name for a key; the name with the highest score is chosen
+// first.
 func Score(key, name string) uint64 { return xxh3.HashStringSeed(name, xxh3.HashString(key)) }
 
-// First returns the name that comes first for a key; empty without names.
+// First returns the name with the highest score for a key; empty if there are no names.
 func First(key string, names []string) string {
 	seed := xxh3.HashString(key)
 	first, best := "", uint64(0)
@@ -21,8 +22,8 @@
 	return first
 }
 
-// Rank returns how many of the names come before self for a key. Self need not be
-// among them.
+// Rank returns how many of the names are chosen before self for a key. self need not be one
+// of the names.
 func Rank(key, self string, names []string) int {
 	seed := xxh3.HashString(key)
 	own := xxh3.HashStringSeed(self, seed)
@@ -35,5 +36,5 @@
 	return ahead
 }
 
-// ScoreOf is Score for a key that is a hash already.
+// ScoreOf is Score for a key that is already a hash.
 func ScoreOf(key uint64, name string) uint64 { return xxh3.HashStringSeed(name, key) }
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -7,9 +7,9 @@
 	"pgregory.net/rapid"
 )
 
-// Two instances count on each other to do a duty. If they rank the same names
-// differently, both do it, or neither.
-func TestAllAgreeOnTheOrder(t *testing.T) {
+// Guards against instances that rank the same names differently: a task that is assigned by
+// rank would be done twice or not at all.
+func TestRankIsIndependentOfListOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 1, 20, rapid.ID[string]).Draw(t, "names")
 		shuffled := rapid.Permutation(names).Draw(t, "order")
@@ -31,9 +31,9 @@
 	})
 }
 
-// An instance ends. If the choices of all others moved with it, each holder would be
-// read anew by another one.
-func TestOneThatGoesMovesOnlyItsOwn(t *testing.T) {
+// Guards against the removal of one name changing the choices of the others, which would
+// make an instance read anew what another one had.
+func TestRemovedNameMovesOnlyItsOwnKeys(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	left := names[1:]
 	for n := range 200 {
--- a/ring/ring.go
+++ b/ring/ring.go
@@ -1,5 +1,5 @@
-// Package ring joins duties by bounded queues. What happens when a queue is
-// full is chosen where the queue is made and counted when it happens.
+// Package ring provides bounded queues between goroutines. The sender chooses what happens
+// when a queue is full; entries that are refused or dropped are counted.
 package ring
 
 import (
@@ -9,13 +9,13 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Ring is a bounded queue between the goroutines of two duties.
+// Ring is a bounded queue between goroutines.
 type Ring[T any] struct {
 	ch      chan T
 	dropped *metrics.Counter
 }
 
-// New returns a ring of the given size. The name labels its metrics.
+// New returns a ring of the given size. name is the label of its metrics.
 func New[T any](name string, size int) *Ring[T] {
 	return &Ring[T]{
 		ch:      make(chan T, size),
@@ -23,8 +23,8 @@
 	}
 }
 
-// Offer adds v, or refuses it and returns false when the ring is full: for
-// work whose sender has a better answer than to wait.
+// Offer adds v, or returns false if the ring is full. It is meant for work whose sender has
+// a better alternative than to wait.
 func (r *Ring[T]) Offer(v T) bool {
 	select {
 	case r.ch <- v:
@@ -35,9 +35,8 @@
 	}
 }
 
-// Push adds v and gives up the oldest entries when the ring is full: for
-// reports of which only the newest matter. It never blocks. It returns how
-// many entries it gave up.
+// Push adds v and drops the oldest entries if the ring is full. It never blocks, and returns
+// the number of entries dropped. It is meant for reports of which only the newest matter.
 func (r *Ring[T]) Push(v T) int {
 	lost := 0
 	for {
@@ -55,8 +54,8 @@
 	}
 }
 
-// Put adds v and blocks while the ring is full, until ctx ends: for work that
-// must not be lost and whose sender is to be slowed down.
+// Put adds v and blocks while the ring is full, or until ctx ends; then it returns the
+// cause. It is meant for work that must not be lost and whose sender should be slowed down.
 func (r *Ring[T]) Put(ctx context.Context, v T) error {
 	select {
 	case r.ch <- v:
@@ -71,8 +70,8 @@
 	}
 }
 
-// C is the receiving end.
+// C returns the receiving end.
 func (r *Ring[T]) C() <-chan T { return r.ch }
 
-// Len is the number of entries now.
+// Len returns the current number of entries.
 func (r *Ring[T]) Len() int { return len(r.ch) }
--- a/ring/ring_test.go
+++ b/ring/ring_test.go
@@ -10,7 +10,7 @@
 func TestOfferRefusesWhenFull(t *testing.T) {
 	r := New[int]("test_offer", 1)
 	if !r.Offer(1) || r.Offer(2) {
-		t.Fatal("want the first taken and the second refused")
+		t.Fatal("want the first accepted and the second refused")
 	}
 	if got := <-r.C(); got != 1 {
 		t.Fatalf("got %d, want 1", got)
