--- a/balance/state.go
+++ b/balance/state.go
@@ -337,10 +337,10 @@
 	}
 }
 
-// Doubt marks an endpoint as suspected, so that until then it is chosen only if there is no
+// Suspect marks an endpoint as suspected, so that until then it is chosen only if there is no
 // other. It is called when another instance reports that the endpoint broke a connection or
 // was unreachable.
-func (s *State) Doubt(id string, until time.Time) {
+func (s *State) Suspect(id string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e, ok := s.endpoints[id]; ok {
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -152,7 +152,7 @@
 	silentTotal.Inc()
 	log.WithField("endpoint", e.ID).WithField("address", e.Address).WithField("requests", len(attempts)).WithField("why", err.Error()).
 		Info("endpoint silent and out of reach")
-	s.cfg.State.Doubt(e.ID, now.Add(silentDoubt))
+	s.cfg.State.Suspect(e.ID, now.Add(silentDoubt))
 	a.req.avoid(e.ID, silentDoubt)
 	for _, x := range attempts {
 		if r := x.req.route; r.Repeatable() || r.Resumable {
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -139,7 +139,7 @@
 func (h receiver) Notice(from string, n *gossippb.Notice) {
 	now := time.Now()
 	if n.GetAvoidMs() > 0 {
-		h.state.Doubt(n.GetEndpoint(), now.Add(time.Duration(n.GetAvoidMs())*time.Millisecond))
+		h.state.Suspect(n.GetEndpoint(), now.Add(time.Duration(n.GetAvoidMs())*time.Millisecond))
 	}
 	if n.GetLoadingMs() > 0 {
 		h.state.Loading(n.GetEndpoint(), now.Add(time.Duration(n.GetLoadingMs())*time.Millisecond))
