--- a/balance/state.go
+++ b/balance/state.go
@@ -366,9 +366,9 @@
 	}
 }
 
-// Gone marks an endpoint as draining when its incarnation is known to have ended, or to
+// MarkDraining marks an endpoint as draining when its incarnation is known to have ended, or to
 // accept no more requests, before the platform's list shows it.
-func (s *State) Gone(id string) {
+func (s *State) MarkDraining(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e, ok := s.endpoints[id]; ok {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -232,7 +232,7 @@
 	switch {
 	case a.head.Mismatch && a.head.Answerer != "" && a.head.Answerer != a.place.Endpoint.Name:
 		log.WithField("endpoint", id).WithField("address", a.place.Endpoint.Address).Info("endpoint gone: another one answers at its address")
-		cfg.State.Gone(id)
+		cfg.State.MarkDraining(id)
 		cfg.Broadcaster.BroadcastNotice(&gossippb.Notice{Endpoint: id, Leaving: true})
 	case a.head.Mismatch && a.req.service.Engine != nil:
 		v := cfg.State.Mismatch(id, a.req.call.Model, a.place.Version, a.head.Version)
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -151,7 +151,7 @@
 		h.state.Holds(n.GetEndpoint(), n.GetModel(), n.GetVersion())
 	}
 	if n.GetLeaving() {
-		h.state.Gone(n.GetEndpoint())
+		h.state.MarkDraining(n.GetEndpoint())
 	}
 	if n.GetRate() != nil {
 		h.rates.noticed(from, n)
--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -298,7 +298,7 @@
 		h.fenced = fence
 		h.mu.Unlock()
 	case Replaced:
-		h.cfg.State.Gone(t.ID)
+		h.cfg.State.MarkDraining(t.ID)
 	}
 	orderFails.Inc()
 	// Whatever the reason, the number of orders is not certain any more.
