--- a/balance/state.go
+++ b/balance/state.go
@@ -357,8 +357,8 @@
 	}
 }
 
-// Soon marks an endpoint as one of the next to load new weights, until then.
-func (s *State) Soon(id string, until time.Time) {
+// LoadingSoon marks an endpoint as one of the next to load new weights, until then.
+func (s *State) LoadingSoon(id string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e, ok := s.endpoints[id]; ok {
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -86,7 +86,7 @@
 }
 
 func (i *Instance) broadcastSoon(endpointID string, d time.Duration) {
-	i.state.Soon(endpointID, time.Now().Add(d))
+	i.state.LoadingSoon(endpointID, time.Now().Add(d))
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, SoonMs: d.Milliseconds()})
 }
 
@@ -145,7 +145,7 @@
 		h.state.Loading(n.GetEndpoint(), now.Add(time.Duration(n.GetLoadingMs())*time.Millisecond))
 	}
 	if n.GetSoonMs() > 0 {
-		h.state.Soon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
+		h.state.LoadingSoon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
 	}
 	if n.GetModel() != "" {
 		h.state.Holds(n.GetEndpoint(), n.GetModel(), n.GetVersion())
