--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -73,7 +73,7 @@
 			t.Fatal("a request went to the endpoint with old weights")
 		}
 	}
-	s.Holds("back", model, 2)
+	s.SetVersion("back", model, 2)
 	if _, p := send(t, s, late, prompt(50, 50)); p.Endpoint.ID != "back" {
 		t.Errorf("the idle endpoint on the new weights was skipped in favour of %s", p.Endpoint.ID)
 	}
@@ -87,7 +87,7 @@
 	s := newPool(2, 1)
 	s.Want(start, model, 2)
 	s.Want(start.Add(4*time.Second), model, 3)
-	s.Holds("e1", model, 2)
+	s.SetVersion("e1", model, 2)
 	for i := range 10 {
 		if _, p := send(t, s, start.Add(8*time.Second), prompt(i, i)); p.Endpoint.ID == "e0" {
 			t.Fatal("a request went to the endpoint that is two versions behind")
@@ -272,7 +272,7 @@
 	if _, p := send(t, s, start, prompt(2, 2)); p.Version != 3 {
 		t.Errorf("a list with the same weights has changed the guess to %d", p.Version)
 	}
-	s.Holds("e0", model, 3)
+	s.SetVersion("e0", model, 3)
 	if v := s.Endpoints("pool", start)[0].Versions[model]; v != 3 {
 		t.Errorf("version %d, want the endpoint's own report of 3", v)
 	}
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -32,9 +32,9 @@
 	return 0
 }
 
-// Holds records the version of a model's weights that an endpoint has reported. Parts that
+// SetVersion records the version of a model's weights that an endpoint has reported. Parts that
 // it had cached under an older version are no longer usable.
-func (s *State) Holds(id, model string, version int64) {
+func (s *State) SetVersion(id, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.endpoints[id]
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -96,7 +96,7 @@
 }
 
 func (i *Instance) broadcastHolds(endpointID, model string, version int64) {
-	i.state.Holds(endpointID, model, version)
+	i.state.SetVersion(endpointID, model, version)
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, Model: model, Version: version})
 }
 
@@ -148,7 +148,7 @@
 		h.state.LoadingSoon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
 	}
 	if n.GetModel() != "" {
-		h.state.Holds(n.GetEndpoint(), n.GetModel(), n.GetVersion())
+		h.state.SetVersion(n.GetEndpoint(), n.GetModel(), n.GetVersion())
 	}
 	if n.GetLeaving() {
 		h.state.MarkDraining(n.GetEndpoint())
