--- a/balance/weights.go
+++ b/balance/weights.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Want records a version of a model's weights that operators have named, first seen now.
-func (s *State) Want(now time.Time, model string, version int64) {
+// SetDesiredVersion records a version of a model's weights that operators have named, first seen now.
+func (s *State) SetDesiredVersion(now time.Time, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.desired[model]
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -65,7 +65,7 @@
 			log.WithError(err).Error("weights not understood")
 			continue
 		}
-		i.state.Want(time.Now(), w.Model, w.Version)
+		i.state.SetDesiredVersion(time.Now(), w.Model, w.Version)
 		i.rollout.Want(w)
 	}
 }
