--- a/balance/backlog_test.go
+++ b/balance/backlog_test.go
@@ -44,9 +44,9 @@
 	}
 	for i, id := range runs {
 		if i%2 == 0 {
-			s.Moved(start, id, Answering)
+			s.SetStage(start, id, Answering)
 		}
-		s.Moved(start, id, Done)
+		s.SetStage(start, id, Done)
 	}
 	for rank := range ranks {
 		if n := s.endpoints["e0"].reading.ahead(rank); n != 0 {
@@ -66,7 +66,7 @@
 			break
 		}
 		id, _ := send(t, s, start, longOutput(asks))
-		s.Moved(start, id, Answering)
+		s.SetStage(start, id, Answering)
 	}
 	if want := 100_000 / (1000 + 4000/2); asks != want {
 		t.Errorf("%d outputs fit into memory, want %d", asks, want)
--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -13,7 +13,7 @@
 func TestNewInstanceUsesReportedCaches(t *testing.T) {
 	old, fresh := newPool(3, 1), newPool(3, 1)
 	id, p := send(t, old, start, prompt(1, 1))
-	old.Moved(start, id, Answering)
+	old.SetStage(start, id, Answering)
 	holder := p.Endpoint.ID
 	fresh.Cached(CacheNews{Holder: holder, Model: model, Whole: true, Added: old.CachedParts(holder, model)})
 	got, _ := fresh.Choose(start, prompt(1, 2))
@@ -44,7 +44,7 @@
 func TestEvictedPartsAreForgotten(t *testing.T) {
 	s := newPool(1, 1)
 	id, p := send(t, s, start, prompt(1, 1))
-	s.Moved(start, id, Answering)
+	s.SetStage(start, id, Answering)
 	s.Cached(CacheNews{Holder: p.Endpoint.ID, Model: model, Removed: []prefix.PartKey{p.Keys[0]}})
 	if got, _ := s.Choose(start, prompt(1, 2)); got.Uncached != 6000 {
 		t.Errorf("%d tokens count as uncached after the eviction, want 6000", got.Uncached)
@@ -81,7 +81,7 @@
 	saved := map[string]int{}
 	for i := range catalogues {
 		run, p := send(t, s, start, prompt(i, i))
-		s.Moved(start, run, Done)
+		s.SetStage(start, run, Done)
 		saved[p.SaveTo]++
 		if again := s.saveTo(&chooser{ask: prompt(i, 1000+i)}, p); again != p.SaveTo {
 			t.Errorf("catalogue %d is kept in %s and in %s", i, p.SaveTo, again)
@@ -101,7 +101,7 @@
 	s.SetKept([]KeptStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
 	finish := func(a Ask) {
 		run, _ := send(t, s, start, a)
-		s.Moved(start, run, Done)
+		s.SetStage(start, run, Done)
 	}
 	finish(prompt(1, 1))
 	for i := range 200 {
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -101,7 +101,7 @@
 func TestRequestsForHotCatalogueAreSpreadWithoutRereading(t *testing.T) {
 	s := newPool(4, 1)
 	first, _ := send(t, s, start, prompt(1, 0))
-	s.Moved(start, first, Answering)
+	s.SetStage(start, first, Answering)
 	per := map[string]int{}
 	var read int64
 	for i := 1; i <= 12; i++ {
@@ -140,7 +140,7 @@
 func TestWallSeparatesCaches(t *testing.T) {
 	s := newPool(1, 1)
 	id, _ := send(t, s, start, prompt(1, 1))
-	s.Moved(start, id, Answering)
+	s.SetStage(start, id, Answering)
 	other := prompt(1, 2)
 	other.Wall = "o/alone"
 	if p, _ := s.Choose(start, other); p.Uncached != other.PromptTokens {
@@ -166,8 +166,8 @@
 	more, _ := send(t, s, start, prompt(9, 9))
 	s.SetEndpoints(endpoints(2, 1))
 	for _, id := range append(runs, more) {
-		s.Moved(start, id, Answering)
-		s.Moved(start, id, Done)
+		s.SetStage(start, id, Answering)
+		s.SetStage(start, id, Done)
 	}
 	for _, v := range s.Endpoints("pool", start) {
 		if v.Running != 0 || v.Reading != 0 || v.Memory != 0 {
@@ -219,7 +219,7 @@
 	var runs []RunID
 	for i := range fits {
 		run, p := send(t, s, start, prompt(i, i))
-		s.Moved(start, run, Answering)
+		s.SetStage(start, run, Answering)
 		runs = append(runs, run)
 		if p.Full {
 			t.Fatalf("no room for prompt %d of %d that fit", i+1, fits)
@@ -240,7 +240,7 @@
 	if got := Admit(timing); got != Refuse {
 		t.Errorf("decision %v for a request that has waited for memory longer than its target, want to refuse", got)
 	}
-	s.Moved(start, runs[0], Done)
+	s.SetStage(start, runs[0], Done)
 	if p, _ := s.Choose(start, prompt(fits+1, fits+1)); p.Full {
 		t.Error("no room after a request has ended")
 	}
--- a/balance/decide_test.go
+++ b/balance/decide_test.go
@@ -65,7 +65,7 @@
 		t.Fatalf("placed for version %d", v.Placement.Version)
 	}
 	s.Misdirected(1, 2)
-	s.Moved(now, 1, Misdirected)
+	s.SetStage(now, 1, Misdirected)
 	if v := s.Decide(now, query(2)); v.Placement.Version != 2 {
 		t.Errorf("placed for version %d, the endpoint has reported version 2", v.Placement.Version)
 	}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -102,7 +102,7 @@
 	for n := range seconds * perSecond {
 		now = now.Add(time.Duration(rng.ExpFloat64() * float64(time.Second) / perSecond))
 		for len(open) > 0 && !open[0].at.After(now) {
-			s.Moved(open[0].at, open[0].run, Done)
+			s.SetStage(open[0].at, open[0].run, Done)
 			open = open[1:]
 		}
 		size := int64(small)
--- a/balance/plain_test.go
+++ b/balance/plain_test.go
@@ -79,10 +79,10 @@
 func (d *plainService) end(e plainEnd) {
 	failed := d.rng.Float64() < d.faulty[e.id] || e.lookup && (e.always || d.rng.Float64() < failsOnce)
 	if !failed {
-		d.state.Moved(d.now, e.run, Done)
+		d.state.SetStage(d.now, e.run, Done)
 		return
 	}
-	d.state.Moved(d.now, e.run, Errored)
+	d.state.SetStage(d.now, e.run, Errored)
 	if e.lookup && !e.again {
 		d.send(true, e.always, true, []string{e.id})
 	}
--- a/balance/runs.go
+++ b/balance/runs.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Moved records that a run has reached a stage.
-func (s *State) Moved(now time.Time, id RunID, stage Stage) {
+// SetStage records that a run has reached a stage.
+func (s *State) SetStage(now time.Time, id RunID, stage Stage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r, ok := s.runs[id]
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -124,7 +124,7 @@
 	if m.NotRun = a.unsent || notRun(stage); m.NotRun {
 		a.req.srv.cfg.Placer.NotRun(a.run)
 	}
-	a.req.srv.cfg.State.Moved(time.Now(), a.run, stage)
+	a.req.srv.cfg.State.SetStage(time.Now(), a.run, stage)
 	a.req.srv.cfg.Broadcaster.ReportStage(m, a.place.PlacedBy)
 }
 
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -94,7 +94,7 @@
 	if v.Admission != balance.Send {
 		return
 	}
-	r.srv.cfg.State.Moved(time.Now(), run, balance.Abandoned)
+	r.srv.cfg.State.SetStage(time.Now(), run, balance.Abandoned)
 	r.srv.cfg.Broadcaster.ReportStage(&gossippb.RunStage{Run: uint64(run), Stage: int32(balance.Abandoned), NotRun: true}, v.Placement.PlacedBy)
 	r.srv.cfg.Placer.NotRun(run)
 }
--- a/hosted/fleetcost_test.go
+++ b/hosted/fleetcost_test.go
@@ -117,7 +117,7 @@
 	}
 	for _, s := range []balance.Stage{balance.Answering, balance.Done} {
 		time.Sleep(50 * time.Millisecond)
-		i.state.Moved(time.Now(), run, s)
+		i.state.SetStage(time.Now(), run, s)
 		i.node.ReportStage(&gossippb.RunStage{Run: uint64(run), Stage: int32(s)}, v.Placement.PlacedBy)
 	}
 }
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -129,7 +129,7 @@
 	if m.GetVersion() > 0 {
 		h.state.Misdirected(balance.RunID(m.GetRun()), m.GetVersion())
 	}
-	h.state.Moved(time.Now(), balance.RunID(m.GetRun()), balance.Stage(m.GetStage()))
+	h.state.SetStage(time.Now(), balance.RunID(m.GetRun()), balance.Stage(m.GetStage()))
 	if m.GetNotRun() {
 		h.placer.NotRun(balance.RunID(m.GetRun()))
 	}
