--- a/balance/cached.go
+++ b/balance/cached.go
@@ -24,9 +24,9 @@
 	Removed []prefix.PartKey
 }
 
-// Cached applies a cache report of an endpoint or a store. Reports take precedence over what
+// UpdateCache applies a cache report of an endpoint or a store. Reports take precedence over what
 // was inferred from requests.
-func (s *State) Cached(n CacheUpdate) {
+func (s *State) UpdateCache(n CacheUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cache := s.cacheFor(n)
--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -68,7 +68,7 @@
 	messages := 0
 	feed = New(Config{
 		Source: s, Owned: func() []Holder { return []Holder{{ID: "e", Address: "a:1", Model: "m"}} },
-		Take: state.Cached, Held: state.CachedParts,
+		Take: state.UpdateCache, Held: state.CachedParts,
 		Tell: func(balance.CacheUpdate) {
 			mu.Lock()
 			defer mu.Unlock()
--- a/hosted/caches.go
+++ b/hosted/caches.go
@@ -67,7 +67,7 @@
 	for _, key := range m.GetRemoved() {
 		n.Removed = append(n.Removed, prefix.PartKey(key))
 	}
-	h.state.Cached(n)
+	h.state.UpdateCache(n)
 }
 
 // SchedulerStarted implements gossip.Handler.
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -198,7 +198,7 @@
 	})
 	i.feed = cachefeed.New(cachefeed.Config{
 		Source: platform.NewControl(i.relays.to), Owned: i.ownedHolders,
-		Take: i.state.Cached, Tell: i.reportCache, Held: i.state.CachedParts,
+		Take: i.state.UpdateCache, Tell: i.reportCache, Held: i.state.CachedParts,
 	})
 	i.followers = map[string]*directory.Follower{}
 	i.follow(platform.KindRecords, i.takeRecords)
