--- a/balance/balance.go
+++ b/balance/balance.go
@@ -129,9 +129,9 @@
 	return n
 }
 
-// KeptStore is a store of cached parts outside the endpoints. Its contents outlive the
+// CacheStore is a store of cached parts outside the endpoints. Its contents outlive the
 // endpoints and eviction from their memory.
-type KeptStore struct {
+type CacheStore struct {
 	Address    string
 	DataCentre string
 	// CacheTokens is the store's capacity in tokens.
--- a/balance/cached.go
+++ b/balance/cached.go
@@ -107,7 +107,7 @@
 
 // cacheStore is the state of one store of cached parts.
 type cacheStore struct {
-	KeptStore
+	CacheStore
 	parts *partCache
 }
 
@@ -118,7 +118,7 @@
 
 // SetKept replaces the list of cache stores. The contents known of stores that stay in the
 // list are retained.
-func (s *State) SetKept(list []KeptStore) {
+func (s *State) SetKept(list []CacheStore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := map[string]*cacheStore{}
@@ -127,7 +127,7 @@
 		if !ok {
 			known = &cacheStore{parts: newPartCache(k.CacheTokens)}
 		}
-		known.KeptStore = k
+		known.CacheStore = k
 		next[k.Address] = known
 	}
 	s.stores = next
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -46,10 +46,10 @@
 	log.WithField("records", t.Version()).WithField("revision", uint64(obj.Version)).WithField("routes", t.Routes()).Info("records in force")
 }
 
-func keptStores(t *route.Table) []balance.KeptStore {
-	var list []balance.KeptStore
+func keptStores(t *route.Table) []balance.CacheStore {
+	var list []balance.CacheStore
 	for _, s := range t.KeptStores() {
-		list = append(list, balance.KeptStore{Address: s.Kept.Address, DataCentre: s.Kept.DataCentre, CacheTokens: s.Kept.CacheTokens})
+		list = append(list, balance.CacheStore{Address: s.Kept.Address, DataCentre: s.Kept.DataCentre, CacheTokens: s.Kept.CacheTokens})
 	}
 	return list
 }
