--- a/balance/cached.go
+++ b/balance/cached.go
@@ -116,9 +116,9 @@
 	return xxh3.HashSeed([]byte(k.Address), uint64(key))
 }
 
-// SetKept replaces the list of cache stores. The contents known of stores that stay in the
+// SetCacheStores replaces the list of cache stores. The contents known of stores that stay in the
 // list are retained.
-func (s *State) SetKept(list []CacheStore) {
+func (s *State) SetCacheStores(list []CacheStore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	next := map[string]*cacheStore{}
--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -55,7 +55,7 @@
 // everything is read anyway.
 func TestEmptyStoreIsNotFetchedFrom(t *testing.T) {
 	s := newPool(2, 1)
-	s.SetKept([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 1_000_000}})
+	s.SetCacheStores([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 1_000_000}})
 	keys := prefix.PartKeys(nil, Scope("all", 1), model, prompt(1, 1).Parts)
 	s.UpdateCache(CacheUpdate{Holder: "kept:1", Added: []CachedPart{{keys[0], 5000}}})
 	if got, _ := s.Choose(start, prompt(1, 2)); got.FetchFrom != "kept:1" {
@@ -76,7 +76,7 @@
 	for _, address := range []string{"kept:1", "kept:2", "kept:3"} {
 		stores = append(stores, CacheStore{Address: address, DataCentre: "dc", CacheTokens: 1_000_000})
 	}
-	s.SetKept(stores)
+	s.SetCacheStores(stores)
 	const catalogues = 60
 	saved := map[string]int{}
 	for i := range catalogues {
@@ -98,7 +98,7 @@
 // store. The next caller would wait until an engine has read the catalogue again.
 func TestShortPromptsDoNotEvictCataloguesFromCacheStore(t *testing.T) {
 	s := newPool(1, 1)
-	s.SetKept([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
+	s.SetCacheStores([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
 	finish := func(a Ask) {
 		run, _ := send(t, s, start, a)
 		s.SetStage(start, run, Done)
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -40,7 +40,7 @@
 		}
 	})
 	i.state.SetPools(pools)
-	i.state.SetKept(keptStores(t))
+	i.state.SetCacheStores(keptStores(t))
 	i.setQuotas(t)
 	i.table.Store(t)
 	log.WithField("records", t.Version()).WithField("revision", uint64(obj.Version)).WithField("routes", t.Routes()).Info("records in force")
