--- a/balance/balance.go
+++ b/balance/balance.go
@@ -43,8 +43,8 @@
 // RunID identifies one attempt to run a request; it is unique over all instances.
 type RunID uint64
 
-// Ask describes a request that needs an endpoint.
-type Ask struct {
+// Request describes a request that needs an endpoint.
+type Request struct {
 	Service string
 	// Model is empty for plain services.
 	Model string
--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -99,13 +99,13 @@
 func TestShortPromptsDoNotEvictCataloguesFromCacheStore(t *testing.T) {
 	s := newPool(1, 1)
 	s.SetCacheStores([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
-	finish := func(a Ask) {
+	finish := func(a Request) {
 		run, _ := send(t, s, start, a)
 		s.SetStage(start, run, Done)
 	}
 	finish(prompt(1, 1))
 	for i := range 200 {
-		finish(Ask{
+		finish(Request{
 			Service: "pool", Model: model, Wall: "all", DataCentre: "dc", OutputTokens: 20, PromptTokens: 680,
 			Parts: []prefix.Part{{ID: fmt.Sprint("topic", i), Tokens: 80}, {ID: fmt.Sprint("text", i), Tokens: 600}},
 		})
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -35,8 +35,8 @@
 }
 
 // prompt returns a request for a shared catalogue followed by a part of its own.
-func prompt(catalogue, own int) Ask {
-	return Ask{
+func prompt(catalogue, own int) Request {
+	return Request{
 		Service: "pool", Model: model, Wall: "all", DataCentre: "dc", OutputTokens: 50, PromptTokens: 6000,
 		Parts: []prefix.Part{{ID: fmt.Sprintf("c%d", catalogue), Tokens: 5000}, {ID: fmt.Sprintf("r%d", own), Tokens: 1000}},
 	}
@@ -45,7 +45,7 @@
 var nextRun RunID
 
 // send places a request and records its start.
-func send(t *testing.T, s *State, now time.Time, a Ask) (RunID, Placement) {
+func send(t *testing.T, s *State, now time.Time, a Request) (RunID, Placement) {
 	t.Helper()
 	p, ok := s.Choose(now, a)
 	if !ok {
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -9,7 +9,7 @@
 
 // Query is the input of Decide.
 type Query struct {
-	Ask
+	Request
 	// Run is the ID that the run gets if the request is sent.
 	Run RunID
 	// Target and Patience are as in Timing. Without a target the request is sent as soon as
@@ -38,7 +38,7 @@
 // Decide chooses an endpoint and decides whether the request is sent now. A request that is
 // sent is counted at the endpoint at once, so that the next decision takes it into account.
 func (s *State) Decide(now time.Time, q Query) Decision {
-	p, ok := s.Choose(now, q.Ask)
+	p, ok := s.Choose(now, q.Request)
 	if !ok && p.PassedOver != "" {
 		return s.refuseAtLimit(now, q, p)
 	}
@@ -86,7 +86,7 @@
 
 // Resolve completes a placement made by another instance with what is known here of the
 // endpoint. ok is false if the endpoint is draining or not listed.
-func (s *State) Resolve(a Ask, p Placement) (Placement, bool) {
+func (s *State) Resolve(a Request, p Placement) (Placement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, listed := s.endpoints[p.Endpoint.ID]
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -153,7 +153,7 @@
 }
 
 func (r *request) query() balance.Query {
-	q := balance.Query{Ask: balance.Ask{
+	q := balance.Query{Request: balance.Request{
 		Service: r.service.Name, DataCentre: r.srv.cfg.DataCentre, Exclude: r.exclude, Again: r.ran > 0,
 		Rank: r.priority(), OutputTokens: r.call.OutputTokens,
 	}}
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -66,7 +66,7 @@
 func (p *placer) Place(ctx context.Context, q balance.Query) (balance.RunID, balance.Decision) {
 	q.Charge = p.quotas.Price(q.Charge)
 	tries := 0
-	for _, to := range p.node.SchedulersFor(placeKey(q.Ask)) {
+	for _, to := range p.node.SchedulersFor(placeKey(q.Request)) {
 		if tries == askTries || ctx.Err() != nil {
 			break
 		}
@@ -90,7 +90,7 @@
 	q.Run = balance.RunID(rand.Uint64())
 	if !p.node.IsScheduler() {
 		// Others that decide alone know as little of each other.
-		q.Turn = placeKey(q.Ask)
+		q.Turn = placeKey(q.Request)
 		alonePlaced.Inc()
 	}
 	return q.Run, p.decide(q)
@@ -134,7 +134,7 @@
 	if !v.Found {
 		return v, true
 	}
-	if v.Placement, ok = p.state.Resolve(q.Ask, v.Placement); !ok {
+	if v.Placement, ok = p.state.Resolve(q.Request, v.Placement); !ok {
 		if v.Admission == balance.Send {
 			p.giveBack(q.Run, to.Name)
 		}
@@ -185,7 +185,7 @@
 // placeKey names what a request shares with others: the last part that is not its own,
 // or the service. Requests with the same key are placed by the same scheduler, which
 // has a part read once and knows a small service exactly.
-func placeKey(a balance.Ask) uint64 {
+func placeKey(a balance.Request) uint64 {
 	if len(a.Parts) < 2 {
 		return xxh3.HashString(a.Service)
 	}
@@ -210,7 +210,7 @@
 	q := balance.Query{
 		Run: balance.RunID(m.GetRun()), Target: micros(m.GetTargetUs()), Patience: micros(m.GetPatienceUs()), Elapsed: micros(m.GetElapsedUs()),
 		Charge: quota.Charge{Account: m.GetOrganisation(), Cost: m.GetCost()},
-		Ask: balance.Ask{
+		Request: balance.Request{
 			Service: m.GetService(), Model: m.GetModel(), Wall: m.GetWall(), PromptTokens: m.GetPromptTokens(), OutputTokens: m.GetOutputTokens(),
 			Rank: int(m.GetRank()), DataCentre: m.GetDataCentre(), Exclude: m.GetExclude(), Again: m.GetAgain(),
 		},
