--- a/balance/balance.go
+++ b/balance/balance.go
@@ -60,8 +60,8 @@
 	DataCentre string
 	// Exclude lists the IDs of endpoints that have been tried already.
 	Exclude []string
-	// Again reports whether the request has been run by an endpoint before and failed.
-	Again bool
+	// Retry reports whether the request has been run by an endpoint before and failed.
+	Retry bool
 	// Turn is the index in the endpoint list at which the comparison starts. It decides
 	// between endpoints of equal cost.
 	Turn uint64
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -61,7 +61,7 @@
 // refuseAtLimit decides on a request for which every endpoint has used up its rate limit. A
 // retry is not refused but waits for its turn, so it gets no FreeIn.
 func (s *State) refuseAtLimit(now time.Time, q Query, p Placement) Decision {
-	if q.Again {
+	if q.Retry {
 		return Decision{Admission: AtLimit, Placement: p}
 	}
 	freeIn, ok := s.limiter().FreeIn(now, p.PassedOver)
@@ -73,7 +73,7 @@
 
 // StartOf returns the Start of a request sent to its placement.
 func StartOf(q Query, p Placement) Start {
-	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Again: q.Again}
+	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Again: q.Retry}
 	if q.Model == "" {
 		return st
 	}
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("admission %v while another endpoint loads, want Wait", d.Admission)
 	}
 	q := orderQuery()
-	q.Again = true
+	q.Retry = true
 	s = limitedState(t, fakeLimits{"e1": true}, "e1")
 	if d := s.Decide(now, q); d.Admission != AtLimit || d.FreeIn != 0 {
 		t.Errorf("request sent again: admission %v, free in %v", d.Admission, d.FreeIn)
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -105,7 +105,7 @@
 		p.quotas.SetReach(now, reach)
 		p.limits.SetReach(now, reach)
 	}
-	if d := p.quotas.Ask(now, q.Charge, q.Again); d.Outcome != quota.Pass {
+	if d := p.quotas.Ask(now, q.Charge, q.Retry); d.Outcome != quota.Pass {
 		return quotaDecision(d)
 	}
 	v := p.state.Decide(now, q)
@@ -197,7 +197,7 @@
 		Run: uint64(q.Run), Service: q.Service, Model: q.Model, Wall: q.Wall, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
 		Rank: int32(q.Rank), DataCentre: q.DataCentre, Exclude: q.Exclude,
 		TargetUs: q.Target.Microseconds(), PatienceUs: q.Patience.Microseconds(), ElapsedUs: q.Elapsed.Microseconds(),
-		Organisation: q.Charge.Account, Cost: q.Charge.Cost, Again: q.Again,
+		Organisation: q.Charge.Account, Cost: q.Charge.Cost, Again: q.Retry,
 	}
 	for _, part := range q.Parts {
 		m.Parts = append(m.Parts, part.ID)
@@ -212,7 +212,7 @@
 		Charge: quota.Charge{Account: m.GetOrganisation(), Cost: m.GetCost()},
 		Request: balance.Request{
 			Service: m.GetService(), Model: m.GetModel(), Wall: m.GetWall(), PromptTokens: m.GetPromptTokens(), OutputTokens: m.GetOutputTokens(),
-			Rank: int(m.GetRank()), DataCentre: m.GetDataCentre(), Exclude: m.GetExclude(), Again: m.GetAgain(),
+			Rank: int(m.GetRank()), DataCentre: m.GetDataCentre(), Exclude: m.GetExclude(), Retry: m.GetAgain(),
 		},
 	}
 	if len(m.GetParts()) != len(m.GetTokens()) {
