--- a/balance/balance.go
+++ b/balance/balance.go
@@ -116,8 +116,8 @@
 	Output   int64
 	// SaveTo is the address of the cache store that keeps the parts once they are read.
 	SaveTo string
-	// Again reports whether the request has failed at another endpoint before.
-	Again bool
+	// Retry reports whether the request has failed at another endpoint before.
+	Retry bool
 }
 
 // size returns the tokens of the request's prompt and output.
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -73,7 +73,7 @@
 
 // StartOf returns the Start of a request sent to its placement.
 func StartOf(q Query, p Placement) Start {
-	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Again: q.Retry}
+	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Retry: q.Retry}
 	if q.Model == "" {
 		return st
 	}
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -254,7 +254,7 @@
 func startMessage(st balance.Start) *gossippb.RunStart {
 	m := &gossippb.RunStart{
 		Run: uint64(st.Run), Endpoint: st.Endpoint, Model: st.Model, Version: st.Version, Rank: int32(st.Rank),
-		Tokens: st.Tokens, Uncached: st.Uncached, Output: st.Output, SaveTo: st.SaveTo, Again: st.Again,
+		Tokens: st.Tokens, Uncached: st.Uncached, Output: st.Output, SaveTo: st.SaveTo, Again: st.Retry,
 	}
 	for _, k := range st.Keys {
 		m.Keys = append(m.Keys, uint64(k))
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -114,7 +114,7 @@
 func (h receiver) Started(m *gossippb.RunStart) {
 	st := balance.Start{
 		Run: balance.RunID(m.GetRun()), Endpoint: m.GetEndpoint(), Model: m.GetModel(), Version: m.GetVersion(), Rank: int(m.GetRank()),
-		Tokens: m.GetTokens(), Uncached: m.GetUncached(), Output: m.GetOutput(), SaveTo: m.GetSaveTo(), Again: m.GetAgain(),
+		Tokens: m.GetTokens(), Uncached: m.GetUncached(), Output: m.GetOutput(), SaveTo: m.GetSaveTo(), Retry: m.GetAgain(),
 	}
 	for _, k := range m.GetKeys() {
 		st.Keys = append(st.Keys, prefix.PartKey(k))
