--- a/balance/balance.go
+++ b/balance/balance.go
@@ -62,9 +62,9 @@
 	Exclude []string
 	// Retry reports whether the request has been run by an endpoint before and failed.
 	Retry bool
-	// Turn is the index in the endpoint list at which the comparison starts. It decides
+	// Offset is the index in the endpoint list at which the comparison starts. It decides
 	// between endpoints of equal cost.
-	Turn uint64
+	Offset uint64
 }
 
 // Placement is the endpoint chosen for a request.
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -71,7 +71,7 @@
 	c := chooser{limits: s.limits, serviceFailures: s.failures[a.Service], ask: a, now: now, keys: map[int64][]prefix.PartKey{}, targets: s.desired[a.Model], tooOld: s.staleBound * staleShare / 100}
 	list := s.byService[a.Service]
 	for i := range list {
-		e := list[(uint64(i)+a.Turn)%uint64(len(list))]
+		e := list[(uint64(i)+a.Offset)%uint64(len(list))]
 		c.slowness, c.version = s.slowness(e), e.version(a.Model)
 		c.consider(e, s.bestSource(&c, list, e))
 	}
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -90,7 +90,7 @@
 	q.Run = balance.RunID(rand.Uint64())
 	if !p.node.IsScheduler() {
 		// Others that decide alone know as little of each other.
-		q.Turn = placeKey(q.Request)
+		q.Offset = placeKey(q.Request)
 		alonePlaced.Inc()
 	}
 	return q.Run, p.decide(q)
