--- a/balance/state.go
+++ b/balance/state.go
@@ -391,7 +391,7 @@
 	Memory  int64 `json:"memory_tokens"`
 	// Avoided endpoints are not chosen at present, suspected ones only if there is no other.
 	Avoided bool    `json:"avoided"`
-	Doubted bool    `json:"doubted"`
+	Suspected bool    `json:"doubted"`
 	Fails   float64 `json:"failure_share"`
 }
 
--- a/hosted/silence_test.go
+++ b/hosted/silence_test.go
@@ -86,7 +86,7 @@
 		t.Errorf("status %d, cut %v", a.status, a.cut)
 	}
 	for _, i := range f.instances {
-		if n := i.state.Endpoints("pool", time.Now()); n[0].Doubted || n[1].Doubted {
+		if n := i.state.Endpoints("pool", time.Now()); n[0].Suspected || n[1].Suspected {
 			t.Error("an endpoint that works is in doubt")
 		}
 	}
