--- a/balance/state.go
+++ b/balance/state.go
@@ -392,7 +392,7 @@
 	// Avoided endpoints are not chosen at present, suspected ones only if there is no other.
 	Avoided bool    `json:"avoided"`
 	Suspected bool    `json:"doubted"`
-	Fails   float64 `json:"failure_share"`
+	FailureRate   float64 `json:"failure_share"`
 }
 
 // Endpoints returns the state of each endpoint of a service, or of all services if the name
