--- a/balance/backlog_test.go
+++ b/balance/backlog_test.go
@@ -14,7 +14,7 @@
 		long.Rank = 4
 		send(t, s, start, long)
 	}
-	short := Request{Service: "pool", Model: model, Wall: "all", DataCentre: "dc", PromptTokens: 600, OutputTokens: 20}
+	short := Ask{Service: "pool", Model: model, Wall: "all", DataCentre: "dc", PromptTokens: 600, OutputTokens: 20}
 	decide := func(rank int) Admission {
 		short.Rank = rank
 		p, ok := s.Choose(start, short)
@@ -74,7 +74,7 @@
 }
 
 // longOutput returns a request for 4,000 output tokens on a prompt of 1,000.
-func longOutput(own int) Request {
+func longOutput(own int) Ask {
 	a := prompt(0, own)
 	a.Parts = a.Parts[1:]
 	a.PromptTokens, a.OutputTokens = 1000, 4000
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -43,8 +43,8 @@
 // RunID identifies one attempt to run a request; it is unique over all instances.
 type RunID uint64
 
-// Request describes a request that needs an endpoint.
-type Request struct {
+// Ask describes a request that needs an endpoint.
+type Ask struct {
 	Service string
 	// Model is empty for plain services.
 	Model string
@@ -60,8 +60,8 @@
 	DataCentre string
 	// Exclude lists the IDs of endpoints that have been tried already.
 	Exclude []string
-	// Retry reports whether the request has been run by an endpoint before and failed.
-	Retry bool
+	// Again reports whether the request has been run by an endpoint before and failed.
+	Again bool
 	// Offset is the index in the endpoint list at which the comparison starts. It decides
 	// between endpoints of equal cost.
 	Offset uint64
@@ -116,8 +116,8 @@
 	Output   int64
 	// SaveTo is the address of the cache store that keeps the parts once they are read.
 	SaveTo string
-	// Retry reports whether the request has failed at another endpoint before.
-	Retry bool
+	// Again reports whether the request has failed at another endpoint before.
+	Again bool
 }
 
 // size returns the tokens of the request's prompt and output.
--- a/balance/cached.go
+++ b/balance/cached.go
@@ -12,9 +12,9 @@
 	Tokens int64
 }
 
-// CacheUpdate is a report of an endpoint on its cache of one model, or of a cache store on its
+// CacheNews is a report of an endpoint on its cache of one model, or of a cache store on its
 // parts.
-type CacheUpdate struct {
+type CacheNews struct {
 	// Holder is the endpoint's ID or the store's address.
 	Holder string
 	Model  string
@@ -26,7 +26,7 @@
 
 // UpdateCache applies a cache report of an endpoint or a store. Reports take precedence over what
 // was inferred from requests.
-func (s *State) UpdateCache(n CacheUpdate) {
+func (s *State) UpdateCache(n CacheNews) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	cache := s.cacheFor(n)
@@ -58,7 +58,7 @@
 	return true
 }
 
-func (s *State) cacheFor(n CacheUpdate) *partCache {
+func (s *State) cacheFor(n CacheNews) *partCache {
 	if k := s.stores[n.Holder]; k != nil {
 		if n.Whole {
 			k.parts = newPartCache(k.CacheTokens)
--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -15,7 +15,7 @@
 	id, p := send(t, old, start, prompt(1, 1))
 	old.SetStage(start, id, Answering)
 	holder := p.Endpoint.ID
-	fresh.UpdateCache(CacheUpdate{Holder: holder, Model: model, Whole: true, Added: old.CachedParts(holder, model)})
+	fresh.UpdateCache(CacheNews{Holder: holder, Model: model, Whole: true, Added: old.CachedParts(holder, model)})
 	got, _ := fresh.Choose(start, prompt(1, 2))
 	if got.Uncached != 1000 {
 		t.Errorf("%d tokens count as uncached, want the request's own 1000", got.Uncached)
@@ -29,7 +29,7 @@
 	if s.Warm("pool") {
 		t.Error("warm before any endpoint has reported its cache")
 	}
-	s.UpdateCache(CacheUpdate{Holder: "e0", Model: model, Whole: true})
+	s.UpdateCache(CacheNews{Holder: "e0", Model: model, Whole: true})
 	if s.Warm("pool") {
 		t.Error("warm with the report of one endpoint missing")
 	}
@@ -45,7 +45,7 @@
 	s := newPool(1, 1)
 	id, p := send(t, s, start, prompt(1, 1))
 	s.SetStage(start, id, Answering)
-	s.UpdateCache(CacheUpdate{Holder: p.Endpoint.ID, Model: model, Removed: []prefix.PartKey{p.Keys[0]}})
+	s.UpdateCache(CacheNews{Holder: p.Endpoint.ID, Model: model, Removed: []prefix.PartKey{p.Keys[0]}})
 	if got, _ := s.Choose(start, prompt(1, 2)); got.Uncached != 6000 {
 		t.Errorf("%d tokens count as uncached after the eviction, want 6000", got.Uncached)
 	}
@@ -57,11 +57,11 @@
 	s := newPool(2, 1)
 	s.SetCacheStores([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 1_000_000}})
 	keys := prefix.PartKeys(nil, Scope("all", 1), model, prompt(1, 1).Parts)
-	s.UpdateCache(CacheUpdate{Holder: "kept:1", Added: []CachedPart{{keys[0], 5000}}})
+	s.UpdateCache(CacheNews{Holder: "kept:1", Added: []CachedPart{{keys[0], 5000}}})
 	if got, _ := s.Choose(start, prompt(1, 2)); got.FetchFrom != "kept:1" {
 		t.Fatalf("fetched from %q, want the store", got.FetchFrom)
 	}
-	s.UpdateCache(CacheUpdate{Holder: "kept:1", Whole: true})
+	s.UpdateCache(CacheNews{Holder: "kept:1", Whole: true})
 	if got, _ := s.Choose(start, prompt(1, 3)); got.FetchFrom != "" {
 		t.Errorf("fetched from %q although the store is empty", got.FetchFrom)
 	}
@@ -99,13 +99,13 @@
 func TestShortPromptsDoNotEvictCataloguesFromCacheStore(t *testing.T) {
 	s := newPool(1, 1)
 	s.SetCacheStores([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
-	finish := func(a Request) {
+	finish := func(a Ask) {
 		run, _ := send(t, s, start, a)
 		s.SetStage(start, run, Done)
 	}
 	finish(prompt(1, 1))
 	for i := range 200 {
-		finish(Request{
+		finish(Ask{
 			Service: "pool", Model: model, Wall: "all", DataCentre: "dc", OutputTokens: 20, PromptTokens: 680,
 			Parts: []prefix.Part{{ID: fmt.Sprint("topic", i), Tokens: 80}, {ID: fmt.Sprint("text", i), Tokens: 600}},
 		})
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -65,7 +65,7 @@
 // arrive while some endpoints are slow, loading or down: a choice by cached parts alone
 // overloads the endpoint that has a hot prefix, and one by load alone makes every endpoint
 // read every prefix.
-func (s *State) Choose(now time.Time, a Request) (Placement, bool) {
+func (s *State) Choose(now time.Time, a Ask) (Placement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := chooser{limits: s.limits, serviceFailures: s.failures[a.Service], ask: a, now: now, keys: map[int64][]prefix.PartKey{}, targets: s.desired[a.Model], tooOld: s.staleBound * staleShare / 100}
@@ -178,7 +178,7 @@
 
 // chooser compares the endpoints for one request.
 type chooser struct {
-	ask     Request
+	ask     Ask
 	now     time.Time
 	keys    map[int64][]prefix.PartKey
 	sources map[int64]source
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -9,7 +9,7 @@
 
 // Query is the input of Decide.
 type Query struct {
-	Request
+	Ask
 	// Run is the ID that the run gets if the request is sent.
 	Run RunID
 	// Target and Patience are as in Timing. Without a target the request is sent as soon as
@@ -38,7 +38,7 @@
 // Decide chooses an endpoint and decides whether the request is sent now. A request that is
 // sent is counted at the endpoint at once, so that the next decision takes it into account.
 func (s *State) Decide(now time.Time, q Query) Decision {
-	p, ok := s.Choose(now, q.Request)
+	p, ok := s.Choose(now, q.Ask)
 	if !ok && p.PassedOver != "" {
 		return s.refuseAtLimit(now, q, p)
 	}
@@ -61,7 +61,7 @@
 // refuseAtLimit decides on a request for which every endpoint has used up its rate limit. A
 // retry is not refused but waits for its turn, so it gets no FreeIn.
 func (s *State) refuseAtLimit(now time.Time, q Query, p Placement) Decision {
-	if q.Retry {
+	if q.Again {
 		return Decision{Admission: AtLimit, Placement: p}
 	}
 	freeIn, ok := s.limiter().FreeIn(now, p.PassedOver)
@@ -73,7 +73,7 @@
 
 // StartOf returns the Start of a request sent to its placement.
 func StartOf(q Query, p Placement) Start {
-	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Retry: q.Retry}
+	st := Start{Run: q.Run, Endpoint: p.Endpoint.ID, Rank: q.Rank, Output: q.OutputTokens, Again: q.Again}
 	if q.Model == "" {
 		return st
 	}
@@ -86,7 +86,7 @@
 
 // Resolve completes a placement made by another instance with what is known here of the
 // endpoint. ok is false if the endpoint is draining or not listed.
-func (s *State) Resolve(a Request, p Placement) (Placement, bool) {
+func (s *State) Resolve(a Ask, p Placement) (Placement, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, listed := s.endpoints[p.Endpoint.ID]
--- a/balance/decide_test.go
+++ b/balance/decide_test.go
@@ -8,7 +8,7 @@
 )
 
 func query(run RunID) Query {
-	return Query{Run: run, Target: time.Second, Patience: 3 * time.Second, Request: Request{
+	return Query{Run: run, Target: time.Second, Patience: 3 * time.Second, Ask: Ask{
 		Service: "pool", Model: "m", Wall: "all", PromptTokens: 9000, OutputTokens: 40,
 		Parts: []prefix.Part{{ID: "catalogue", Tokens: 8000}, {ID: "own", Tokens: 1000}},
 	}}
@@ -36,20 +36,20 @@
 	s := NewState(time.Minute)
 	s.SetEndpoints([]Endpoint{{ID: "a", Service: "pool", Address: "10.0.0.1:80"}})
 	p := Placement{Endpoint: Endpoint{ID: "a"}, Version: 1}
-	got, ok := s.Resolve(query(1).Request, p)
+	got, ok := s.Resolve(query(1).Ask, p)
 	if !ok || got.Endpoint.Address != "10.0.0.1:80" || len(got.Keys) != 2 {
 		t.Errorf("resolved to %+v, %v", got, ok)
 	}
 	s.MarkDraining("a")
-	if _, ok := s.Resolve(query(1).Request, p); ok {
+	if _, ok := s.Resolve(query(1).Ask, p); ok {
 		t.Error("placed at an endpoint that is draining")
 	}
 	b := Placement{Endpoint: Endpoint{ID: "b", Name: "b", Address: "10.0.0.2:80"}}
-	if _, ok := s.Resolve(query(1).Request, b); ok {
+	if _, ok := s.Resolve(query(1).Ask, b); ok {
 		t.Error("placed at an endpoint that is not listed")
 	}
 	s.SetListed(false)
-	if got, ok := s.Resolve(query(1).Request, b); !ok || got.Endpoint.Address != "10.0.0.2:80" {
+	if got, ok := s.Resolve(query(1).Ask, b); !ok || got.Endpoint.Address != "10.0.0.2:80" {
 		t.Errorf("an instance without a list of endpoints resolved to %+v, %v", got, ok)
 	}
 }
--- a/balance/limited.go
+++ b/balance/limited.go
@@ -61,7 +61,7 @@
 // make better use of its limit. A retry need not leave any.
 func (c *chooser) reserve(smaller float64) float64 {
 	switch {
-	case c.ask.Retry:
+	case c.ask.Again:
 		return 0
 	case c.best.endpoint != nil:
 		return 1 - smaller
--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -35,7 +35,7 @@
 	return s
 }
 
-func orderQuery() Query { return Query{Run: 1, Request: Request{Service: "orders", DataCentre: "dc"}} }
+func orderQuery() Query { return Query{Run: 1, Ask: Ask{Service: "orders", DataCentre: "dc"}} }
 
 // Guards against a request that is sent to an endpoint whose rate limit is used up, or waits
 // for it, while another endpoint is available.
@@ -64,7 +64,7 @@
 		t.Errorf("admission %v while another endpoint loads, want Wait", d.Admission)
 	}
 	q := orderQuery()
-	q.Retry = true
+	q.Again = true
 	s = limitedState(t, fakeLimits{"e1": true}, "e1")
 	if d := s.Decide(now, q); d.Admission != AtLimit || d.FreeIn != 0 {
 		t.Errorf("request sent again: admission %v, free in %v", d.Admission, d.FreeIn)
@@ -110,7 +110,7 @@
 			size = large
 		}
 		run := RunID(n + 1)
-		d := s.Decide(now, Query{Run: run, Request: Request{
+		d := s.Decide(now, Query{Run: run, Ask: Ask{
 			Service: "pool", Model: "m", Wall: "all", DataCentre: "dc", PromptTokens: size, OutputTokens: 10,
 			Parts: []prefix.Part{{ID: fmt.Sprint("own", n), Tokens: size}},
 		}})
--- a/balance/plain_test.go
+++ b/balance/plain_test.go
@@ -66,7 +66,7 @@
 
 func (d *plainService) send(lookup, always, again bool, exclude []string) {
 	d.next++
-	v := d.state.Decide(d.now, Query{Run: d.next, Request: Request{Service: "desk", DataCentre: fmt.Sprint("dc-", d.rng.IntN(3)), Exclude: exclude, Retry: again}})
+	v := d.state.Decide(d.now, Query{Run: d.next, Ask: Ask{Service: "desk", DataCentre: fmt.Sprint("dc-", d.rng.IntN(3)), Exclude: exclude, Again: again}})
 	if !v.Found {
 		return
 	}
--- a/balance/runs.go
+++ b/balance/runs.go
@@ -121,7 +121,7 @@
 // Of some requests one in five fails on any endpoint. If the errors of retries counted, the
 // endpoints that get the retries would look faulty, and one of them would get all first
 // attempts while the others idle.
-func (r *run) notEndpointFault(stage Stage) bool { return stage == Errored && r.Retry }
+func (r *run) notEndpointFault(stage Stage) bool { return stage == Errored && r.Again }
 
 const (
 	// failureWeight is the smoothing factor of an endpoint's failure rate: about ten runs
--- a/balance/state.go
+++ b/balance/state.go
@@ -390,9 +390,9 @@
 	Reading int64 `json:"reading_tokens"`
 	Memory  int64 `json:"memory_tokens"`
 	// Avoided endpoints are not chosen at present, suspected ones only if there is no other.
-	Avoided bool    `json:"avoided"`
-	Suspected bool    `json:"doubted"`
-	FailureRate   float64 `json:"failure_share"`
+	Avoided     bool    `json:"avoided"`
+	Suspected   bool    `json:"doubted"`
+	FailureRate float64 `json:"failure_share"`
 }
 
 // Endpoints returns the state of each endpoint of a service, or of all services if the name
--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -108,7 +108,7 @@
 	Owned func() []Holder
 	// Take takes in news here, Tell hands them to the other instances. Neither
 	// may block.
-	Take, Tell func(balance.CacheUpdate)
+	Take, Tell func(balance.CacheNews)
 	// Held returns what a holder is known to hold.
 	Held func(holder, model string) []balance.CachedPart
 }
@@ -182,7 +182,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for h := range f.running {
-		f.tell(balance.CacheUpdate{Holder: h.name(), Model: h.Model, Whole: true, Added: f.cfg.Held(h.name(), h.Model)})
+		f.tell(balance.CacheNews{Holder: h.name(), Model: h.Model, Whole: true, Added: f.cfg.Held(h.name(), h.Model)})
 	}
 }
 
@@ -251,7 +251,7 @@
 	for i, c := range changes {
 		last[prefix.KeyOf(c.Scope, c.Model, c.Part)] = i
 	}
-	n := balance.CacheUpdate{Holder: h.name(), Model: h.Model, Whole: whole}
+	n := balance.CacheNews{Holder: h.name(), Model: h.Model, Whole: whole}
 	for i := len(changes) - 1; i >= 0; i-- {
 		c := changes[i]
 		key := prefix.KeyOf(c.Scope, c.Model, c.Part)
@@ -268,8 +268,8 @@
 }
 
 // tell hands news to the other instances in messages that fit into a datagram.
-func (f *Feed) tell(n balance.CacheUpdate) {
-	part := balance.CacheUpdate{Holder: n.Holder, Model: n.Model, Whole: n.Whole}
+func (f *Feed) tell(n balance.CacheNews) {
+	part := balance.CacheNews{Holder: n.Holder, Model: n.Model, Whole: n.Whole}
 	for {
 		a, r := min(len(n.Added), partsPerMessage/2), min(len(n.Removed), partsPerMessage/2)
 		part.Added, part.Removed = n.Added[:a], n.Removed[:r]
--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -69,7 +69,7 @@
 	feed = New(Config{
 		Source: s, Owned: func() []Holder { return []Holder{{ID: "e", Address: "a:1", Model: "m"}} },
 		Take: state.UpdateCache, Held: state.CachedParts,
-		Tell: func(balance.CacheUpdate) {
+		Tell: func(balance.CacheNews) {
 			mu.Lock()
 			defer mu.Unlock()
 			messages++
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -153,8 +153,8 @@
 }
 
 func (r *request) query() balance.Query {
-	q := balance.Query{Request: balance.Request{
-		Service: r.service.Name, DataCentre: r.srv.cfg.DataCentre, Exclude: r.exclude, Retry: r.ran > 0,
+	q := balance.Query{Ask: balance.Ask{
+		Service: r.service.Name, DataCentre: r.srv.cfg.DataCentre, Exclude: r.exclude, Again: r.ran > 0,
 		Rank: r.priority(), OutputTokens: r.call.OutputTokens,
 	}}
 	if r.organisation != nil {
--- a/hosted/caches.go
+++ b/hosted/caches.go
@@ -43,7 +43,7 @@
 	return rendezvous.First(holder, names) == i.settings.GetInstance()
 }
 
-func (i *Instance) reportCache(n balance.CacheUpdate) {
+func (i *Instance) reportCache(n balance.CacheNews) {
 	m := &gossippb.CacheNews{Holder: n.Holder, Model: n.Model, Whole: n.Whole}
 	for _, p := range n.Added {
 		m.Added = append(m.Added, uint64(p.Key))
@@ -60,7 +60,7 @@
 	if len(m.GetAdded()) != len(m.GetTokens()) {
 		return
 	}
-	n := balance.CacheUpdate{Holder: m.GetHolder(), Model: m.GetModel(), Whole: m.GetWhole()}
+	n := balance.CacheNews{Holder: m.GetHolder(), Model: m.GetModel(), Whole: m.GetWhole()}
 	for k, key := range m.GetAdded() {
 		n.Added = append(n.Added, balance.CachedPart{Key: prefix.PartKey(key), Tokens: m.GetTokens()[k]})
 	}
--- a/hosted/fleetcost_test.go
+++ b/hosted/fleetcost_test.go
@@ -107,11 +107,11 @@
 
 // request decides on one request, tells of it and of its stages.
 func (f *fleet) request(i *Instance, n int) {
-	ask := balance.Request{
+	ask := balance.Ask{
 		Service: "pool", Model: "model", Wall: "all", DataCentre: "dc-0", PromptTokens: 6000, OutputTokens: 40,
 		Parts: []prefix.Part{{ID: fmt.Sprint("company", n%4), Tokens: 2000}, {ID: fmt.Sprint("history", n%900), Tokens: 3000}, {ID: fmt.Sprint("own", n), Tokens: 1000}},
 	}
-	run, v := i.placer.Place(context.Background(), balance.Query{Request: ask, Target: time.Second, Patience: 3 * time.Second})
+	run, v := i.placer.Place(context.Background(), balance.Query{Ask: ask, Target: time.Second, Patience: 3 * time.Second})
 	if v.Admission != balance.Send {
 		return
 	}
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -66,7 +66,7 @@
 func (p *placer) Place(ctx context.Context, q balance.Query) (balance.RunID, balance.Decision) {
 	q.Charge = p.quotas.Price(q.Charge)
 	tries := 0
-	for _, to := range p.node.SchedulersFor(placeKey(q.Request)) {
+	for _, to := range p.node.SchedulersFor(placeKey(q.Ask)) {
 		if tries == askTries || ctx.Err() != nil {
 			break
 		}
@@ -90,7 +90,7 @@
 	q.Run = balance.RunID(rand.Uint64())
 	if !p.node.IsScheduler() {
 		// Others that decide alone know as little of each other.
-		q.Offset = placeKey(q.Request)
+		q.Offset = placeKey(q.Ask)
 		alonePlaced.Inc()
 	}
 	return q.Run, p.decide(q)
@@ -105,7 +105,7 @@
 		p.quotas.SetReach(now, reach)
 		p.limits.SetReach(now, reach)
 	}
-	if d := p.quotas.Ask(now, q.Charge, q.Retry); d.Outcome != quota.Pass {
+	if d := p.quotas.Ask(now, q.Charge, q.Again); d.Outcome != quota.Pass {
 		return quotaDecision(d)
 	}
 	v := p.state.Decide(now, q)
@@ -134,7 +134,7 @@
 	if !v.Found {
 		return v, true
 	}
-	if v.Placement, ok = p.state.Resolve(q.Request, v.Placement); !ok {
+	if v.Placement, ok = p.state.Resolve(q.Ask, v.Placement); !ok {
 		if v.Admission == balance.Send {
 			p.giveBack(q.Run, to.Name)
 		}
@@ -185,7 +185,7 @@
 // placeKey names what a request shares with others: the last part that is not its own,
 // or the service. Requests with the same key are placed by the same scheduler, which
 // has a part read once and knows a small service exactly.
-func placeKey(a balance.Request) uint64 {
+func placeKey(a balance.Ask) uint64 {
 	if len(a.Parts) < 2 {
 		return xxh3.HashString(a.Service)
 	}
@@ -197,7 +197,7 @@
 		Run: uint64(q.Run), Service: q.Service, Model: q.Model, Wall: q.Wall, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
 		Rank: int32(q.Rank), DataCentre: q.DataCentre, Exclude: q.Exclude,
 		TargetUs: q.Target.Microseconds(), PatienceUs: q.Patience.Microseconds(), ElapsedUs: q.Elapsed.Microseconds(),
-		Organisation: q.Charge.Account, Cost: q.Charge.Cost, Again: q.Retry,
+		Organisation: q.Charge.Account, Cost: q.Charge.Cost, Again: q.Again,
 	}
 	for _, part := range q.Parts {
 		m.Parts = append(m.Parts, part.ID)
@@ -210,9 +210,9 @@
 	q := balance.Query{
 		Run: balance.RunID(m.GetRun()), Target: micros(m.GetTargetUs()), Patience: micros(m.GetPatienceUs()), Elapsed: micros(m.GetElapsedUs()),
 		Charge: quota.Charge{Account: m.GetOrganisation(), Cost: m.GetCost()},
-		Request: balance.Request{
+		Ask: balance.Ask{
 			Service: m.GetService(), Model: m.GetModel(), Wall: m.GetWall(), PromptTokens: m.GetPromptTokens(), OutputTokens: m.GetOutputTokens(),
-			Rank: int(m.GetRank()), DataCentre: m.GetDataCentre(), Exclude: m.GetExclude(), Retry: m.GetAgain(),
+			Rank: int(m.GetRank()), DataCentre: m.GetDataCentre(), Exclude: m.GetExclude(), Again: m.GetAgain(),
 		},
 	}
 	if len(m.GetParts()) != len(m.GetTokens()) {
@@ -254,7 +254,7 @@
 func startMessage(st balance.Start) *gossippb.RunStart {
 	m := &gossippb.RunStart{
 		Run: uint64(st.Run), Endpoint: st.Endpoint, Model: st.Model, Version: st.Version, Rank: int32(st.Rank),
-		Tokens: st.Tokens, Uncached: st.Uncached, Output: st.Output, SaveTo: st.SaveTo, Again: st.Retry,
+		Tokens: st.Tokens, Uncached: st.Uncached, Output: st.Output, SaveTo: st.SaveTo, Again: st.Again,
 	}
 	for _, k := range st.Keys {
 		m.Keys = append(m.Keys, uint64(k))
--- a/hosted/placing_test.go
+++ b/hosted/placing_test.go
@@ -87,7 +87,7 @@
 func TestRunsAreKnownToAllSchedulers(t *testing.T) {
 	f := largeFixture(t)
 	asker := f.instances[f.other()]
-	run, v := asker.placer.Place(t.Context(), balance.Query{Request: balance.Request{Service: "orders"}})
+	run, v := asker.placer.Place(t.Context(), balance.Query{Ask: balance.Ask{Service: "orders"}})
 	if v.Admission != balance.Send || v.Placement.PlacedBy == "" {
 		t.Fatalf("decision %+v", v)
 	}
@@ -127,7 +127,7 @@
 	ctx, cancel := context.WithTimeout(t.Context(), wait)
 	defer cancel()
 	f.eventually("requests are placed by them", func() bool {
-		_, v := f.instances[n].placer.Place(ctx, balance.Query{Request: balance.Request{Service: "orders"}})
+		_, v := f.instances[n].placer.Place(ctx, balance.Query{Ask: balance.Ask{Service: "orders"}})
 		return f.instances[n].node.IsScheduler() || v.Placement.PlacedBy != ""
 	})
 }
@@ -141,7 +141,7 @@
 	to := asker.node.SchedulersFor(1)[0]
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
-	if _, ok := asker.placer.ask(ended, to, balance.Query{Run: 7, Request: balance.Request{Service: "orders"}}); ok {
+	if _, ok := asker.placer.ask(ended, to, balance.Query{Run: 7, Ask: balance.Ask{Service: "orders"}}); ok {
 		t.Fatal("a decision came to an ask that was over")
 	}
 	f.eventually("nothing counts at any scheduler", func() bool {
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -65,7 +65,7 @@
 			log.WithError(err).Error("weights not understood")
 			continue
 		}
-		i.state.SetDesiredVersion(time.Now(), w.Model, w.Version)
+		i.state.Want(time.Now(), w.Model, w.Version)
 		i.rollout.Want(w)
 	}
 }
@@ -96,7 +96,7 @@
 }
 
 func (i *Instance) broadcastHolds(endpointID, model string, version int64) {
-	i.state.SetVersion(endpointID, model, version)
+	i.state.Holds(endpointID, model, version)
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, Model: model, Version: version})
 }
 
@@ -114,7 +114,7 @@
 func (h receiver) Started(m *gossippb.RunStart) {
 	st := balance.Start{
 		Run: balance.RunID(m.GetRun()), Endpoint: m.GetEndpoint(), Model: m.GetModel(), Version: m.GetVersion(), Rank: int(m.GetRank()),
-		Tokens: m.GetTokens(), Uncached: m.GetUncached(), Output: m.GetOutput(), SaveTo: m.GetSaveTo(), Retry: m.GetAgain(),
+		Tokens: m.GetTokens(), Uncached: m.GetUncached(), Output: m.GetOutput(), SaveTo: m.GetSaveTo(), Again: m.GetAgain(),
 	}
 	for _, k := range m.GetKeys() {
 		st.Keys = append(st.Keys, prefix.PartKey(k))
@@ -148,7 +148,7 @@
 		h.state.LoadingSoon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
 	}
 	if n.GetModel() != "" {
-		h.state.SetVersion(n.GetEndpoint(), n.GetModel(), n.GetVersion())
+		h.state.Holds(n.GetEndpoint(), n.GetModel(), n.GetVersion())
 	}
 	if n.GetLeaving() {
 		h.state.MarkDraining(n.GetEndpoint())
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -117,7 +117,7 @@
 			Self: "a", Lease: heldLease{}, Control: e, State: state,
 			Pools:   func() map[string][]string { return map[string][]string{"pool": {"m"}} },
 			Soon:    func(string, time.Duration) {},
-			Loading: func(string, time.Duration) {}, Holds: state.SetVersion,
+			Loading: func(string, time.Duration) {}, Holds: state.Holds,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
