--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -109,7 +109,7 @@
 
 // NotRun implements gateway.Placer.
 func (p *placer) NotRun(run balance.RunID) {
-	if u, ok := p.quotas.Return(time.Now(), uint64(run)); ok {
+	if u, ok := p.quotas.Refund(time.Now(), uint64(run)); ok {
 		quotaReturned.Inc()
 		p.node.ReportQuotaUse(useMessage(u))
 	}
--- a/quota/book.go
+++ b/quota/book.go
@@ -222,9 +222,9 @@
 	return b.debit(now, c.Account, c.Cost), true
 }
 
-// Return refunds a run that this instance has charged and that did not run. ok is false if
+// Refund refunds a run that this instance has charged and that did not run. ok is false if
 // this instance has no charge for the run.
-func (b *Book) Return(now time.Time, run uint64) (u Usage, ok bool) {
+func (b *Book) Refund(now time.Time, run uint64) (u Usage, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c, ok := b.charges[run]
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -94,13 +94,13 @@
 func TestChargeIsRefundedOnce(t *testing.T) {
 	b, now := settled(Limit{Rate: 1, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 7, Charge{Account: "o", Cost: 300})
-	if u, ok := b.Return(now, 7); !ok || u.Total != 0 {
+	if u, ok := b.Refund(now, 7); !ok || u.Total != 0 {
 		t.Errorf("refunded: %v, total %d", ok, u.Total)
 	}
-	if _, ok := b.Return(now, 7); ok {
+	if _, ok := b.Refund(now, 7); ok {
 		t.Error("refunded twice")
 	}
-	if _, ok := b.Return(now, 8); ok {
+	if _, ok := b.Refund(now, 8); ok {
 		t.Error("refunded without a charge")
 	}
 }
