--- a/quota/book.go
+++ b/quota/book.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// Decides reports whether the instance decides for others, according to the last SetReach.
-func (b *Book) Decides() bool {
+// IsScheduler reports whether the instance decides for others, according to the last SetReach.
+func (b *Book) IsScheduler() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reach.Scheduler
