--- a/quota/book.go
+++ b/quota/book.go
@@ -180,10 +180,10 @@
 	return d
 }
 
-// Holds reports whether an account's bucket covers a cost now and leaves the reserve, a
+// Covers reports whether an account's bucket covers a cost now and leaves the reserve, a
 // fraction from 0 to 1 of the capacity beyond the cost. It is always true for an account
 // without a limit. A request that is sent must then be charged.
-func (b *Book) Holds(now time.Time, account string, cost, reserve float64) bool {
+func (b *Book) Covers(now time.Time, account string, cost, reserve float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.buckets[account]
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -79,7 +79,7 @@
 // Free reports whether an endpoint with a rate limit takes another request now. reserve is
 // the fraction of the burst, from 0 to 1, that must be left afterwards.
 func (l *Limits) Free(now time.Time, endpoint string, reserve float64) bool {
-	return l.book.Holds(now, endpoint, 1, reserve)
+	return l.book.Covers(now, endpoint, 1, reserve)
 }
 
 // FreeIn returns the time until an endpoint takes a request that is refused now, after those
