--- a/quota/book.go
+++ b/quota/book.go
@@ -193,10 +193,10 @@
 	return k.covers(now, k.required(cost, reserve, b.reach.Peers == 0), b.random)
 }
 
-// Promise returns the time until the bucket covers a cost that is refused now, after the
+// RetryAfter returns the time until the bucket covers a cost that is refused now, after the
 // costs refused before it. ok is false while it is not known yet what other instances have
 // passed.
-func (b *Book) Promise(now time.Time, account string, cost float64) (d time.Duration, ok bool) {
+func (b *Book) RetryAfter(now time.Time, account string, cost float64) (d time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.buckets[account]
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -86,7 +86,7 @@
 // refused before it. ok is false while this instance has just started and does not yet know
 // what other instances have sent.
 func (l *Limits) FreeIn(now time.Time, endpoint string) (d time.Duration, ok bool) {
-	return l.book.Promise(now, endpoint, 1)
+	return l.book.RetryAfter(now, endpoint, 1)
 }
 
 // Charge counts a run that is sent to an endpoint. The returned usage has to be reported to
