--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -126,7 +126,7 @@
 		h.rates.limits.Reported(time.Now(), usage)
 		return
 	}
-	h.quotas.Reported(time.Now(), usage)
+	h.quotas.ApplyUsage(time.Now(), usage)
 }
 
 // endpointUseMessage is useMessage for what an endpoint was sent.
--- a/quota/book.go
+++ b/quota/book.go
@@ -250,9 +250,9 @@
 	return *u
 }
 
-// Reported applies the usage report of another instance. Of the first report of an instance
+// ApplyUsage applies the usage report of another instance. Of the first report of an instance
 // only the last part is debited, since the rest may have passed long ago.
-func (b *Book) Reported(now time.Time, u Usage) {
+func (b *Book) ApplyUsage(now time.Time, u Usage) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if u.Instance == b.self {
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -119,12 +119,12 @@
 			u, _ := sender.Charge(now, 1, Charge{Account: "o", Cost: rapid.Int64Range(0, 1000).Draw(t, "cost")})
 			sent = append(sent, u)
 		}
-		receiver.Reported(now, sent[0])
+		receiver.ApplyUsage(now, sent[0])
 		for range rapid.IntRange(0, 40).Draw(t, "arrivals") {
-			receiver.Reported(now, rapid.SampledFrom(sent).Draw(t, "report"))
+			receiver.ApplyUsage(now, rapid.SampledFrom(sent).Draw(t, "report"))
 		}
 		newest := sent[len(sent)-1]
-		receiver.Reported(now, newest)
+		receiver.ApplyUsage(now, newest)
 		if got, want := receiver.buckets["o"].level, 1e6-float64(newest.Total); got != want {
 			t.Fatalf("balance %v, want %v", got, want)
 		}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -289,7 +289,7 @@
 		return
 	}
 	if m.alive[to] {
-		m.books[to].Reported(m.now, u)
+		m.books[to].ApplyUsage(m.now, u)
 	}
 }
 
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -99,7 +99,7 @@
 }
 
 // Reported applies the usage report of another scheduler.
-func (l *Limits) Reported(now time.Time, u quota.Usage) { l.book.Reported(now, u) }
+func (l *Limits) Reported(now time.Time, u quota.Usage) { l.book.ApplyUsage(now, u) }
 
 // Short returns the usage to report again; see quota.Book.
 func (l *Limits) Short(now, since time.Time) []quota.Usage { return l.book.Short(now, since) }
