--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -123,7 +123,7 @@
 		Short: u.GetShort(), Balance: u.GetBalance(),
 	}
 	if u.GetEndpoint() {
-		h.rates.limits.Reported(time.Now(), usage)
+		h.rates.limits.ApplyUsage(time.Now(), usage)
 		return
 	}
 	h.quotas.ApplyUsage(time.Now(), usage)
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -98,8 +98,8 @@
 	return l.book.Charge(now, run, quota.Charge{Account: endpoint, Cost: 1})
 }
 
-// Reported applies the usage report of another scheduler.
-func (l *Limits) Reported(now time.Time, u quota.Usage) { l.book.ApplyUsage(now, u) }
+// ApplyUsage applies the usage report of another scheduler.
+func (l *Limits) ApplyUsage(now time.Time, u quota.Usage) { l.book.ApplyUsage(now, u) }
 
 // Short returns the usage to report again; see quota.Book.
 func (l *Limits) Short(now, since time.Time) []quota.Usage { return l.book.Short(now, since) }
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -178,7 +178,7 @@
 			for len(reports) > 0 && !reports[0].at.After(now) {
 				for n, l := range fleet {
 					if n != reports[0].by {
-						l.Reported(now, reports[0].u)
+						l.ApplyUsage(now, reports[0].u)
 					}
 				}
 				reports = reports[1:]
