--- a/hosted/rates.go
+++ b/hosted/rates.go
@@ -73,7 +73,7 @@
 
 // take puts a statement in force, with a line where that changes anything.
 func (r *rates) take(s ratelimit.Statement, source string) ratelimit.Change {
-	c := r.limits.Take(time.Now(), s)
+	c := r.limits.Apply(time.Now(), s)
 	if c.Changed {
 		rateChanges.Inc()
 		log.WithFields(log.Fields{
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -42,8 +42,8 @@
 	return &Limits{registry: NewRegistry(), book: quota.NewBook(now, self, incarnation)}
 }
 
-// Take applies a statement and returns what it has changed.
-func (l *Limits) Take(now time.Time, s Statement) Change {
+// Apply applies a statement and returns what it has changed.
+func (l *Limits) Apply(now time.Time, s Statement) Change {
 	l.changing.Lock()
 	defer l.changing.Unlock()
 	c := l.registry.Take(s)
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -16,7 +16,7 @@
 	l := NewLimits(start, "i", 1)
 	l.SetReach(start, quota.Reach{Scheduler: true, Heard: 1, Listed: 1})
 	now := start.Add(time.Minute)
-	l.Take(now, Statement{Endpoint: "e", Rate: rate, SentAt: now, AnsweredAt: now})
+	l.Apply(now, Statement{Endpoint: "e", Rate: rate, SentAt: now, AnsweredAt: now})
 	return l, now
 }
 
@@ -92,7 +92,7 @@
 	if sent < 10 || sent > 20 {
 		t.Errorf("%d requests in a minute", sent)
 	}
-	l.Take(now, Statement{Endpoint: "e", SentAt: now, AnsweredAt: now})
+	l.Apply(now, Statement{Endpoint: "e", SentAt: now, AnsweredAt: now})
 	for range 10 {
 		if !s.send(now, 1) {
 			t.Fatal("held back although the endpoint's limit has been lifted")
@@ -163,7 +163,7 @@
 		for n := range instances {
 			l := NewLimits(start, string(rune('a'+n)), 1)
 			l.SetReach(start, quota.Reach{Scheduler: true, Peers: instances - 1, Heard: instances, Listed: instances})
-			l.Take(now, Statement{Endpoint: "e", Rate: limited(rate), SentAt: now, AnsweredAt: now})
+			l.Apply(now, Statement{Endpoint: "e", Rate: limited(rate), SentAt: now, AnsweredAt: now})
 			fleet = append(fleet, l)
 		}
 		type report struct {
