--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -46,7 +46,7 @@
 func (l *Limits) Apply(now time.Time, s Statement) Change {
 	l.changing.Lock()
 	defer l.changing.Unlock()
-	c := l.registry.Take(s)
+	c := l.registry.Apply(s)
 	if c.Changed {
 		l.updateBook(now)
 	}
--- a/ratelimit/registry.go
+++ b/ratelimit/registry.go
@@ -73,12 +73,12 @@
 // NewRegistry returns a registry without limits.
 func NewRegistry() *Registry { return &Registry{known: map[string]*known{}} }
 
-// Take applies a statement and returns what it has changed.
+// Apply applies a statement and returns what it has changed.
 //
 // Responses may overtake each other, so an earlier statement can arrive after a later one;
 // it must neither lift a limit nor restore an old one. Of two statements whose order is
 // unknown the stricter one applies until a request that was sent after both is answered.
-func (r *Registry) Take(s Statement) Change {
+func (r *Registry) Apply(s Statement) Change {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := r.known[s.Endpoint]
--- a/ratelimit/registry_test.go
+++ b/ratelimit/registry_test.go
@@ -38,7 +38,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := NewRegistry()
 			for _, s := range tc.in {
-				r.Take(s)
+				r.Apply(s)
 			}
 			if got := r.Rate("e"); got != tc.want {
 				t.Errorf("limit %v, want %v", got, tc.want)
@@ -61,11 +61,11 @@
 		last := statement(rate.Draw(t, "last rate"), 20, 21)
 		r := NewRegistry()
 		for _, s := range rapid.Permutation(list).Draw(t, "order") {
-			r.Take(s)
+			r.Apply(s)
 		}
-		r.Take(last)
+		r.Apply(last)
 		for _, s := range rapid.Permutation(list).Draw(t, "late") {
-			r.Take(s)
+			r.Apply(s)
 		}
 		if got := r.Rate("e"); got != last.Rate {
 			t.Fatalf("limit %v, want %v", got, last.Rate)
@@ -91,10 +91,10 @@
 // limit of an idle endpoint.
 func TestLimitsOfRemovedEndpointsAreSwept(t *testing.T) {
 	r := NewRegistry()
-	r.Take(statement(limited(1), 1, 2))
+	r.Apply(statement(limited(1), 1, 2))
 	gone := statement(limited(1), 1, 2)
 	gone.Endpoint = "gone"
-	r.Take(gone)
+	r.Apply(gone)
 	r.Sweep(at(1000), func(id string) bool { return id == "e" })
 	if len(r.known) != 1 || r.Rate("e") != limited(1) {
 		t.Errorf("%d kept, the idle endpoint's limit is %v", len(r.known), r.Rate("e"))
