--- a/balance/limits_test.go
+++ b/balance/limits_test.go
@@ -76,7 +76,7 @@
 func TestLimitedEndpointTakesTheLargestRequests(t *testing.T) {
 	now := time.Unix(1000, 0)
 	limits := ratelimit.NewLimits(now, "i", 1)
-	limits.SetReach(now, quota.Reach{Scheduler: true, Heard: 1, Listed: 1})
+	limits.SetReach(now, quota.Reach{Scheduler: true, Live: 1, Listed: 1})
 	s := NewState(time.Minute)
 	s.SetLimiter(limits)
 	var list []Endpoint
--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -74,7 +74,7 @@
 	if r.Scheduler {
 		r.Peers--
 	}
-	r.Heard, r.Listed = i.node.Reach()
+	r.Live, r.Listed = i.node.Reach()
 	return r
 }
 
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -14,7 +14,7 @@
 // settled returns the book of the only instance of a fleet, and a time long after its start.
 func settled(l Limit) (*Book, time.Time) {
 	b := NewBook(bookStart, "a", 1)
-	b.SetReach(bookStart, Reach{Scheduler: true, Heard: 1, Listed: 1})
+	b.SetReach(bookStart, Reach{Scheduler: true, Live: 1, Listed: 1})
 	b.SetLimits(bookStart, map[string]Limit{"o": l})
 	return b, bookStart.Add(time.Minute)
 }
@@ -110,7 +110,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		sender, _ := settled(Limit{Rate: 1, Burst: 1e6, Unit: Tokens})
 		receiver := NewBook(bookStart, "b", 1)
-		receiver.SetReach(bookStart, Reach{Scheduler: true, Heard: 2, Listed: 2})
+		receiver.SetReach(bookStart, Reach{Scheduler: true, Live: 2, Listed: 2})
 		receiver.SetLimits(bookStart, map[string]Limit{"o": {Rate: 1, Burst: 1e6, Unit: Tokens}})
 		now := bookStart.Add(time.Minute)
 		receiver.buckets["o"].level, receiver.buckets["o"].last = 1e6, now
@@ -150,7 +150,7 @@
 func BenchmarkQuota(b *testing.B) {
 	const organisations = 1100
 	book := NewBook(bookStart, "a", 1)
-	book.SetReach(bookStart, Reach{Scheduler: true, Heard: 360, Listed: 360})
+	book.SetReach(bookStart, Reach{Scheduler: true, Live: 360, Listed: 360})
 	limits := map[string]Limit{}
 	names := make([]string, organisations)
 	for n := range organisations {
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -210,12 +210,12 @@
 	r := Reach{Scheduler: m.isScheduler(j), Listed: m.size, Peers: len(m.schedulersOf(j)) - 1}
 	for i := range m.size {
 		if m.isLive(j, i) {
-			r.Heard++
+			r.Live++
 		}
 	}
 	switch m.way {
 	case wholeBuckets:
-		r.Heard = m.size
+		r.Live = m.size
 	case evenShares, sharesByDemand:
 		r.Scheduler = false
 	}
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -108,9 +108,9 @@
 	Scheduler bool
 	// Peers is the number of other live schedulers known to this instance.
 	Peers int
-	// Heard and Listed are numbers of instances, including this one: those known to be live,
+	// Live and Listed are numbers of instances, including this one: those known to be live,
 	// and all. Listed is 0 while it is unknown.
-	Heard, Listed int
+	Live, Listed int
 }
 
 // share returns the fraction of each quota that the instance may pass. The shares of
@@ -123,5 +123,5 @@
 	case !r.Scheduler:
 		return 1 / float64(r.Listed)
 	}
-	return float64(min(r.Heard, r.Listed)) / float64(r.Listed)
+	return float64(min(r.Live, r.Listed)) / float64(r.Listed)
 }
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -14,7 +14,7 @@
 // and a time long after the start.
 func alone(rate Rate) (*Limits, time.Time) {
 	l := NewLimits(start, "i", 1)
-	l.SetReach(start, quota.Reach{Scheduler: true, Heard: 1, Listed: 1})
+	l.SetReach(start, quota.Reach{Scheduler: true, Live: 1, Listed: 1})
 	now := start.Add(time.Minute)
 	l.Apply(now, Statement{Endpoint: "e", Rate: rate, SentAt: now, AnsweredAt: now})
 	return l, now
@@ -162,7 +162,7 @@
 		var fleet []*Limits
 		for n := range instances {
 			l := NewLimits(start, string(rune('a'+n)), 1)
-			l.SetReach(start, quota.Reach{Scheduler: true, Peers: instances - 1, Heard: instances, Listed: instances})
+			l.SetReach(start, quota.Reach{Scheduler: true, Peers: instances - 1, Live: instances, Listed: instances})
 			l.Apply(now, Statement{Endpoint: "e", Rate: limited(rate), SentAt: now, AnsweredAt: now})
 			fleet = append(fleet, l)
 		}
