--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -100,7 +100,7 @@
 // reports it to the other schedulers.
 func (p *placer) decide(q balance.Query) balance.Decision {
 	now := time.Now()
-	if p.quotas.IsScheduler() != p.node.IsScheduler() {
+	if p.quotas.DecidesForOthers() != p.node.IsScheduler() {
 		reach := p.reach()
 		p.quotas.SetReach(now, reach)
 		p.limits.SetReach(now, reach)
--- a/quota/book.go
+++ b/quota/book.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// IsScheduler reports whether the instance decides for others, according to the last SetReach.
-func (b *Book) IsScheduler() bool {
+// DecidesForOthers reports whether the instance decides for others, according to the last SetReach.
+func (b *Book) DecidesForOthers() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.reach.Scheduler
