--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -105,7 +105,7 @@
 		p.quotas.SetReach(now, reach)
 		p.limits.SetReach(now, reach)
 	}
-	if d := p.quotas.Ask(now, q.Charge, q.Again); d.Outcome != quota.Pass {
+	if d := p.quotas.Check(now, q.Charge, q.Again); d.Outcome != quota.Pass {
 		return quotaDecision(d)
 	}
 	v := p.state.Decide(now, q)
--- a/quota/book.go
+++ b/quota/book.go
@@ -158,10 +158,10 @@
 	return b.reach.Scheduler
 }
 
-// Ask decides whether a request may be sent now. A request that is sent must then be
+// Check decides whether a request may be sent now. A request that is sent must then be
 // charged. again reports whether the request has passed before and is a retry; a retry is
 // not refused, since the request may have run.
-func (b *Book) Ask(now time.Time, c Charge, again bool) Decision {
+func (b *Book) Check(now time.Time, c Charge, again bool) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	k := b.buckets[c.Account]
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -21,7 +21,7 @@
 
 func ask(b *Book, now time.Time, cost int64) Decision {
 	c := Charge{Account: "o", Cost: cost}
-	d := b.Ask(now, c, false)
+	d := b.Check(now, c, false)
 	if d.Outcome == Pass {
 		b.Charge(now, uint64(now.UnixNano()), c)
 	}
@@ -137,7 +137,7 @@
 	if c := b.Price(Charge{Account: "free", Tokens: 9, Sized: true}); c != (Charge{}) {
 		t.Errorf("priced at %+v", c)
 	}
-	if d := b.Ask(now, Charge{}, false); d.Outcome != Pass {
+	if d := b.Check(now, Charge{}, false); d.Outcome != Pass {
 		t.Errorf("outcome %v", d.Outcome)
 	}
 	if _, ok := b.Charge(now, 1, Charge{}); ok {
@@ -163,7 +163,7 @@
 	for n := 0; b.Loop(); n++ {
 		now = now.Add(time.Microsecond)
 		c := Charge{Account: names[n%organisations], Cost: 2400}
-		if book.Ask(now, c, false).Outcome == Pass {
+		if book.Check(now, c, false).Outcome == Pass {
 			book.Charge(now, uint64(n%4096), c)
 		}
 	}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -347,7 +347,7 @@
 
 // settle lets one instance decide on a request of another.
 func (m *fleetModel) settle(by, at int, c Charge, since time.Time) {
-	d := m.books[by].Ask(m.now, c, false)
+	d := m.books[by].Check(m.now, c, false)
 	switch {
 	case d.Outcome == Pass:
 		u, ok := m.books[by].Charge(m.now, m.rng.Uint64(), c)
