--- a/balance/balance.go
+++ b/balance/balance.go
@@ -93,9 +93,9 @@
 	// Full reports whether the request does not fit into the endpoint's memory beside the
 	// running requests.
 	Full bool
-	// Backlog is the time that the endpoint needs for Ahead. First is the time to the
+	// Backlog is the time that the endpoint needs for Ahead. FirstToken is the time to the
 	// request's first token.
-	Backlog, First time.Duration
+	Backlog, FirstToken time.Duration
 	// PassedOver is the ID of the cheapest endpoint that was skipped because its rate limit
 	// is used up; empty for none.
 	PassedOver string
--- a/balance/choose.go
+++ b/balance/choose.go
@@ -83,7 +83,7 @@
 	p.SaveTo = s.saveTo(&c, p)
 	rate := s.rateOf(c.best.endpoint)
 	p.Backlog = tokenTime(p.Ahead, rate)
-	p.First = p.Backlog + tokenTime(p.Uncached, rate) + fixedTime
+	p.FirstToken = p.Backlog + tokenTime(p.Uncached, rate) + fixedTime
 	return p, true
 }
 
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -230,7 +230,7 @@
 		Run: uint64(run), Admission: int32(v.Admission), Endpoint: p.Endpoint.ID, Name: p.Endpoint.Name, Address: p.Endpoint.Address,
 		Version: p.Version, Uncached: p.Uncached,
 		FetchFrom: p.FetchFrom, SaveTo: p.SaveTo, Ahead: p.Ahead, Queued: p.Queued, Running: int32(p.Running), Full: p.Full,
-		BacklogUs: p.Backlog.Microseconds(), FirstUs: p.First.Microseconds(),
+		BacklogUs: p.Backlog.Microseconds(), FirstUs: p.FirstToken.Microseconds(),
 		Balance: v.Quota.Balance, Share: v.Quota.Share, RetryUs: v.Quota.RetryAfter.Microseconds(),
 		PassedOver: p.PassedOver, FreeInUs: v.FreeIn.Microseconds(),
 	}
@@ -242,7 +242,7 @@
 		Placement: balance.Placement{
 			Endpoint: balance.Endpoint{ID: m.GetEndpoint(), Name: m.GetName(), Address: m.GetAddress()}, PlacedBy: by, Version: m.GetVersion(), Uncached: m.GetUncached(),
 			FetchFrom: m.GetFetchFrom(), SaveTo: m.GetSaveTo(), Ahead: m.GetAhead(), Queued: m.GetQueued(), Running: int(m.GetRunning()), Full: m.GetFull(),
-			Backlog: micros(m.GetBacklogUs()), First: micros(m.GetFirstUs()), PassedOver: m.GetPassedOver(),
+			Backlog: micros(m.GetBacklogUs()), FirstToken: micros(m.GetFirstUs()), PassedOver: m.GetPassedOver(),
 		},
 		FreeIn: micros(m.GetFreeInUs()),
 		Quota:  quota.Decision{Balance: m.GetBalance(), Share: m.GetShare(), RetryAfter: micros(m.GetRetryUs())},
