--- a/balance/admit.go
+++ b/balance/admit.go
@@ -9,9 +9,9 @@
 	Target, Patience time.Duration
 	// Elapsed is the time since the request arrived.
 	Elapsed time.Duration
-	// Backlog of the chosen endpoint. First is the time to the first token if the request is
+	// Backlog of the chosen endpoint. FirstToken is the time to the first token if the request is
 	// sent now.
-	Backlog, First time.Duration
+	Backlog, FirstToken time.Duration
 	// Full reports whether the request does not fit into the endpoint's memory beside the
 	// running requests.
 	Full bool
@@ -71,14 +71,14 @@
 // Once it has found no memory for half of its target it is refused, because sending it in
 // the end would preempt others in the same way.
 func Admit(t Timing) Admission {
-	first := t.Elapsed + t.First
+	first := t.Elapsed + t.FirstToken
 	if first <= t.Target && !t.Full {
 		return Send
 	}
 	if t.Backlog > lateBacklog && first > t.Patience {
 		return Refuse
 	}
-	lateForOthers := t.First-t.Backlog < t.Target
+	lateForOthers := t.FirstToken-t.Backlog < t.Target
 	waitedForMemory := t.Full && first > memoryShare*t.Target/100
 	if lateForOthers && (waitedForMemory || t.Backlog > behindShare*t.Target/100) {
 		return Refuse
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -70,7 +70,7 @@
 	for w.Len() > 0 {
 		a := heap.Pop(&w).(*simRequest)
 		now := a.next
-		t := Timing{Target: target, Patience: patience, Elapsed: now - a.at, Backlog: r.backlog(now), First: r.backlog(now) + a.takes}
+		t := Timing{Target: target, Patience: patience, Elapsed: now - a.at, Backlog: r.backlog(now), FirstToken: r.backlog(now) + a.takes}
 		switch decide(t) {
 		case Wait:
 			a.next = now + retryInterval
@@ -88,7 +88,7 @@
 			out.refused++
 			continue
 		}
-		r.free = now + t.First
+		r.free = now + t.FirstToken
 		first := r.free - a.at
 		out.longest = max(out.longest, first)
 		if first <= target && !a.retried {
@@ -149,7 +149,7 @@
 // most of them are served by a retry a moment later, and few are lost.
 func TestLateRequestsAreRefusedAtOnceInABurst(t *testing.T) {
 	delays := func(t Timing) Admission {
-		if decision := Admit(t); decision != Refuse || t.Elapsed+t.First > t.Patience {
+		if decision := Admit(t); decision != Refuse || t.Elapsed+t.FirstToken > t.Patience {
 			return decision
 		}
 		if float64(t.Elapsed) > agingShare*float64(t.Patience) {
@@ -179,7 +179,7 @@
 			Elapsed: time.Duration(rapid.Int64Range(int64(agingShare*float64(patience)), int64(patience)).Draw(t, "elapsed")),
 			Backlog: time.Duration(rapid.Int64Range(0, int64(10*time.Second)).Draw(t, "backlog")),
 		}
-		timing.First = timing.Backlog + 900*time.Millisecond
+		timing.FirstToken = timing.Backlog + 900*time.Millisecond
 		if Admit(timing) == Wait {
 			t.Fatalf("a request is still delayed after %v of its patience of %v", timing.Elapsed, patience)
 		}
@@ -191,7 +191,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		takes := time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "takes"))
 		elapsed := time.Duration(rapid.Int64Range(0, int64(patience)).Draw(t, "elapsed"))
-		if got := Admit(Timing{Target: target, Patience: patience, Elapsed: elapsed, First: takes}); got != Send {
+		if got := Admit(Timing{Target: target, Patience: patience, Elapsed: elapsed, FirstToken: takes}); got != Send {
 			t.Fatalf("decision %d at an idle endpoint, want Send", got)
 		}
 	})
@@ -200,7 +200,7 @@
 // Guards against a request that waits although its caller would give up before the first
 // token. Refused at once, the caller can retry while the answer is still of use.
 func TestRequestBeyondPatienceIsRefusedAtOnce(t *testing.T) {
-	timing := Timing{Target: target, Patience: patience, Backlog: 4 * time.Second, First: 4100 * time.Millisecond}
+	timing := Timing{Target: target, Patience: patience, Backlog: 4 * time.Second, FirstToken: 4100 * time.Millisecond}
 	if got := Admit(timing); got != Refuse {
 		t.Errorf("decision %d, want Refuse", got)
 	}
@@ -245,7 +245,7 @@
 	for w.Len() > 0 {
 		a := heap.Pop(&w).(*simRequest)
 		now := a.next
-		t := Timing{Target: target, Patience: patience, Elapsed: now - a.at, First: a.takes, Full: h.full(now)}
+		t := Timing{Target: target, Patience: patience, Elapsed: now - a.at, FirstToken: a.takes, Full: h.full(now)}
 		switch decide(t) {
 		case Wait:
 			a.next = now + retryInterval
--- a/balance/backlog_test.go
+++ b/balance/backlog_test.go
@@ -21,7 +21,7 @@
 		if !ok {
 			t.Fatal("no endpoint")
 		}
-		return Admit(Timing{Target: 500 * time.Millisecond, Patience: 2 * time.Second, Backlog: p.Backlog, First: p.FirstToken})
+		return Admit(Timing{Target: 500 * time.Millisecond, Patience: 2 * time.Second, Backlog: p.Backlog, FirstToken: p.FirstToken})
 	}
 	if got := decide(1); got != Send {
 		t.Errorf("decision %v for an urgent request behind long ones, want Send", got)
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -232,7 +232,7 @@
 	if shared, _ := s.Choose(start, prompt(3, 100)); shared.Full {
 		t.Error("a prompt whose catalogue is in use there counts as not fitting")
 	}
-	timing := Timing{Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, First: 100 * time.Millisecond, Full: true}
+	timing := Timing{Target: 800 * time.Millisecond, Patience: 3200 * time.Millisecond, FirstToken: 100 * time.Millisecond, Full: true}
 	if got := Admit(timing); got != Wait {
 		t.Errorf("decision %v while memory is full, want Wait", got)
 	}
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -49,7 +49,7 @@
 	if q.Model != "" && q.Target > 0 {
 		v.Admission = Admit(Timing{
 			Target: q.Target, Patience: q.Patience, Elapsed: q.Elapsed,
-			Backlog: p.Backlog, First: p.FirstToken, Full: p.Full,
+			Backlog: p.Backlog, FirstToken: p.FirstToken, Full: p.Full,
 		})
 	}
 	if v.Admission == Send {
