--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -19,18 +19,18 @@
 // answerTimes keeps how long answers take, by the name of their route.
 type answerTimes struct {
 	mu     sync.Mutex
-	routes map[string]*policy.AnswerTimes
+	routes map[string]*policy.ResponseTimes
 }
 
-func (t *answerTimes) of(route string) *policy.AnswerTimes {
+func (t *answerTimes) of(route string) *policy.ResponseTimes {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	times := t.routes[route]
 	if times == nil {
 		if len(t.routes) >= maxRoutesTimed || t.routes == nil {
-			t.routes = map[string]*policy.AnswerTimes{}
+			t.routes = map[string]*policy.ResponseTimes{}
 		}
-		times = &policy.AnswerTimes{}
+		times = &policy.ResponseTimes{}
 		t.routes[route] = times
 	}
 	return times
@@ -45,7 +45,7 @@
 	status := r.ctx.Response.StatusCode()
 	whole := status < fasthttp.StatusInternalServerError && status != statusCallerGone
 	if whole || errors.Is(context.Cause(r.life), errTimeout) {
-		r.srv.times.of(r.route.Name).Took(time.Since(r.sentAt))
+		r.srv.times.of(r.route.Name).Record(time.Since(r.sentAt))
 	}
 }
 
@@ -56,8 +56,8 @@
 	if d == nil || r.ran > 0 {
 		return nil
 	}
-	usual, known := r.srv.times.of(r.route.Name).Usual()
-	if d.Takes(now, r.deadline, usual, known) {
+	usual, known := r.srv.times.of(r.route.Name).Estimate()
+	if d.Accepts(now, r.deadline, usual, known) {
 		return nil
 	}
 	return errEnding
