--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -74,7 +74,7 @@
 	if r.Scheduler {
 		r.Peers--
 	}
-	r.Heard, r.Listed = i.node.Reach()
+	r.Live, r.Listed = i.node.Reach()
 	return r
 }
 
@@ -109,7 +109,7 @@
 
 // NotRun implements gateway.Placer.
 func (p *placer) NotRun(run balance.RunID) {
-	if u, ok := p.quotas.Return(time.Now(), uint64(run)); ok {
+	if u, ok := p.quotas.Refund(time.Now(), uint64(run)); ok {
 		quotaReturned.Inc()
 		p.node.ReportQuotaUse(useMessage(u))
 	}
@@ -123,10 +123,10 @@
 		Short: u.GetShort(), Balance: u.GetBalance(),
 	}
 	if u.GetEndpoint() {
-		h.rates.limits.Reported(time.Now(), usage)
+		h.rates.limits.ApplyUsage(time.Now(), usage)
 		return
 	}
-	h.quotas.Reported(time.Now(), usage)
+	h.quotas.ApplyUsage(time.Now(), usage)
 }
 
 // endpointUseMessage is useMessage for what an endpoint was sent.
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -40,16 +40,16 @@
 		}
 	})
 	i.state.SetPools(pools)
-	i.state.SetKept(keptStores(t))
+	i.state.SetCacheStores(keptStores(t))
 	i.setQuotas(t)
 	i.table.Store(t)
 	log.WithField("records", t.Version()).WithField("revision", uint64(obj.Version)).WithField("routes", t.Routes()).Info("records in force")
 }
 
-func keptStores(t *route.Table) []balance.KeptStore {
-	var list []balance.KeptStore
+func keptStores(t *route.Table) []balance.CacheStore {
+	var list []balance.CacheStore
 	for _, s := range t.KeptStores() {
-		list = append(list, balance.KeptStore{Address: s.Kept.Address, DataCentre: s.Kept.DataCentre, CacheTokens: s.Kept.CacheTokens})
+		list = append(list, balance.CacheStore{Address: s.Kept.Address, DataCentre: s.Kept.DataCentre, CacheTokens: s.Kept.CacheTokens})
 	}
 	return list
 }
@@ -86,7 +86,7 @@
 }
 
 func (i *Instance) broadcastSoon(endpointID string, d time.Duration) {
-	i.state.Soon(endpointID, time.Now().Add(d))
+	i.state.LoadingSoon(endpointID, time.Now().Add(d))
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, SoonMs: d.Milliseconds()})
 }
 
@@ -129,7 +129,7 @@
 	if m.GetVersion() > 0 {
 		h.state.Misdirected(balance.RunID(m.GetRun()), m.GetVersion())
 	}
-	h.state.Moved(time.Now(), balance.RunID(m.GetRun()), balance.Stage(m.GetStage()))
+	h.state.SetStage(time.Now(), balance.RunID(m.GetRun()), balance.Stage(m.GetStage()))
 	if m.GetNotRun() {
 		h.placer.NotRun(balance.RunID(m.GetRun()))
 	}
@@ -139,19 +139,19 @@
 func (h receiver) Notice(from string, n *gossippb.Notice) {
 	now := time.Now()
 	if n.GetAvoidMs() > 0 {
-		h.state.Doubt(n.GetEndpoint(), now.Add(time.Duration(n.GetAvoidMs())*time.Millisecond))
+		h.state.Suspect(n.GetEndpoint(), now.Add(time.Duration(n.GetAvoidMs())*time.Millisecond))
 	}
 	if n.GetLoadingMs() > 0 {
 		h.state.Loading(n.GetEndpoint(), now.Add(time.Duration(n.GetLoadingMs())*time.Millisecond))
 	}
 	if n.GetSoonMs() > 0 {
-		h.state.Soon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
+		h.state.LoadingSoon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
 	}
 	if n.GetModel() != "" {
 		h.state.Holds(n.GetEndpoint(), n.GetModel(), n.GetVersion())
 	}
 	if n.GetLeaving() {
-		h.state.Gone(n.GetEndpoint())
+		h.state.MarkDraining(n.GetEndpoint())
 	}
 	if n.GetRate() != nil {
 		h.rates.noticed(from, n)
--- a/quota/book_test.go
+++ b/quota/book_test.go
@@ -11,25 +11,25 @@
 
 var bookStart = time.Unix(1000, 0)
 
-// settled returns the book of a fleet's only instance, long after its start.
+// settled returns the book of the only instance of a fleet, and a time long after its start.
 func settled(l Limit) (*Book, time.Time) {
 	b := NewBook(bookStart, "a", 1)
-	b.SetReach(bookStart, Reach{Scheduler: true, Heard: 1, Listed: 1})
+	b.SetReach(bookStart, Reach{Scheduler: true, Live: 1, Listed: 1})
 	b.SetLimits(bookStart, map[string]Limit{"o": l})
 	return b, bookStart.Add(time.Minute)
 }
 
 func ask(b *Book, now time.Time, cost int64) Decision {
 	c := Charge{Account: "o", Cost: cost}
-	d := b.Ask(now, c, false)
+	d := b.Check(now, c, false)
 	if d.Outcome == Pass {
 		b.Charge(now, uint64(now.UnixNano()), c)
 	}
 	return d
 }
 
-// Guards against long requests that wait for ever while short ones use up each token.
-func TestLongRequestsPassBesideShortOnes(t *testing.T) {
+// Guards against long requests that never pass because short ones use up each token.
+func TestLongRequestsPassAmongShortOnes(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	rng := rand.New(rand.NewPCG(1, 1))
 	asked, passed := map[int64]int{}, map[int64]int{}
@@ -50,8 +50,9 @@
 	}
 }
 
-// Guards against a request that never passes since it costs more than may be saved.
-func TestRequestAboveTheBurstPassesInItsTurn(t *testing.T) {
+// Guards against a request that never passes because it costs more than the bucket's
+// capacity.
+func TestRequestAboveTheBurstPasses(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	passed := 0
 	for range 60 {
@@ -65,8 +66,8 @@
 	}
 }
 
-// Guards against refused callers that all come back in the same moment.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+// Guards against refused callers that all retry at the same moment.
+func TestRefusedCallersGetConsecutiveRetryTimes(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 1, Charge{Account: "o", Cost: 2000})
 	last := time.Duration(0)
@@ -79,7 +80,7 @@
 	}
 }
 
-// Guards against a request that counts nothing and is refused for others' debt.
+// Guards against a request without cost being refused because of a debt.
 func TestRequestWithoutCostPasses(t *testing.T) {
 	b, now := settled(Limit{Rate: 1000, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 1, Charge{Account: "o", Cost: 2000})
@@ -88,27 +89,28 @@
 	}
 }
 
-// Guards against charges that are given back twice, or by who has not charged them.
-func TestChargeIsGivenBackOnce(t *testing.T) {
+// Guards against charges that are refunded twice, or by an instance that has not charged
+// them.
+func TestChargeIsRefundedOnce(t *testing.T) {
 	b, now := settled(Limit{Rate: 1, Burst: 1000, Unit: Tokens})
 	b.Charge(now, 7, Charge{Account: "o", Cost: 300})
-	if u, ok := b.Return(now, 7); !ok || u.Total != 0 {
-		t.Errorf("given back %v, total %d", ok, u.Total)
+	if u, ok := b.Refund(now, 7); !ok || u.Total != 0 {
+		t.Errorf("refunded: %v, total %d", ok, u.Total)
 	}
-	if _, ok := b.Return(now, 7); ok {
-		t.Error("given back twice")
+	if _, ok := b.Refund(now, 7); ok {
+		t.Error("refunded twice")
 	}
-	if _, ok := b.Return(now, 8); ok {
-		t.Error("given back without a charge")
+	if _, ok := b.Refund(now, 8); ok {
+		t.Error("refunded without a charge")
 	}
 }
 
-// Guards against reports that count twice when they come twice or late.
-func TestReportsCountOnceInAnyOrder(t *testing.T) {
+// Guards against duplicate or late reports being counted twice.
+func TestDuplicateAndLateReportsCountOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sender, _ := settled(Limit{Rate: 1, Burst: 1e6, Unit: Tokens})
 		receiver := NewBook(bookStart, "b", 1)
-		receiver.SetReach(bookStart, Reach{Scheduler: true, Heard: 2, Listed: 2})
+		receiver.SetReach(bookStart, Reach{Scheduler: true, Live: 2, Listed: 2})
 		receiver.SetLimits(bookStart, map[string]Limit{"o": {Rate: 1, Burst: 1e6, Unit: Tokens}})
 		now := bookStart.Add(time.Minute)
 		receiver.buckets["o"].level, receiver.buckets["o"].last = 1e6, now
@@ -117,25 +119,25 @@
 			u, _ := sender.Charge(now, 1, Charge{Account: "o", Cost: rapid.Int64Range(0, 1000).Draw(t, "cost")})
 			sent = append(sent, u)
 		}
-		receiver.Reported(now, sent[0])
+		receiver.ApplyUsage(now, sent[0])
 		for range rapid.IntRange(0, 40).Draw(t, "arrivals") {
-			receiver.Reported(now, rapid.SampledFrom(sent).Draw(t, "report"))
+			receiver.ApplyUsage(now, rapid.SampledFrom(sent).Draw(t, "report"))
 		}
 		newest := sent[len(sent)-1]
-		receiver.Reported(now, newest)
+		receiver.ApplyUsage(now, newest)
 		if got, want := receiver.buckets["o"].level, 1e6-float64(newest.Total); got != want {
 			t.Fatalf("balance %v, want %v", got, want)
 		}
 	})
 }
 
-// Guards against an organisation without a quota that pays for those that have one.
-func TestOrganisationWithoutQuotaCostsNothing(t *testing.T) {
+// Guards against charging an organisation that has no quota.
+func TestOrganisationWithoutQuotaIsNotCharged(t *testing.T) {
 	b, now := settled(Limit{Rate: 1, Burst: 1, Unit: Tokens})
 	if c := b.Price(Charge{Account: "free", Tokens: 9, Sized: true}); c != (Charge{}) {
 		t.Errorf("priced at %+v", c)
 	}
-	if d := b.Ask(now, Charge{}, false); d.Outcome != Pass {
+	if d := b.Check(now, Charge{}, false); d.Outcome != Pass {
 		t.Errorf("outcome %v", d.Outcome)
 	}
 	if _, ok := b.Charge(now, 1, Charge{}); ok {
@@ -143,11 +145,12 @@
 	}
 }
 
-// BenchmarkQuota is one decision with its charge: a mutex, a map and a few sums.
+// BenchmarkQuota measures one decision with its charge: a mutex, a map access and a few
+// additions.
 func BenchmarkQuota(b *testing.B) {
 	const organisations = 1100
 	book := NewBook(bookStart, "a", 1)
-	book.SetReach(bookStart, Reach{Scheduler: true, Heard: 360, Listed: 360})
+	book.SetReach(bookStart, Reach{Scheduler: true, Live: 360, Listed: 360})
 	limits := map[string]Limit{}
 	names := make([]string, organisations)
 	for n := range organisations {
@@ -160,7 +163,7 @@
 	for n := 0; b.Loop(); n++ {
 		now = now.Add(time.Microsecond)
 		c := Charge{Account: names[n%organisations], Cost: 2400}
-		if book.Ask(now, c, false).Outcome == Pass {
+		if book.Check(now, c, false).Outcome == Pass {
 			book.Charge(now, uint64(n%4096), c)
 		}
 	}
--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -193,7 +193,7 @@
 		}
 		list = append(list, Candidate{
 			Target: Target{ID: v.ID, Name: v.Name, Born: v.Born, Address: v.Address}, Version: v.Versions[model], Running: v.Running, Draining: v.Draining,
-			BusyUntil: t.busyUntil, Loading: t.loading, Doubtful: v.Doubted,
+			BusyUntil: t.busyUntil, Loading: t.loading, Doubtful: v.Suspected,
 		})
 		behind = behind || v.Versions[model] < want && !v.Draining
 	}
@@ -298,7 +298,7 @@
 		h.fenced = fence
 		h.mu.Unlock()
 	case Replaced:
-		h.cfg.State.Gone(t.ID)
+		h.cfg.State.MarkDraining(t.ID)
 	}
 	orderFails.Inc()
 	// Whatever the reason, the number of orders is not certain any more.
