--- a/rollout/duty.go
+++ b/rollout/duty.go
@@ -17,85 +17,93 @@
 )
 
 const (
-	// activeEvery and restEvery are the times between two looks at a pool,
-	// while something is to be done and while nothing is. Each look asks every
-	// endpoint of the pool once, so it is rare at rest; within it an order
-	// that a former holder sent late is found and undone.
-	activeEvery = 500 * time.Millisecond
-	restEvery   = 3 * time.Second
-	// activeEach and restEach are what each endpoint adds at least, so that the
-	// holder of a large pool asks 50 times a second at most, and 10 at rest.
-	activeEach = 20 * time.Millisecond
-	restEach   = 100 * time.Millisecond
-	// askTimeout bounds one question or order, asksAtOnce how many are open.
-	askTimeout = 2 * time.Second
-	asksAtOnce = 8
-	// lagBound is how long an endpoint may answer without showing the effect of
-	// an order that it took.
-	lagBound = 2 * time.Second
-	// giveUpAfter is how long an endpoint that does not answer counts as
-	// loading. A lost machine must not hold up the others for good.
-	giveUpAfter = 20 * time.Second
+	// activeInterval and idleInterval are the times between two reconciliations
+	// of a pool, while it differs from the records and while it matches them.
+	// Each one queries every endpoint of the pool once, so they are rare when
+	// idle. An order that a former lease holder sent late is found and undone
+	// within idleInterval.
+	activeInterval = 500 * time.Millisecond
+	idleInterval   = 3 * time.Second
+	// activePerEndpoint and idlePerEndpoint are the least time per endpoint of
+	// the pool, so that the lease holder of a large pool sends at most 50
+	// queries a second, and 10 when idle.
+	activePerEndpoint = 20 * time.Millisecond
+	idlePerEndpoint   = 100 * time.Millisecond
+	// callTimeout bounds one state query or order; maxConcurrentCalls is the
+	// number of state queries in flight.
+	callTimeout        = 2 * time.Second
+	maxConcurrentCalls = 8
+	// effectTimeout is how long after an order an endpoint's reported state may
+	// lack the order's effect before the order counts as lost.
+	effectTimeout = 2 * time.Second
+	// unresponsiveTimeout is how long an endpoint that does not answer still
+	// counts as loading. Without it a lost machine would block the rollout of
+	// the other endpoints forever.
+	unresponsiveTimeout = 20 * time.Second
 )
 
 var (
-	ordersTotal = metrics.GetOrCreateCounter("sardinedock_rollout_orders_total")
-	orderFails  = metrics.GetOrCreateCounter("sardinedock_rollout_order_failures_total")
-	staleOrders = metrics.GetOrCreateCounter("sardinedock_rollout_stale_fence_total")
+	ordersTotal   = metrics.GetOrCreateCounter("sardinedock_rollout_orders_total")
+	orderFailures = metrics.GetOrCreateCounter("sardinedock_rollout_order_failures_total")
+	staleOrders   = metrics.GetOrCreateCounter("sardinedock_rollout_stale_fence_total")
 )
 
-// Engine is what a rollout needs of an engine.
+// Engine is the part of an engine's interface that a rollout uses.
 type Engine interface {
 	State(ctx context.Context) (endpoint.State, error)
 	Order(ctx context.Context, o endpoint.Order) error
 }
 
-// Lease says whether this instance may act, and with which fencing number.
+// Lease is the pool's lease.
 type Lease interface {
+	// Held reports whether this instance holds the lease, and with which fencing number.
 	Held() (fence uint64, ok bool)
 }
 
-// Config is what a Duty needs.
+// Config configures a Duty.
 type Config struct {
 	Pool  string
 	Lease Lease
-	// Records returns the records in force, or nil.
+	// Records returns the records in force, or nil if there are none yet.
 	Records func() *record.Snapshot
-	// Dial returns the engine at an address.
+	// Dial returns a client of the engine at an address.
 	Dial func(address string) Engine
 }
 
-// Progress is how far the pool is, for operators.
+// Progress is the state of a pool's rollout, for operators.
 type Progress struct {
 	Pool string `json:"pool"`
-	// At is when the endpoints were last asked.
+	// At is when the endpoints' states were last queried.
 	At time.Time `json:"at"`
-	// Endpoints of the pool; Converged hold what is wanted, Loading load now,
-	// Unanswered did not answer.
+	// Endpoints is the number of endpoints in the pool. Converged counts those
+	// in the wanted state, Loading those loading weights now, and Unanswered
+	// those that did not answer.
 	Endpoints  int `json:"endpoints"`
 	Converged  int `json:"converged"`
 	Loading    int `json:"loading"`
 	Unanswered int `json:"unanswered"`
-	// Behind names endpoints that do not hold what is wanted.
+	// Behind names the endpoints that are not in the wanted state.
 	Behind []string `json:"behind,omitempty"`
 	// Wanted lists the models as model@version.
 	Wanted []string `json:"wanted"`
-	// Since is when the pool last began or ended to differ from the records.
+	// Since is when the pool last started or stopped differing from the records.
 	Since time.Time `json:"since"`
 	// Refused is the last order that an endpoint refused, and why.
 	Refused string `json:"refused,omitempty"`
 }
 
-// Duty rolls one pool out while it holds the pool's lease. One goroutine does
-// the work; Progress may be called by any.
+// Duty brings the endpoints of one pool to the state in the records while this
+// instance holds the pool's lease. It works in one goroutine of its own; Progress
+// is safe for concurrent use.
 type Duty struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
 	inFlight []InFlight
-	// last is the newest state of each endpoint, so that one which stops
-	// answering still counts as loading for a while.
+	// last is the latest state of each endpoint, so that one that stops
+	// answering while it loads still counts as loading until
+	// unresponsiveTimeout.
 	last map[string]lastState
 
 	mu       sync.Mutex
@@ -107,30 +115,30 @@
 	at    time.Time
 }
 
-// NewDuty returns a duty that does nothing before Start.
+// NewDuty returns a Duty that is idle until Start.
 func NewDuty(cfg Config) *Duty {
 	return &Duty{cfg: cfg, last: map[string]lastState{}, progress: Progress{Pool: cfg.Pool}}
 }
 
-// Start begins to look at the pool again and again.
+// Start starts to reconcile the pool periodically.
 func (d *Duty) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	d.done.Go(func() {
 		for ctx.Err() == nil {
-			_ = clock.Sleep(ctx, d.round(ctx))
+			_ = clock.Sleep(ctx, d.reconcile(ctx))
 		}
 	})
 }
 
-// Stop ends the duty and waits for its goroutine.
+// Stop stops the reconciliation and waits for its goroutine.
 func (d *Duty) Stop() {
 	d.cancel()
 	d.done.Wait()
 }
 
-// Progress returns how far the pool was at the last look of this instance. ok
-// is false if it does not hold the lease.
+// Progress returns the progress as of this instance's last reconciliation. ok is
+// false if the instance does not hold the lease or has not queried the pool yet.
 func (d *Duty) Progress() (p Progress, ok bool) {
 	if _, held := d.cfg.Lease.Held(); !held {
 		return Progress{}, false
@@ -140,69 +148,71 @@
 	return d.progress, !d.progress.At.IsZero()
 }
 
-// round looks at the pool once and sends what is due. It returns the time to
-// the next look.
-func (d *Duty) round(ctx context.Context) time.Duration {
+// reconcile queries the pool's endpoints once and sends the orders that are due.
+// It returns the time to wait before the next call.
+func (d *Duty) reconcile(ctx context.Context) time.Duration {
 	records := d.cfg.Records()
 	fence, held := d.cfg.Lease.Held()
 	if records == nil || !held {
 		d.inFlight = nil
-		return activeEvery
+		return activeInterval
 	}
 	pool, ok := records.Pool(d.cfg.Pool)
 	if !ok {
-		return restEvery
+		return idleInterval
 	}
 	wanted := WantedOf(records, d.cfg.Pool)
 	observed := d.observe(ctx, pool.GetEndpoints())
-	d.settle(time.Now(), observed)
+	d.dropFinished(time.Now(), observed)
 	limits := Limits{LoadsAtOnce: int(pool.GetLoadsAtOnce())}
 	if pool.GetChecksFencing() {
 		limits.Fence = fence
 	}
 	orders := Plan(wanted, observed, d.inFlight, limits)
-	d.note(wanted, observed)
+	d.updateProgress(wanted, observed)
 	d.send(ctx, pool.GetEndpoints(), orders, fence)
 	n := time.Duration(len(observed))
 	if len(orders) == 0 && len(d.inFlight) == 0 && d.converged() {
-		return max(restEvery, n*restEach)
+		return max(idleInterval, n*idlePerEndpoint)
 	}
-	return max(activeEvery, n*activeEach)
+	return max(activeInterval, n*activePerEndpoint)
 }
 
-// observe asks all endpoints for their state, a few at a time.
+// observe queries the state of all endpoints, with bounded concurrency.
 func (d *Duty) observe(ctx context.Context, endpoints []*recordspb.Endpoint) []Observed {
 	list := make([]Observed, len(endpoints))
-	each(endpoints, func(i int, e *recordspb.Endpoint) {
-		ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	forEach(endpoints, func(i int, e *recordspb.Endpoint) {
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		s, err := d.cfg.Dial(e.GetAddress()).State(ctx)
 		list[i] = Observed{Name: e.GetName(), Role: e.GetRole(), Leaving: e.GetLeaving(), Answered: err == nil, State: s}
 	})
-	d.remember(list, time.Now())
+	d.fillMissing(list, time.Now())
 	return list
 }
 
-// remember puts the last state in place of the answers that did not come.
-func (d *Duty) remember(list []Observed, now time.Time) {
-	kept := make(map[string]lastState, len(list))
+// fillMissing uses the last known state for endpoints that did not answer, until
+// unresponsiveTimeout.
+func (d *Duty) fillMissing(list []Observed, now time.Time) {
+	remaining := make(map[string]lastState, len(list))
 	for i, o := range list {
 		last, ok := d.last[o.Name]
 		switch {
 		case o.Answered:
-			kept[o.Name] = lastState{o.State, now}
-		case ok && now.Sub(last.at) < giveUpAfter:
-			kept[o.Name] = last
+			remaining[o.Name] = lastState{o.State, now}
+		case ok && now.Sub(last.at) < unresponsiveTimeout:
+			remaining[o.Name] = last
 			list[i].State = last.state
 		}
 	}
-	d.last = kept
+	d.last = remaining
 }
 
-// each calls fn for all endpoints, a bounded number at a time.
-func each(endpoints []*recordspb.Endpoint, fn func(i int, e *recordspb.Endpoint)) {
+// forEach calls fn for all endpoints, at most maxConcurrentCalls at a time, and
+// waits for them.
+func forEach(endpoints []*recordspb.Endpoint, fn func(i int, e *recordspb.Endpoint)) {
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, asksAtOnce)
+	slots := make(chan struct{}, maxConcurrentCalls)
 	for i, e := range endpoints {
 		slots <- struct{}{}
 		wg.Go(func() {
@@ -213,28 +223,29 @@
 	wg.Wait()
 }
 
-// settle forgets the orders whose effect is seen, those that an answering
-// endpoint shows nothing of, and those that are given up.
-func (d *Duty) settle(now time.Time, observed []Observed) {
+// dropFinished removes orders from inFlight: those whose effect is visible, those
+// whose endpoint answers but has not shown an effect within effectTimeout, and those
+// whose endpoint has been unresponsive for unresponsiveTimeout.
+func (d *Duty) dropFinished(now time.Time, observed []Observed) {
 	byName := make(map[string]Observed, len(observed))
 	for _, o := range observed {
 		byName[o.Name] = o
 	}
-	kept := d.inFlight[:0]
+	remaining := d.inFlight[:0]
 	for _, f := range d.inFlight {
 		o, age := byName[f.Endpoint], now.Sub(f.Since)
 		switch {
-		case o.Answered && (f.seen(o.State) || age >= lagBound):
-		case age >= giveUpAfter:
+		case o.Answered && (f.visible(o.State) || age >= effectTimeout):
+		case age >= unresponsiveTimeout:
 		default:
-			kept = append(kept, f)
+			remaining = append(remaining, f)
 		}
 	}
-	d.inFlight = kept
+	d.inFlight = remaining
 }
 
-// send sends the orders. Between the plan and an order this instance may have
-// been paused for longer than the lease, so the lease is looked at once more.
+// send sends the orders. This instance may have been paused for longer than the
+// lease since the plan was made, so the lease is checked before each order.
 func (d *Duty) send(ctx context.Context, endpoints []*recordspb.Endpoint, orders []Order, fence uint64) {
 	addresses := map[string]string{}
 	for _, e := range endpoints {
@@ -246,22 +257,23 @@
 		}
 		o.Order.Fence = fence
 		d.inFlight = append(d.inFlight, InFlight{Order: o, Since: time.Now()})
-		if !d.order(ctx, addresses[o.Endpoint], o) {
+		if !d.sendOrder(ctx, addresses[o.Endpoint], o) {
 			return
 		}
 	}
 }
 
-// order sends one order. It reports false where a newer holder is at work.
-func (d *Duty) order(ctx context.Context, address string, o Order) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// sendOrder sends one order. It returns false if the endpoint has already seen a
+// newer lease holder.
+func (d *Duty) sendOrder(ctx context.Context, address string, o Order) bool {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ordersTotal.Inc()
 	err := d.cfg.Dial(address).Order(ctx, o.Order)
 	if err == nil {
 		return true
 	}
-	orderFails.Inc()
+	orderFailures.Inc()
 	d.mu.Lock()
 	d.progress.Refused = fmt.Sprintf("%s refused %s %s@%s: %v", o.Endpoint, o.Order.Kind, o.Order.Model, o.Order.Version, err)
 	d.mu.Unlock()
@@ -278,9 +290,9 @@
 	return len(d.progress.Behind) == 0
 }
 
-// note keeps the progress and logs when the pool comes to differ from the
-// records or to match them.
-func (d *Duty) note(w Wanted, observed []Observed) {
+// updateProgress stores the progress and logs when the pool starts or stops
+// differing from the records.
+func (d *Duty) updateProgress(w Wanted, observed []Observed) {
 	p := Progress{Pool: d.cfg.Pool, At: time.Now(), Endpoints: len(observed)}
 	for _, m := range w.Models {
 		p.Wanted = append(p.Wanted, m.Model+"@"+m.Version)
--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -14,54 +14,59 @@
 )
 
 const (
-	// tick is how often the plan is made while something is to be done, calm
-	// otherwise.
-	tick = 30 * time.Millisecond
-	calm = 200 * time.Millisecond
-	// firstLoadTime is how long a load is thought to take before one was seen.
-	firstLoadTime = 500 * time.Millisecond
-	// pollEvery is the time between two looks at an endpoint that should be done
-	// loading. Reports are a tenth of a second old.
-	pollEvery = 100 * time.Millisecond
-	// againAfter is the wait after an order that was refused or not answered.
-	againAfter = 300 * time.Millisecond
-	// giveUpLoad is how long an accepted order is waited for before it is given
+	// busyInterval is the time between plans while endpoints lack the wanted
+	// weights, hostedIdleInterval otherwise.
+	busyInterval       = 30 * time.Millisecond
+	hostedIdleInterval = 200 * time.Millisecond
+	// initialLoadTime is the estimated duration of a load before one was measured.
+	initialLoadTime = 500 * time.Millisecond
+	// pollInterval is the time between two queries of an endpoint whose load
+	// should be complete. Its reports are up to 100 ms old.
+	pollInterval = 100 * time.Millisecond
+	// retryDelay is the time before an endpoint gets another order after one that
+	// was refused or not answered.
+	retryDelay = 300 * time.Millisecond
+	// loadTimeout is how long an accepted order may take before it is sent
 	// again.
-	giveUpLoad = 6 * time.Second
-	// maxMisses is after how many reports without an answer an endpoint counts as
-	// gone while it loads. It would otherwise hold one of the few places of those
-	// that may load at a time, and a crash during a rollout stop the whole pool.
-	maxMisses = 3
-	// loadTimeWeight is the weight of the newest load in the usual time.
+	loadTimeout = 6 * time.Second
+	// maxFailedReports is the number of unanswered report queries after which a
+	// loading endpoint counts as down. Only few endpoints may load at a time, so
+	// without it endpoints that crash during a rollout would use up that limit
+	// and stop the rollout of the whole pool.
+	maxFailedReports = 3
+	// loadTimeWeight is the weight of the latest load in the moving average of
+	// load times.
 	loadTimeWeight = 0.3
 )
 
-// Control gives orders to endpoints.
+// Control sends orders and queries to endpoints.
 type Control interface {
 	Load(ctx context.Context, t Target, o LoadOrder) (Verdict, error)
 	Report(ctx context.Context, t Target) (Report, error)
 }
 
-// HostedConfig is what a Hosted duty needs.
+// HostedConfig configures a Hosted.
 type HostedConfig struct {
 	// Self is this instance's name.
 	Self    string
 	Lease   Lease
 	Control Control
 	State   *balance.State
-	// Pools returns the services with models, and these models.
+	// Pools returns the models of each service that has any, by service name.
 	Pools func() map[string][]string
-	// Soon is told which endpoint loads next, after about d.
+	// Soon is called with an endpoint that is expected to start loading after
+	// about d. It must not block.
 	Soon func(endpointID string, d time.Duration)
-	// Loading is told which endpoint loads, and for how much longer; Holds which
-	// version an endpoint has. They must not block.
+	// Loading is called with an endpoint that is loading and the expected
+	// remaining time. Holds is called with the version that an endpoint has
+	// loaded. Neither may block.
 	Loading func(endpointID string, d time.Duration)
 	Holds   func(endpointID, model string, version int64)
 }
 
 // Hosted brings the endpoints of hosted pools to the versions that operators
-// name, while this instance holds the lease. Want may be called by any
-// goroutine.
+// request, while this instance holds the lease. Want and Wanted are safe for
+// concurrent use.
 type Hosted struct {
 	cfg HostedConfig
 
@@ -70,28 +75,30 @@
 	targets  map[string]*target
 	loadTime time.Duration
 	fence    uint64
-	fenced   uint64
-	news     chan struct{}
-	orders   sync.WaitGroup
+	// staleFence is the own fencing number that an endpoint refused as stale; no
+	// more orders are sent with it.
+	staleFence uint64
+	wake       chan struct{}
+	orders     sync.WaitGroup
 }
 
-// target is what the holder knows of one incarnation.
+// target is what the lease holder knows of one incarnation of an endpoint.
 type target struct {
-	// orders is the number of orders that it has taken; known says whether that
-	// was read.
+	// orders is the number of orders that the endpoint has accepted; it is valid
+	// only if known is true.
 	orders    uint64
 	known     bool
 	busyUntil time.Time
 	loading   bool
 }
 
-// NewHosted returns a duty that Run starts.
+// NewHosted returns a Hosted that is idle until Run.
 func NewHosted(cfg HostedConfig) *Hosted {
-	return &Hosted{cfg: cfg, wanted: map[string]int64{}, targets: map[string]*target{}, loadTime: firstLoadTime, news: make(chan struct{}, 1)}
+	return &Hosted{cfg: cfg, wanted: map[string]int64{}, targets: map[string]*target{}, loadTime: initialLoadTime, wake: make(chan struct{}, 1)}
 }
 
-// Want says which version of a model operators have named. Older ones are
-// skipped.
+// Want sets the version of a model that operators request. A version older than
+// the current one is ignored.
 func (h *Hosted) Want(w Weights) {
 	h.mu.Lock()
 	newer := w.Version > h.wanted[w.Model]
@@ -104,47 +111,47 @@
 	}
 	log.WithField("model", w.Model).WithField("version", w.Version).Info("weights named")
 	select {
-	case h.news <- struct{}{}:
+	case h.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Wanted returns the versions that operators have named.
+// Wanted returns the versions that operators request, by model.
 func (h *Hosted) Wanted() map[string]int64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return maps.Clone(h.wanted)
 }
 
-// Run gives orders until ctx ends.
+// Run sends orders until ctx is done, and waits for those in flight.
 func (h *Hosted) Run(ctx context.Context) {
 	defer h.orders.Wait()
 	for ctx.Err() == nil {
-		pause := calm
-		if fence, held := h.cfg.Lease.Held(); held && fence != h.fencedOut() {
+		pause := hostedIdleInterval
+		if fence, held := h.cfg.Lease.Held(); held && fence != h.currentStaleFence() {
 			h.takeOver(fence)
-			if h.round(ctx, fence) {
-				pause = tick
+			if h.reconcile(ctx, fence) {
+				pause = busyInterval
 			}
 		}
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
 		case <-timer.C:
-		case <-h.news:
+		case <-h.wake:
 		}
 		timer.Stop()
 	}
 }
 
-func (h *Hosted) fencedOut() uint64 {
+func (h *Hosted) currentStaleFence() uint64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.fenced
+	return h.staleFence
 }
 
-// takeOver forgets what an earlier term of this instance knew: others may have
-// given orders since.
+// takeOver resets the target states at the start of a lease term: other holders
+// may have sent orders since an earlier term of this instance.
 func (h *Hosted) takeOver(fence uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,10 +163,11 @@
 	log.WithField("fence", fence).Info("rollout taken over")
 }
 
-// round plans once and sends the orders; it reports whether more is to come.
-func (h *Hosted) round(ctx context.Context, fence uint64) bool {
+// reconcile plans once and sends the orders. It reports whether any endpoint still
+// lacks the wanted version.
+func (h *Hosted) reconcile(ctx context.Context, fence uint64) bool {
 	now := time.Now()
-	open := false
+	unfinished := false
 	for service, models := range h.cfg.Pools() {
 		for _, model := range models {
 			want := h.Wanted()[model]
@@ -167,18 +175,18 @@
 				continue
 			}
 			list, behind := h.candidates(now, service, model, want)
-			open = open || behind
+			unfinished = unfinished || behind
 			load, next := PlanLoads(now, want, list)
 			for _, c := range load {
-				h.begin(c)
-				h.orders.Go(func() { h.order(ctx, c.Target, Weights{model, want}, fence) })
+				h.markLoading(c)
+				h.orders.Go(func() { h.runOrder(ctx, c.Target, Weights{model, want}, fence) })
 			}
 			if len(load) > 0 {
 				h.announce(next)
 			}
 		}
 	}
-	return open
+	return unfinished
 }
 
 func (h *Hosted) candidates(now time.Time, service, model string, want int64) (list []Candidate, behind bool) {
@@ -200,36 +208,36 @@
 	return list, behind
 }
 
-// announce tells which endpoints load next.
+// announce calls Soon for the endpoints that load next.
 func (h *Hosted) announce(next []Candidate) {
-	usual := h.usualTime()
+	loadTime := h.averageLoadTime()
 	for _, c := range next {
-		h.cfg.Soon(c.ID, usual)
+		h.cfg.Soon(c.ID, loadTime)
 	}
 }
 
-// begin counts the endpoint as loading before its order leaves.
-func (h *Hosted) begin(c Candidate) {
+// markLoading counts the endpoint as loading from before its order is sent.
+func (h *Hosted) markLoading(c Candidate) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	t := h.targets[c.ID]
 	t.loading = true
-	t.busyUntil = time.Now().Add(giveUpLoad)
+	t.busyUntil = time.Now().Add(loadTimeout)
 }
 
-// order gives one order and follows the load to its end.
-func (h *Hosted) order(ctx context.Context, t Target, w Weights, fence uint64) {
-	expect, ok := h.expected(ctx, t, w)
+// runOrder sends one order and waits for the load to end.
+func (h *Hosted) runOrder(ctx context.Context, t Target, w Weights, fence uint64) {
+	expect, ok := h.expectedOrders(ctx, t, w)
 	if !ok {
-		h.settle(t, againAfter)
+		h.endOrder(t, retryDelay)
 		return
 	}
 	if now, held := h.cfg.Lease.Held(); !held || now != fence {
-		h.settle(t, 0)
+		h.endOrder(t, 0)
 		return
 	}
 	ordersTotal.Inc()
-	h.cfg.Loading(t.ID, h.usualTime())
+	h.cfg.Loading(t.ID, h.averageLoadTime())
 	sentAt := time.Now()
 	verdict, err := h.cfg.Control.Load(ctx, t, LoadOrder{Weights: w, Mode: LoadAtOnce, Holder: h.cfg.Self, Fence: fence, Expect: &expect})
 	line := log.WithFields(log.Fields{"endpoint": t.ID, "model": w.Model, "version": w.Version, "fence": fence, "expect": expect, "verdict": int(verdict)})
@@ -237,12 +245,14 @@
 		line = line.WithField("why", err.Error())
 	}
 	line.Info("order")
-	h.judge(ctx, t, w, verdict, fence, expect, sentAt)
+	h.handleVerdict(ctx, t, w, verdict, fence, expect, sentAt)
 }
 
-// expected returns how many orders the endpoint has taken. It asks where that is
-// not known, and learns the version on the way.
-func (h *Hosted) expected(ctx context.Context, t Target, w Weights) (uint64, bool) {
+// expectedOrders returns how many orders the endpoint has accepted so far. If that
+// is not known it queries the endpoint. It returns false if the query failed, or
+// shows that no order can be sent now because the endpoint is loading or already
+// has the version.
+func (h *Hosted) expectedOrders(ctx context.Context, t Target, w Weights) (uint64, bool) {
 	h.mu.Lock()
 	known := h.targets[t.ID]
 	if known != nil && known.known {
@@ -253,10 +263,10 @@
 	h.mu.Unlock()
 	r, err := h.cfg.Control.Report(ctx, t)
 	if err != nil {
-		orderFails.Inc()
+		orderFailures.Inc()
 		return 0, false
 	}
-	h.note(t, r.Orders, true)
+	h.setOrders(t, r.Orders, true)
 	if v := r.Versions[w.Model]; v >= w.Version && !r.Loading {
 		h.cfg.Holds(t.ID, w.Model, v)
 		return 0, false
@@ -264,85 +274,86 @@
 	return r.Orders, !r.Loading
 }
 
-func (h *Hosted) note(t Target, orders uint64, known bool) {
+func (h *Hosted) setOrders(t Target, orders uint64, known bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if x := h.targets[t.ID]; x != nil {
-		x.orders, x.known = orders, known
+	if state := h.targets[t.ID]; state != nil {
+		state.orders, state.known = orders, known
 	}
 }
 
-// settle ends an order; the endpoint may get another one after the pause.
-func (h *Hosted) settle(t Target, pause time.Duration) {
+// endOrder marks an order as ended; the endpoint may get another one after delay.
+func (h *Hosted) endOrder(t Target, delay time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if x := h.targets[t.ID]; x != nil {
-		x.loading = false
-		x.busyUntil = time.Now().Add(pause)
+	if state := h.targets[t.ID]; state != nil {
+		state.loading = false
+		state.busyUntil = time.Now().Add(delay)
 	}
 }
 
-func (h *Hosted) judge(ctx context.Context, t Target, w Weights, v Verdict, fence, expect uint64, sentAt time.Time) {
+func (h *Hosted) handleVerdict(ctx context.Context, t Target, w Weights, v Verdict, fence, expect uint64, sentAt time.Time) {
 	switch v {
 	case Accepted:
-		h.note(t, expect+1, true)
-		h.follow(ctx, t, w, sentAt)
+		h.setOrders(t, expect+1, true)
+		h.awaitLoad(ctx, t, w, sentAt)
 		return
 	case InPlace:
 		h.cfg.Holds(t.ID, w.Model, w.Version)
-		h.settle(t, 0)
+		h.endOrder(t, 0)
 		return
 	case Fenced:
 		staleOrders.Inc()
 		h.mu.Lock()
-		h.fenced = fence
+		h.staleFence = fence
 		h.mu.Unlock()
 	case Replaced:
 		h.cfg.State.Gone(t.ID)
 	}
-	orderFails.Inc()
-	// Whatever the reason, the number of orders is not certain any more.
-	h.note(t, 0, false)
-	h.settle(t, againAfter)
+	orderFailures.Inc()
+	// Whatever the verdict, the number of accepted orders is no longer certain.
+	h.setOrders(t, 0, false)
+	h.endOrder(t, retryDelay)
 }
 
-// follow waits until the endpoint has the new weights.
-func (h *Hosted) follow(ctx context.Context, t Target, w Weights, sentAt time.Time) {
-	_ = clock.Sleep(ctx, h.usualTime()-time.Since(sentAt))
-	misses := 0
-	for ctx.Err() == nil && time.Since(sentAt) < giveUpLoad {
+// awaitLoad waits until the endpoint has loaded the new weights, is down, or
+// loadTimeout has passed.
+func (h *Hosted) awaitLoad(ctx context.Context, t Target, w Weights, sentAt time.Time) {
+	_ = clock.Sleep(ctx, h.averageLoadTime()-time.Since(sentAt))
+	failedReports := 0
+	for ctx.Err() == nil && time.Since(sentAt) < loadTimeout {
 		r, err := h.cfg.Control.Report(ctx, t)
 		if err != nil {
-			if misses++; misses >= maxMisses || fault.Is(err, fault.NotFound) {
+			if failedReports++; failedReports >= maxFailedReports || fault.Is(err, fault.NotFound) {
 				break
 			}
 		}
 		if err == nil && r.Versions[w.Model] >= w.Version {
-			h.learn(time.Since(sentAt))
+			h.recordLoadTime(time.Since(sentAt))
 			h.cfg.Holds(t.ID, w.Model, r.Versions[w.Model])
-			h.settle(t, 0)
+			h.endOrder(t, 0)
 			return
 		}
 		if err == nil && !r.Loading {
-			// It has restarted, or the report is older than the order.
-			if time.Since(sentAt) > 2*h.usualTime()+againAfter {
+			// The endpoint has restarted, or its report is older than the order.
+			if time.Since(sentAt) > 2*h.averageLoadTime()+retryDelay {
 				break
 			}
 		}
-		h.cfg.Loading(t.ID, pollEvery)
-		_ = clock.Sleep(ctx, pollEvery)
+		h.cfg.Loading(t.ID, pollInterval)
+		_ = clock.Sleep(ctx, pollInterval)
 	}
-	h.note(t, 0, false)
-	h.settle(t, againAfter)
+	h.setOrders(t, 0, false)
+	h.endOrder(t, retryDelay)
 }
 
-func (h *Hosted) usualTime() time.Duration {
+func (h *Hosted) averageLoadTime() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.loadTime
 }
 
-func (h *Hosted) learn(took time.Duration) {
+func (h *Hosted) recordLoadTime(took time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.loadTime += time.Duration(loadTimeWeight * float64(took-h.loadTime))
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -11,19 +11,19 @@
 	"github.com/sardinedock/sardinedock/record"
 )
 
-// Wanted is what the endpoints of a pool have to hold, in order of name.
+// Wanted lists the models that the endpoints of a pool have to serve, sorted by name.
 type Wanted struct {
 	Models []WantedModel
 }
 
-// WantedModel is one model of a pool.
+// WantedModel is one model with the version and adapters that a pool has to serve.
 type WantedModel struct {
 	Model    string
 	Version  string
 	Adapters []string
 }
 
-// WantedOf reads from the records what a pool's endpoints have to hold.
+// WantedOf returns what the records require of a pool's endpoints.
 func WantedOf(s *record.Snapshot, pool string) Wanted {
 	var w Wanted
 	for _, name := range s.ModelNames() {
@@ -35,46 +35,47 @@
 	return w
 }
 
-// Observed is one endpoint as it was seen last.
+// Observed is the last known state of an endpoint.
 type Observed struct {
 	Name string
-	// Role that the record asks for; empty asks for none.
+	// Role is the role in the endpoint's record; empty means any.
 	Role string
-	// Leaving endpoints are left as they are.
+	// Leaving endpoints get no orders.
 	Leaving bool
-	// Answered says that State is the answer to the last question.
+	// Answered reports whether State is the answer to the latest query and not an
+	// older one.
 	Answered bool
 	State    endpoint.State
 }
 
-// InFlight is an order that was sent and whose effect was not seen yet.
+// InFlight is an order that was sent and whose effect is not visible yet.
 type InFlight struct {
 	Order
 	Since time.Time
 }
 
-// seen reports whether an endpoint's state shows the effect of the order.
-func (f InFlight) seen(s endpoint.State) bool {
+// visible reports whether an endpoint's state shows the effect of the order.
+func (f InFlight) visible(s endpoint.State) bool {
 	o := f.Order.Order
-	here := func(m endpoint.ModelState) bool { return m.Model == o.Model && m.Version == o.Version }
+	matches := func(m endpoint.ModelState) bool { return m.Model == o.Model && m.Version == o.Version }
 	switch o.Kind {
 	case endpoint.OrderLoadModel:
-		return slices.ContainsFunc(s.Models, here) || slices.ContainsFunc(s.Loading, here)
+		return slices.ContainsFunc(s.Models, matches) || slices.ContainsFunc(s.Loading, matches)
 	case endpoint.OrderLoadAdapter:
-		i := slices.IndexFunc(s.Models, here)
+		i := slices.IndexFunc(s.Models, matches)
 		return i >= 0 && slices.Contains(s.Models[i].Adapters, o.Adapter)
 	case endpoint.OrderUnloadModel:
-		return !slices.ContainsFunc(s.Models, here)
+		return !slices.ContainsFunc(s.Models, matches)
 	}
 	return s.Role == o.Role
 }
 
-// Limits bound what happens at a time.
+// Limits bounds a plan.
 type Limits struct {
-	// LoadsAtOnce is how many endpoints of the pool may load at a time.
+	// LoadsAtOnce is how many endpoints of the pool may load weights concurrently.
 	LoadsAtOnce int
-	// Fence is the sender's fencing number where endpoints check it, or 0. It
-	// is shown to endpoints that have nothing to do as well.
+	// Fence is the sender's fencing number if the endpoints check it, otherwise 0.
+	// Endpoints already in the wanted state get an order that carries it, too.
 	Fence uint64
 }
 
@@ -84,31 +85,32 @@
 	Order    endpoint.Order
 }
 
-// Plan returns the orders to send now, one for an endpoint at most.
+// Plan returns the orders to send now, at most one per endpoint.
 //
-// Load: a new version reaches a pool whose endpoints all serve. Harm prevented:
-// past LoadsAtOnce the weight store slows every load down, and more endpoints
-// than that would work on their loads instead of requests. The plan follows
-// only from what endpoints report and is made again and again. So an order that
-// a former holder of the lease sends late is undone even where endpoints do not
-// check fencing numbers, and a lost order is sent again.
+// It applies a new version to a pool whose endpoints are all serving. With more
+// than LoadsAtOnce concurrent loads the weight store would slow down every load,
+// and more endpoints would be loading instead of serving requests. The plan
+// depends only on what the endpoints report and on the orders in flight, and is
+// recomputed at every interval. So an order that a former lease holder sends late
+// is undone even where endpoints do not check fencing numbers, and a lost order is
+// sent again.
 func Plan(w Wanted, observed []Observed, inFlight []InFlight, l Limits) []Order {
 	if len(w.Models) == 0 {
-		// A pool without models is more likely a record on its way than a wish
-		// to take all weights away.
+		// A pool without models more likely means that a model's record has not
+		// arrived yet than that all weights should be unloaded.
 		return nil
 	}
 	busy := loading(observed, inFlight)
 	free := l.LoadsAtOnce - len(busy)
 	var orders []Order
-	for _, o := range inOrder(observed, w) {
+	for _, o := range sortForLoading(observed, w) {
 		if !o.Answered || o.Leaving || o.State.Leaving || pending(inFlight, o.Name) {
 			continue
 		}
 		next, ok := nextOrder(w, o)
 		if !ok {
-			if show, ok := fenceOrder(w, o, l.Fence); ok {
-				orders = append(orders, Order{Endpoint: o.Name, Order: show})
+			if fenceOnly, ok := fenceOrder(w, o, l.Fence); ok {
+				orders = append(orders, Order{Endpoint: o.Name, Order: fenceOnly})
 			}
 			continue
 		}
@@ -123,9 +125,9 @@
 	return orders
 }
 
-// loading names the endpoints that draw on the weight store now. An endpoint
-// that has stopped answering may still load, so its order counts until it is
-// given up.
+// loading names the endpoints that are reading from the weight store now. An
+// endpoint that has stopped answering may still be loading, so its order counts
+// until it is dropped from inFlight.
 func loading(observed []Observed, inFlight []InFlight) []string {
 	var names []string
 	for _, o := range observed {
@@ -141,17 +143,20 @@
 	return names
 }
 
+// pending reports whether an order for the endpoint is in flight.
 func pending(inFlight []InFlight, name string) bool {
 	return slices.ContainsFunc(inFlight, func(f InFlight) bool { return f.Endpoint == name })
 }
 
+// usesWeights reports whether an order of the kind makes the endpoint read from the
+// weight store.
 func usesWeights(kind endpoint.OrderKind) bool {
 	return kind == endpoint.OrderLoadModel || kind == endpoint.OrderLoadAdapter
 }
 
-// inOrder puts endpoints first that serve nothing of what is wanted: they cost
-// no request when they load.
-func inOrder(observed []Observed, w Wanted) []Observed {
+// sortForLoading sorts the endpoints that serve no wanted model first: no request is
+// affected while they load.
+func sortForLoading(observed []Observed, w Wanted) []Observed {
 	list := slices.Clone(observed)
 	sort.Slice(list, func(i, j int) bool {
 		a, b := serves(list[i], w), serves(list[j], w)
@@ -163,15 +168,15 @@
 	return list
 }
 
-// serves reports whether the endpoint answers for a wanted model, with
-// whatever version.
+// serves reports whether the endpoint serves any version of a wanted model.
 func serves(o Observed, w Wanted) bool {
 	return slices.ContainsFunc(o.State.Models, func(m endpoint.ModelState) bool {
 		return slices.ContainsFunc(w.Models, func(want WantedModel) bool { return want.Model == m.Model })
 	})
 }
 
-// nextOrder returns what brings one endpoint a step nearer to what is wanted.
+// nextOrder returns the order that brings an endpoint one step closer to the wanted
+// state, or false if it is in that state or has to finish a load first.
 func nextOrder(w Wanted, o Observed) (endpoint.Order, bool) {
 	for _, want := range w.Models {
 		if next, ok := modelOrder(want, o.State); ok {
@@ -189,8 +194,8 @@
 	return endpoint.Order{}, false
 }
 
-// modelOrder returns what one model lacks. A load that is under way is waited
-// for, whatever its version: it cannot be called back.
+// modelOrder returns the load order that one model still needs. While any version
+// of the model is loading it returns none: a load cannot be cancelled.
 func modelOrder(want WantedModel, s endpoint.State) (endpoint.Order, bool) {
 	if slices.ContainsFunc(s.Loading, func(m endpoint.ModelState) bool { return m.Model == want.Model }) {
 		return endpoint.Order{}, false
@@ -209,9 +214,10 @@
 	return endpoint.Order{}, false
 }
 
-// fenceOrder asks an endpoint that holds what is wanted for just that. An
-// endpoint that has not seen the new holder's number would still take an order
-// of the former one, sent late, and work on weights that nobody wants.
+// fenceOrder returns an order to load what an endpoint has already loaded, if that
+// endpoint has not seen the fencing number yet. Without it, the endpoint would
+// accept an order that the former lease holder sends late, and load weights that
+// are no longer wanted.
 func fenceOrder(w Wanted, o Observed, fence uint64) (endpoint.Order, bool) {
 	if o.State.Fence >= fence || len(o.State.Loading) > 0 {
 		return endpoint.Order{}, false
@@ -220,8 +226,8 @@
 	return endpoint.Order{Kind: endpoint.OrderLoadModel, Model: first.Model, Version: first.Version}, true
 }
 
-// unloadOrder takes away a model that the pool does not serve any more. Its
-// memory is wanted for the cache.
+// unloadOrder unloads a model that the pool no longer serves, to free its memory
+// for the KV cache.
 func unloadOrder(w Wanted, s endpoint.State) (endpoint.Order, bool) {
 	for _, m := range s.Models {
 		wanted := slices.ContainsFunc(w.Models, func(want WantedModel) bool { return want.Model == m.Model })
@@ -232,7 +238,7 @@
 	return endpoint.Order{}, false
 }
 
-// Converged reports whether an endpoint holds what is wanted.
+// Converged reports whether an endpoint is in the wanted state.
 func Converged(w Wanted, o Observed) bool {
 	if !o.Answered || len(o.State.Loading) > 0 {
 		return false
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -17,25 +17,25 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// loadTime is how long an engine loads weights.
-const loadTime = 5 * time.Second
+// engineLoadTime is how long an engine takes to load weights.
+const engineLoadTime = 5 * time.Second
 
-// engine is an engine in memory that takes orders.
+// engine is an in-memory engine that accepts orders.
 type engine struct {
 	pool          *enginePool
 	checksFencing bool
 
-	state  endpoint.State
-	silent bool
+	state        endpoint.State
+	unresponsive bool
 }
 
-// enginePool counts the loads of its engines.
+// enginePool counts the concurrent loads and the state queries of its engines.
 type enginePool struct {
 	mu      sync.Mutex
 	engines map[string]*engine
 	loads   int
 	peak    int
-	asked   int
+	queries int
 }
 
 func newPool(n int, version string, checks bool) *enginePool {
@@ -54,9 +54,9 @@
 func (e *engine) State(context.Context) (endpoint.State, error) {
 	e.pool.mu.Lock()
 	defer e.pool.mu.Unlock()
-	e.pool.asked++
-	if e.silent {
-		return endpoint.State{}, fault.New(fault.Unavailable, "start it", "silent")
+	e.pool.queries++
+	if e.unresponsive {
+		return endpoint.State{}, fault.New(fault.Unavailable, "start it", "the engine does not answer")
 	}
 	s := e.state
 	s.Models, s.Loading = slices.Clone(s.Models), slices.Clone(s.Loading)
@@ -80,7 +80,7 @@
 		e.state.Loading = append(e.state.Loading, want)
 		e.pool.loads++
 		e.pool.peak = max(e.pool.peak, e.pool.loads)
-		time.AfterFunc(loadTime, func() { e.loaded(want) })
+		time.AfterFunc(engineLoadTime, func() { e.loaded(want) })
 	case endpoint.OrderLoadAdapter:
 		e.state.Models[0].Adapters = append(e.state.Models[0].Adapters, o.Adapter)
 	case endpoint.OrderSetRole:
@@ -113,7 +113,8 @@
 	return slices.Compact(list)
 }
 
-// records wants a version of one model on n engines, two loads at a time.
+// records returns records that require a version of one model on n engines, with two
+// concurrent loads.
 func records(n int, version string, adapters ...string) func() *record.Snapshot {
 	pool := &recordspb.EndpointPool{LoadsAtOnce: 2}
 	for i := range n {
@@ -128,7 +129,7 @@
 	return func() *record.Snapshot { return s }
 }
 
-// lease is held with a fence, or not.
+// lease is held if fence is not 0.
 type lease struct {
 	mu    sync.Mutex
 	fence uint64
@@ -146,12 +147,12 @@
 	return d
 }
 
-func TestRolloutReachesAllAndLoadsFewAtOnce(t *testing.T) {
+func TestRolloutReachesAllWithinLoadLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(9, "1", true)
 		d := startDuty(p, &lease{fence: 5}, records(9, "2", "bolts"))
 		defer d.Stop()
-		time.Sleep(loadTime * 2)
+		time.Sleep(engineLoadTime * 2)
 		if got := p.versions(); !slices.Equal(got, []string{"counter@1", "counter@2"}) {
 			t.Fatalf("versions %v in the middle of the rollout", got)
 		}
@@ -176,12 +177,11 @@
 	})
 }
 
-// The holder of the lease is paused with an order for the old version in its
-// hands, another instance takes over and rolls the new one out, and then the
-// order is sent after all. Endpoints that check fencing numbers refuse it.
-// Others load the old weights, and the new holder has to bring them back: what
-// the operator wants wins and stays.
-func TestLateOrderOfAFormerHolder(t *testing.T) {
+// A lease holder is paused before it sends an order for the old version. Another
+// instance takes over and rolls out the new version, and then the old order is
+// sent. Endpoints that check fencing numbers must refuse it. Others load the old
+// weights, and the new holder must bring them back to the new version.
+func TestLateOrderOfFormerLeaseHolderIsUndone(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPool(3, "1", checks)
@@ -193,11 +193,11 @@
 			if fault.Is(err, fault.StaleFence) != checks {
 				t.Fatalf("checks fencing %v: got %v", checks, err)
 			}
-			time.Sleep(loadTime + 100*time.Millisecond)
+			time.Sleep(engineLoadTime + 100*time.Millisecond)
 			if back := slices.Contains(p.versions(), "counter@1"); back == checks {
 				t.Fatalf("checks fencing %v: the old weights were loaded: %v", checks, back)
 			}
-			time.Sleep(loadTime + 2*restEvery)
+			time.Sleep(engineLoadTime + 2*idleInterval)
 			if got := p.versions(); !slices.Equal(got, []string{"counter@2"}) {
 				t.Fatalf("checks fencing %v: versions %v, want the new one to win", checks, got)
 			}
@@ -205,10 +205,10 @@
 	}
 }
 
-// The holder is lost when all endpoints hold what is wanted, so the next one has
-// nothing to order. It has to show them its number all the same, or they would
-// take a late order of the first.
-func TestNewHolderShowsItsNumber(t *testing.T) {
+// The lease moves while all endpoints are in the wanted state, so the new holder has
+// nothing to order. It still has to send its fencing number, or the endpoints would
+// accept a late order of the former holder.
+func TestNewLeaseHolderSendsFencingNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(3, "2", true)
 		l := &lease{fence: 5}
@@ -221,7 +221,7 @@
 		l.mu.Lock()
 		l.fence = 9
 		l.mu.Unlock()
-		time.Sleep(2 * restEvery)
+		time.Sleep(2 * idleInterval)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for name, e := range p.engines {
@@ -232,9 +232,9 @@
 	})
 }
 
-// A former holder goes on as if it still held the lease. At the first refusal
-// by number it has to leave the pool alone.
-func TestHolderThatIsRefusedByNumberSendsNoMore(t *testing.T) {
+// A former lease holder continues as if it still held the lease. It must stop sending
+// orders to the pool at the first refusal for a stale fencing number.
+func TestStaleLeaseHolderStopsSendingOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(3, "2", true)
 		for _, e := range p.engines {
@@ -247,14 +247,14 @@
 			t.Fatalf("versions %v", got)
 		}
 		if got, _ := d.Progress(); got.Refused == "" {
-			t.Fatal("operators are not told of the refusal")
+			t.Fatal("the progress does not report the refusal")
 		}
 	})
 }
 
-// A machine is lost while it loads. It must not use up the loads at a time for
-// ever, or the other endpoints would keep the old weights.
-func TestLostMachineDoesNotHoldUpTheRollout(t *testing.T) {
+// Machines fail while they load. They must not count against the limit on
+// concurrent loads forever, or the other endpoints would keep the old weights.
+func TestUnresponsiveEndpointDoesNotBlockRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, "1", true)
 		d := startDuty(p, &lease{fence: 5}, records(4, "2"))
@@ -262,19 +262,20 @@
 		time.Sleep(time.Second)
 		p.mu.Lock()
 		for _, e := range p.engines {
-			e.silent = len(e.state.Loading) > 0
+			e.unresponsive = len(e.state.Loading) > 0
 		}
 		p.mu.Unlock()
-		time.Sleep(giveUpAfter + 4*loadTime)
+		time.Sleep(unresponsiveTimeout + 4*engineLoadTime)
 		if got, _ := d.Progress(); got.Converged != 2 || got.Unanswered != 2 {
 			t.Fatalf("progress %+v, want the two others rolled out", got)
 		}
 	})
 }
 
-// Whatever endpoints report, a plan never lets more of them load than allowed,
-// never orders one that loads or does not answer, and orders each once.
-func TestPlanKeepsItsLimits(t *testing.T) {
+// Whatever the endpoints report, a plan must not exceed the limit on concurrent
+// loads, must not send a load order to an endpoint that is loading or any order to
+// one that does not answer, and must send at most one order per endpoint.
+func TestPlanRespectsLimits(t *testing.T) {
 	model := func(t *rapid.T) endpoint.ModelState {
 		return endpoint.ModelState{
 			Model:   rapid.SampledFrom([]string{"a", "b"}).Draw(t, "model"),
@@ -322,9 +323,9 @@
 	})
 }
 
-// A pool of over a hundred endpoints must not cost its holder more questions at
-// rest than a small one does.
-func TestLargePoolIsAskedSlowly(t *testing.T) {
+// The lease holder of an idle pool of over a hundred endpoints must not send more
+// state queries per second than that of a small pool.
+func TestLargeIdlePoolQueryRateIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const endpoints = 120
 		p := newPool(endpoints, "1", true)
@@ -335,20 +336,20 @@
 		defer d.Stop()
 		time.Sleep(time.Minute)
 		p.mu.Lock()
-		before := p.asked
+		before := p.queries
 		p.mu.Unlock()
 		const minutes = 10
 		time.Sleep(minutes * time.Minute)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		// One round more than the rate gives may fall into the time.
-		if asked := p.asked - before; asked == 0 || asked > 11*60*minutes+endpoints {
-			t.Fatalf("%d questions in %d minutes of rest", asked, minutes)
+		// The interval may include one reconciliation more than the rate allows.
+		if queries := p.queries - before; queries == 0 || queries > 11*60*minutes+endpoints {
+			t.Fatalf("%d state queries in %d idle minutes", queries, minutes)
 		}
 	})
 }
 
-func TestPoolWithoutModelsIsLeftAlone(t *testing.T) {
+func TestPoolWithoutModelsGetsNoOrders(t *testing.T) {
 	o := Observed{Name: "e", Answered: true, State: endpoint.State{Models: []endpoint.ModelState{{Model: "a", Version: "1"}}}}
 	if got := Plan(Wanted{}, []Observed{o}, nil, Limits{LoadsAtOnce: 1}); len(got) != 0 {
 		t.Fatalf("orders %v", got)
--- a/rollout/weights.go
+++ b/rollout/weights.go
@@ -5,42 +5,44 @@
 	"time"
 )
 
-// Weights names the version of a model's weights that operators want.
+// Weights is the version of a model's weights that operators request.
 type Weights struct {
 	Model   string
 	Version int64
 }
 
-// Target is one incarnation of an endpoint that takes orders.
+// Target is one incarnation of an endpoint to which orders are sent.
 type Target struct {
-	// ID of the incarnation, and the Name that the platform gives the endpoint.
+	// ID identifies the incarnation; Name is the platform's name of the endpoint.
 	ID, Name string
-	// Born is when it started, in ms since 1970; 0 where it does not say.
+	// Born is the start time in Unix milliseconds, or 0 if not known.
 	Born    int64
 	Address string
 }
 
-// LoadMode says what happens to the runs on an endpoint that takes new weights.
+// LoadMode is what happens to the requests running on an endpoint when it loads new
+// weights.
 type LoadMode int
 
 // The modes.
 const (
-	// LoadAtOnce lets runs go on under the new weights.
+	// LoadAtOnce continues running requests with the new weights.
 	LoadAtOnce LoadMode = iota
-	// LoadAfterRuns waits for the runs to end first.
+	// LoadAfterRuns waits for the running requests to end first.
 	LoadAfterRuns
 )
 
-// LoadOrder tells an endpoint to take a version.
+// LoadOrder instructs an endpoint to load a version.
 type LoadOrder struct {
 	Weights
 	Mode LoadMode
-	// Holder and Fence of the lease under which the order is given.
+	// Holder and Fence are the holder and fencing number of the lease under which
+	// the order is sent.
 	Holder string
 	Fence  uint64
-	// Expect is the number of orders that the endpoint has taken before. An
-	// order that is carried out late, after a newer one, finds another number
-	// and is dropped; nil gives that up.
+	// Expect is the number of orders that the endpoint has accepted so far. An
+	// order that arrives late, after a newer one, does not match and is dropped.
+	// Nil disables the check.
 	Expect *uint64
 }
 
@@ -49,68 +51,70 @@
 
 // The verdicts.
 const (
-	// Unanswered: the order may be carried out, or not, or late.
+	// Unanswered means that the order may be executed, now or later, or not at all.
 	Unanswered Verdict = iota
-	// Accepted: the endpoint loads.
+	// Accepted means that the endpoint is loading.
 	Accepted
-	// InPlace: the endpoint holds the version already.
+	// InPlace means that the endpoint has already loaded the version.
 	InPlace
-	// Busy: another order is under way, or the number expected is wrong.
+	// Busy means that another order is being executed, or that Expect does not match.
 	Busy
-	// Fenced: a newer holder has given orders.
+	// Fenced means that the endpoint has seen a newer fencing number.
 	Fenced
-	// Replaced: another incarnation has the address.
+	// Replaced means that another incarnation uses the address now.
 	Replaced
-	// Refused for another reason.
+	// Refused means that the order was refused for another reason.
 	Refused
 )
 
-// Report is an endpoint's own word on its weights, some hundred ms old.
+// Report is the state of its weights that an endpoint reports, some 100 ms old.
 type Report struct {
 	Versions map[string]int64
-	// Loading says that an order is under way.
+	// Loading reports whether an order is being executed.
 	Loading bool
-	// Orders is the number of orders taken since the start.
+	// Orders is the number of orders accepted since the endpoint started.
 	Orders uint64
 }
 
-// Candidate is an endpoint that may have to take new weights.
+// Candidate is an endpoint that may need new weights.
 type Candidate struct {
 	Target
 	Version int64
-	// Running requests there.
+	// Running is the number of requests running on the endpoint.
 	Running int
-	// Draining endpoints are left as they are.
+	// Draining endpoints get no orders.
 	Draining bool
-	// BusyUntil is when an order under way should be done, or when the endpoint
-	// may be asked again after a failed one.
+	// BusyUntil is when the current order times out, or, after a failed order,
+	// when the endpoint may get another one.
 	BusyUntil time.Time
-	// Loading says that it draws on the source of weights.
+	// Loading reports whether the endpoint is reading from the source of weights.
 	Loading bool
-	// Doubtful endpoints turned work away or could not be reached just now.
+	// Doubtful endpoints recently rejected work or were unreachable.
 	Doubtful bool
 }
 
 const (
-	// loadShare is the part of a pool that loads at a time, and minLoads the
-	// least: a source of weights slows down for all when more load at once, and
-	// what loads serves nobody. With a fifth, a pool is through in five rounds.
+	// One in loadShare endpoints of a pool may load concurrently, but at least
+	// minLoads: with more, the source of weights slows down for all, and an
+	// endpoint serves no requests while it loads. With a fifth, a pool is done
+	// after five rounds of loads.
 	loadShare = 5
 	minLoads  = 2
-	// nextRounds is how many rounds ahead endpoints are told to come next: runs
-	// with much output last for about two loads.
+	// nextRounds is how many rounds of loads in advance endpoints are announced:
+	// requests with long outputs run for about two loads.
 	nextRounds = 2
 )
 
-// PlanLoads returns the endpoints to order to the version now, and those that
+// PlanLoads returns the endpoints that should load the version now, and those that
 // come next.
 //
-// Load: a new version is named while the pool is busy, often before the last one
-// is in place everywhere. Harm prevented: with all endpoints loading at once
-// nobody serves; one after the other, requests begin on old weights for long.
-// Only the newest version is ordered, and those with the fewest requests go
-// first, since what runs there is cut or mixed. Endpoints that seem to be gone
-// come last: they would take the places of those that can load.
+// Operators often request a new version while the pool is busy and before the
+// previous version is loaded everywhere. If all endpoints loaded at once, none
+// would serve requests; if they loaded one by one, requests would start on old
+// weights for a long time. Only the newest version is ordered. Endpoints with the
+// fewest running requests load first, since those requests are interrupted or get
+// output of mixed versions. Endpoints that seem to be down come last, because they
+// would use up the limit on concurrent loads.
 func PlanLoads(now time.Time, want int64, list []Candidate) (load, next []Candidate) {
 	loading := 0
 	var behind []Candidate
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -22,9 +22,9 @@
 	return list
 }
 
-// However the pool stands, no more endpoints load at a time than the share, none
-// is ordered to what it has, and an order is given wherever a place is free.
-func TestPlanLoadsKeepsToItsShare(t *testing.T) {
+// Whatever the state of the pool, the limit on concurrent loads must be respected and
+// used fully, and no endpoint may be ordered to load a version it already has.
+func TestPlanLoadsRespectsLoadLimit(t *testing.T) {
 	now := time.Unix(100, 0)
 	rapid.Check(t, func(t *rapid.T) {
 		list := pool(rapid.IntRange(0, 40).Draw(t, "n"), 1)
@@ -57,12 +57,12 @@
 	})
 }
 
-// heldLease is a lease that never changes hands.
+// heldLease is a lease that this instance always holds.
 type heldLease struct{}
 
 func (heldLease) Held() (uint64, bool) { return 7, true }
 
-// engines is a pool whose endpoints take 400 ms for a load.
+// engines is a pool whose endpoints take 400 ms to load a version.
 type engines struct {
 	mu       sync.Mutex
 	versions map[string]int64
@@ -70,13 +70,13 @@
 	dead     map[string]bool
 }
 
-var errSilent = errors.New("connection refused")
+var errRefused = errors.New("connection refused")
 
 func (e *engines) Load(_ context.Context, t Target, o LoadOrder) (Verdict, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead[t.ID] {
-		return Unanswered, errSilent
+		return Unanswered, errRefused
 	}
 	if o.Expect != nil && *o.Expect != e.orders[t.ID] {
 		return Busy, nil
@@ -94,16 +94,15 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.dead[t.ID] {
-		return Report{}, errSilent
+		return Report{}, errRefused
 	}
 	return Report{Versions: map[string]int64{"m": e.versions[t.ID]}, Orders: e.orders[t.ID]}, nil
 }
 
-// Three endpoints crash while they load new weights, as many as may load at a
-// time. Their loads never end, and if they keep their places, the rest of the
-// pool answers on old weights until they are given up seconds later: callers get
-// answers of a version that operators have replaced.
-func TestCrashDuringLoadsDoesNotStopTheRollout(t *testing.T) {
+// Three endpoints, as many as may load concurrently, crash while they load new
+// weights. Their loads never end. If they counted against the limit until
+// loadTimeout, the rest of the pool would serve the replaced version for seconds.
+func TestCrashesDuringLoadsDoNotBlockRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &engines{versions: map[string]int64{}, orders: map[string]uint64{}, dead: map[string]bool{}}
 		state := balance.NewState(8 * time.Second)
