--- a/record/condition.go
+++ b/record/condition.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// Condition says of one record what is in force here and what is not.
+// Condition is the state of one record at this instance: which version is in force
+// and why the newest is not.
 type Condition struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// InForce is the store version in force; 0 if the record is not.
+	// InForce is the store version in force, or 0 if none is.
 	InForce uint64    `json:"in_force"`
 	Since   time.Time `json:"since"`
-	// Newest is the highest store version that was heard of.
+	// Newest is the highest store version received.
 	Newest uint64 `json:"newest"`
-	// Refused says why the newest is not in force.
+	// Refused is the reason why the newest version is not in force, if it is not.
 	Refused string `json:"refused,omitempty"`
-	// Warnings are faults that did not keep the record from being in force.
+	// Warnings are faults for which the record was not refused.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// Conditions returns the condition of each record that exists, in order of
-// kind and name.
+// Conditions returns the condition of each existing record, sorted by kind and
+// name.
 func (k *Keeper) Conditions() []Condition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -39,26 +40,26 @@
 	return list
 }
 
-// findWarnings returns the warnings of the snapshot in force. They are found
-// once for each snapshot: the holders of leases ask every few seconds.
+// findWarnings returns the warnings about the snapshot in force. They are cached for
+// each snapshot, because lease holders call Conditions every few seconds.
 func (k *Keeper) findWarnings() map[entryKey][]string {
-	if k.warned == k.snapshot {
+	if k.warnedSnapshot == k.snapshot {
 		return k.warnings
 	}
-	k.warned, k.warnings = k.snapshot, map[entryKey][]string{}
-	named := endpointNames(k.snapshot)
+	k.warnedSnapshot, k.warnings = k.snapshot, map[entryKey][]string{}
+	endpointCounts := countEndpointNames(k.snapshot)
 	for key, e := range k.entries {
 		if e.record == nil {
 			continue
 		}
-		if list := warnings(k.snapshot, named, key.kind, key.name); len(list) > 0 {
+		if list := warnings(k.snapshot, endpointCounts, key.kind, key.name); len(list) > 0 {
 			k.warnings[key] = list
 		}
 	}
 	return k.warnings
 }
 
-// KeeperDump is the keeper's part of the state dump.
+// KeeperDump is the Keeper's part of the state dump.
 type KeeperDump struct {
 	Complete bool        `json:"complete"`
 	Version  uint64      `json:"version"`
--- a/record/duty.go
+++ b/record/duty.go
@@ -2,34 +2,35 @@
 
 import "github.com/sardinedock/sardinedock/rendezvous"
 
-// WatchersPerKind is how many instances watch one kind of record. Three of
-// them outlive the loss of any two; the others hear from peers.
+// WatchersPerKind is how many instances watch one kind of record. With three, changes
+// still arrive after the loss of any two; the other instances receive them from
+// peers.
 const WatchersPerKind = 3
 
-// Member is an instance as the choice of the watchers sees it.
+// Member is a live instance that may be assigned to watch.
 type Member struct {
 	Name string
-	// StoreReachable is the member's own word that the object API answers it.
+	// StoreReachable is whether the member reports that it can reach the object API.
 	StoreReachable bool
 }
 
 // WatchDuty reports whether an instance has to watch a kind of record.
 //
-// Load: a waiting watch costs the object API a call, and its rates grow more
-// slowly than the fleet, so five kinds at every instance would use them up.
-// Harm prevented: refused calls of those who need the object API for more than
-// news. A few instances of each kind, chosen by rendezvous hashing, watch it.
-// All find the same ones from the list of live members alone, and each part of
-// a divided fleet finds its own.
+// A pending watch counts as a call against the object API's rate limits, which grow
+// more slowly than the fleet. If every instance watched all five kinds, the watches
+// would use up the limits, and calls that need the object API for other purposes
+// would be refused. So only a few instances, chosen by rendezvous hashing, watch each
+// kind. Instances with the same list of live members choose the same watchers, and
+// each side of a network partition chooses its own.
 func WatchDuty(members []Member, self string, kind Kind) bool {
 	return Chosen(members, self, string(kind), WatchersPerKind)
 }
 
 // Chosen reports whether this instance is one of the n that rendezvous hashing
-// chooses for a duty from the live members. Those that the object API does not
-// answer come last: they are chosen where there are not enough others, so that
-// during an outage the same few go on trying and not all. An instance that is
-// not among the members counts as one that is answered.
+// assigns to a duty from among the live members. Members that cannot reach the
+// object API rank last: they are chosen only if there are not enough others, so
+// that during an outage the same few instances retry and not all of them. An
+// instance that is not in members counts as able to reach it.
 func Chosen(members []Member, self, duty string, n int) bool {
 	own := candidate{reachable: true, score: rendezvous.Score(duty, self), name: self}
 	for _, m := range members {
@@ -47,13 +48,14 @@
 	return ahead < n
 }
 
-// candidate is a member as the choice for one duty ranks it.
+// candidate is a member with its rank for one duty.
 type candidate struct {
 	reachable bool
 	score     uint64
 	name      string
 }
 
+// before reports whether c ranks before other.
 func (c candidate) before(other candidate) bool {
 	if c.reachable != other.reachable {
 		return c.reachable
--- a/record/follower.go
+++ b/record/follower.go
@@ -11,45 +11,49 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// FollowerDump is the state of the duty that follows one kind.
+// FollowerDump is the state of the goroutine that follows one kind of record.
 type FollowerDump struct {
 	Kind     Kind      `json:"kind"`
 	Watching bool      `json:"watching"`
 	Position uint64    `json:"position"`
 	ListedAt time.Time `json:"listed_at"`
-	// Failure is the last error, empty once a call has succeeded.
+	// Failure is the last error, empty after a successful call.
 	Failure string `json:"failure,omitempty"`
 }
 
-// duty says what an instance does for one kind between lists.
+// duty is what an instance does for one kind between lists.
 type duty int
 
 const (
-	// dutyUnknown: the members are not known yet.
+	// dutyUnknown means that the members are not known yet.
 	dutyUnknown duty = iota
+	// dutyWatch means that this instance watches the kind.
 	dutyWatch
-	dutyRest
+	// dutyIdle means that other instances watch the kind.
+	dutyIdle
 )
 
-// follower follows one kind.
+// follower lists one kind of record periodically and watches it if this instance is
+// assigned to.
 type follower struct {
 	cfg  ProviderConfig
 	kind Kind
-	// wake tells that the duty has changed.
+	// wake is signalled when the duty has changed.
 	wake chan struct{}
 
 	position objectapi.Version
-	pause    time.Duration
+	delay    time.Duration
 
 	mu       sync.Mutex
 	duty     duty
 	endWatch context.CancelFunc
-	// asked is set with the first answer, or its absence.
-	asked bool
-	dump  FollowerDump
+	// attempted is set once the first call has succeeded or failed.
+	attempted bool
+	dump      FollowerDump
 }
 
-// setDuty passes a changed duty on and ends a watch that is no duty any more.
+// setDuty sets the duty, cancels the watch if this instance is no longer assigned to
+// it, and wakes the goroutine.
 func (f *follower) setDuty(d duty) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,7 +76,7 @@
 	return f.duty
 }
 
-// assumeWatch makes an instance that nobody tells of members watch.
+// assumeWatch makes an instance watch if it has not received the members.
 func (f *follower) assumeWatch() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -87,26 +91,26 @@
 	}
 	for ctx.Err() == nil {
 		if f.list(ctx) {
-			f.followUntil(ctx, time.Now().Add(spread(listInterval)))
+			f.followUntil(ctx, time.Now().Add(jitter(listInterval)))
 		} else {
 			f.backOff(ctx)
 		}
 	}
 }
 
-// followUntil does its duty until the next list is due.
+// followUntil performs the current duty until the next list is due.
 func (f *follower) followUntil(ctx context.Context, relist time.Time) {
 	for ctx.Err() == nil && f.position > 0 && time.Now().Before(relist) {
 		switch f.currentDuty() {
 		case dutyWatch:
 			f.watch(ctx, relist)
-		case dutyRest:
+		case dutyIdle:
 			if f.failing() {
-				relist = earlier(relist, time.Now().Add(spread(recheckInterval)))
+				relist = earlier(relist, time.Now().Add(jitter(recheckInterval)))
 			}
-			f.rest(ctx, time.Until(relist))
+			f.waitForDuty(ctx, time.Until(relist))
 		default:
-			f.rest(ctx, membersGrace)
+			f.waitForDuty(ctx, membersWait)
 			f.assumeWatch()
 		}
 	}
@@ -119,8 +123,8 @@
 	return b
 }
 
-// rest waits for another duty.
-func (f *follower) rest(ctx context.Context, d time.Duration) {
+// waitForDuty waits until the duty changes, or for d.
+func (f *follower) waitForDuty(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -130,11 +134,12 @@
 	}
 }
 
-// list reads all records of the kind and reports whether that worked.
+// list lists all records of the kind, offers them to the Keeper and reports whether
+// that succeeded.
 func (f *follower) list(ctx context.Context) bool {
 	listsTotal.Inc()
 	listing, err := f.cfg.Store.List(ctx, string(f.kind))
-	f.note(err)
+	f.noteResult(err)
 	if err != nil {
 		return false
 	}
@@ -143,8 +148,8 @@
 		items = append(items, f.item(obj))
 	}
 	f.cfg.Keeper.OfferListing(f.kind, uint64(listing.Version), items)
-	for _, name := range f.cfg.Keeper.lacking(f.kind) {
-		f.note(recall(ctx, f.cfg.Store, f.cfg.Keeper, f.kind, name))
+	for _, name := range f.cfg.Keeper.withoutAccepted(f.kind) {
+		f.noteResult(restoreAccepted(ctx, f.cfg.Store, f.cfg.Keeper, f.kind, name))
 	}
 	f.advance(max(listing.Version, 1))
 	f.mu.Lock()
@@ -157,8 +162,9 @@
 	return Item{Kind: f.kind, Name: obj.Name, Version: uint64(obj.Version), Value: obj.Value, Deleted: obj.Deleted}
 }
 
-// watch offers changes until the watch ends, the next list is due or the duty
-// is another's. It goes on from the position, so nothing is missed between.
+// watch offers changes to the Keeper until the watch ends, the next list is due or
+// the duty moves to another instance. It resumes from the last position, so no change
+// is missed in between.
 func (f *follower) watch(ctx context.Context, until time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
@@ -171,9 +177,9 @@
 	watchesTotal.Inc()
 	w, err := f.cfg.Store.Watch(ctx, string(f.kind), f.position)
 	if err == nil {
-		f.note(nil)
+		f.noteResult(nil)
 		f.setWatching(true)
-		err = f.follow(w)
+		err = f.receiveChanges(w)
 		f.setWatching(false)
 		w.Close()
 	}
@@ -184,12 +190,13 @@
 		f.advance(0)
 		return
 	}
-	f.note(err)
+	f.noteResult(err)
 	f.backOff(ctx)
 }
 
-// follow offers each change and returns the error that ended the watch.
-func (f *follower) follow(w objectapi.Watch) error {
+// receiveChanges offers each change to the Keeper and returns the error that ended the
+// watch.
+func (f *follower) receiveChanges(w objectapi.Watch) error {
 	for {
 		obj, err := w.Next()
 		if err != nil {
@@ -213,19 +220,19 @@
 	f.dump.Kind, f.dump.Watching = f.kind, watching
 }
 
-// note keeps the last failure and resets the pauses after a success.
-func (f *follower) note(err error) {
+// noteResult stores the last failure and resets the backoff after a success.
+func (f *follower) noteResult(err error) {
 	failure := ""
 	if err != nil {
-		providerFails.Inc()
+		providerFailures.Inc()
 		failure = err.Error()
 	} else {
-		f.pause = 0
+		f.delay = 0
 	}
 	f.mu.Lock()
 	f.dump.Kind = f.kind
-	changed := !f.asked || (f.dump.Failure == "") != (failure == "")
-	f.asked = true
+	changed := !f.attempted || (f.dump.Failure == "") != (failure == "")
+	f.attempted = true
 	f.dump.Failure = failure
 	f.mu.Unlock()
 	if changed && f.cfg.ReachableChanged != nil {
@@ -233,21 +240,22 @@
 	}
 }
 
-// failing reports whether the last call was not answered.
+// failing reports whether the last call failed.
 func (f *follower) failing() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.dump.Failure != ""
 }
 
-// backOff pauses after a failure, longer each time. The client's breaker
-// bounds what reaches the object API; this bounds the calls of the client.
+// backOff waits after a failure, with exponential backoff. The client's circuit
+// breaker bounds the calls that reach the object API; this bounds the calls to the
+// client.
 func (f *follower) backOff(ctx context.Context) {
-	f.pause = min(max(2*f.pause, firstPause), longestPause)
-	_ = clock.Sleep(ctx, spread(f.pause))
+	f.delay = min(max(2*f.delay, minBackoff), maxBackoff)
+	_ = clock.Sleep(ctx, jitter(f.delay))
 }
 
-// spread returns a random part of d between a half and the whole and a half.
-func spread(d time.Duration) time.Duration {
+// jitter returns a random duration between 0.5 d and 1.5 d.
+func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Float64()*float64(d))
 }
--- a/record/item.go
+++ b/record/item.go
@@ -7,26 +7,26 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// Item is one stored version of a record, or the mark that it was deleted, as
-// the object API or a peer tells it. Its value is kept as it came, so that
-// instances hand on also what they do not understand themselves.
+// Item is one stored version of a record, or a tombstone for its deletion, as received
+// from the object API or a peer. The value is kept unchanged, so that instances can
+// forward versions whose schema they do not know.
 type Item struct {
 	Kind Kind
 	Name string
 	// Version is the object API's version of this change.
 	Version uint64
-	// Value is the stored value; empty where Deleted is set. It must not be
-	// changed once the item was offered.
+	// Value is the stored value, empty if Deleted is set. It must not be modified
+	// after the item was offered to a Keeper.
 	Value []byte
-	// Deleted marks that the record did not exist at Version.
+	// Deleted reports that the record did not exist at Version.
 	Deleted bool
 
 	slot slot
 }
 
-// slot tells the items apart that a keeper holds of one record: beside the
-// newest there may be an older one that is still in force, and a deletion
-// between the two.
+// slot distinguishes the items that a Keeper stores for one record: besides the
+// newest there may be an older one that is still in force, and a deletion between the
+// two.
 type slot string
 
 const (
@@ -35,17 +35,17 @@
 	slotDeleted  slot = "@deleted"
 )
 
-// Key is unique among the items of a Keeper and the same at all instances. Of
-// two items of one key the one of the higher version is kept.
+// Key is unique among the items of a Keeper and the same at all instances. Of two
+// items with the same key, the one with the higher version is kept.
 func (it Item) Key() string { return string(it.Kind) + "/" + it.Name + string(it.slot) }
 
-// Marks that head an encoded item.
+// First byte of an encoded item.
 const (
 	markValue   byte = 'v'
 	markDeleted byte = 'd'
 )
 
-// Encode returns the value for an exchange between instances; see DecodeItem.
+// Encode returns the item's value encoded for other instances; see DecodeItem.
 func (it Item) Encode() []byte {
 	mark := markValue
 	if it.Deleted {
@@ -54,7 +54,7 @@
 	return append([]byte{mark}, it.Value...)
 }
 
-// DecodeItem reads what Key and Encode have written. An error is of the kind
+// DecodeItem decodes an item from the results of Key and Encode. Errors are of kind
 // fault.Invalid.
 func DecodeItem(key string, version uint64, encoded []byte) (Item, error) {
 	kind, name, ok := strings.Cut(key, "/")
@@ -73,9 +73,9 @@
 	return it, nil
 }
 
-// newer reports whether a replaces b. Versions decide; the object API gives
-// each version once, so the rest only makes sure that instances that are told
-// nonsense still end equal.
+// newer reports whether a replaces b. The higher version wins. The object API assigns
+// each version once, so the other comparisons only ensure that instances converge
+// even if they receive inconsistent items.
 func newer(a, b Item) bool {
 	if a.Version != b.Version {
 		return a.Version > b.Version
--- a/record/keeper.go
+++ b/record/keeper.go
@@ -14,38 +14,38 @@
 )
 
 const (
-	// maxTombstones bounds the marks of deleted records. At a few thousand
-	// changes a day this remembers a day of nothing but deletions, far longer
-	// than a peer can be cut off and still be a member.
+	// maxTombstones bounds the stored tombstones of deleted records. At a few
+	// thousand changes a day, all of them deletions, it is enough for a day. A
+	// partitioned peer is removed from the members long before that.
 	maxTombstones = 4096
-	// changesRing bounds the changes that wait for the exchange. What is given
-	// up here reaches peers by their full compare.
+	// changesRing bounds the changes that wait to be sent to peers. Peers receive
+	// those dropped here by their full comparison.
 	changesRing = 1024
 )
 
 var (
-	takenTotal   = metrics.GetOrCreateCounter("sardinedock_record_changes_total")
+	changesTotal = metrics.GetOrCreateCounter("sardinedock_record_changes_total")
 	refusedTotal = metrics.GetOrCreateCounter("sardinedock_record_refused_total")
 	staleTotal   = metrics.GetOrCreateCounter("sardinedock_record_stale_total")
 )
 
-// Keeper merges what watches, lists and peers tell about records. The highest
-// version of a record wins, whoever tells it and in whatever order, so that
-// a stale read, a peer that was cut off or a restart cannot bring an older one
-// back. All methods may be called by any goroutine; none blocks on I/O.
+// Keeper merges the records received from watches, lists and peers. The highest
+// version of a record wins, whatever its source and order of arrival, so that a stale
+// read, a peer that was partitioned or a restart cannot restore an older version. All
+// methods are safe for concurrent use; none blocks on I/O.
 type Keeper struct {
 	clock   clock.Clock
 	changes *ring.Ring[Item]
 
-	mu          sync.Mutex
-	entries     map[entryKey]*entry
-	listedAt    map[Kind]uint64
-	complete    bool
-	version     uint64
-	snapshot    *Snapshot
-	warned      *Snapshot
-	warnings    map[entryKey][]string
-	subscribers []func(*Snapshot)
+	mu             sync.Mutex
+	entries        map[entryKey]*entry
+	listedAt       map[Kind]uint64
+	complete       bool
+	version        uint64
+	snapshot       *Snapshot
+	warnedSnapshot *Snapshot
+	warnings       map[entryKey][]string
+	subscribers    []func(*Snapshot)
 }
 
 type entryKey struct {
@@ -53,10 +53,10 @@
 	name string
 }
 
-// entry is what is known of one record. Each part only rises, so the order in
-// which items come does not matter.
+// entry is what is known of one record. The version of each part only increases, so
+// the order in which items arrive does not matter.
 type entry struct {
-	// newest is the item of the highest version, in force or not.
+	// newest is the item with the highest version, in force or not.
 	newest Item
 	// accepted is the newest item that this program could put in force.
 	accepted Item
@@ -68,7 +68,7 @@
 	refused string
 }
 
-// NewKeeper returns a keeper without records.
+// NewKeeper returns a Keeper without records.
 func NewKeeper(c clock.Clock) *Keeper {
 	return &Keeper{
 		clock:    c,
@@ -78,7 +78,7 @@
 	}
 }
 
-// Offer merges items. It returns how many of them told something new.
+// Offer merges items and returns how many of them changed anything.
 func (k *Keeper) Offer(items ...Item) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -94,9 +94,9 @@
 	return taken
 }
 
-// OfferListing merges all records of a kind as the object API lists them at
-// one version. A record that is known at a lower version and is not in the
-// list was deleted. A list that is older than what is known changes nothing.
+// OfferListing merges all records of a kind as the object API listed them at one
+// version. A known record of a lower version that is not in the list was deleted. A
+// list older than the known state changes nothing. It returns the number of changes.
 func (k *Keeper) OfferListing(kind Kind, version uint64, items []Item) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -108,8 +108,8 @@
 			taken++
 		}
 	}
-	for _, gone := range k.missing(kind, version, listed) {
-		if k.take(gone) {
+	for _, deleted := range k.missing(kind, version, listed) {
+		if k.take(deleted) {
 			taken++
 		}
 	}
@@ -121,26 +121,26 @@
 	return taken
 }
 
-// missing returns deletions for the records that a list leaves out.
+// missing returns tombstones for the known records that are not in a list.
 func (k *Keeper) missing(kind Kind, version uint64, listed map[string]bool) []Item {
-	var gone []Item
+	var deleted []Item
 	for key, e := range k.entries {
-		if key.kind == kind && !listed[key.name] && e.livesBefore(version) {
-			gone = append(gone, Item{Kind: kind, Name: key.name, Version: version, Deleted: true})
+		if key.kind == kind && !listed[key.name] && e.hasValueUpTo(version) {
+			deleted = append(deleted, Item{Kind: kind, Name: key.name, Version: version, Deleted: true})
 		}
 	}
-	return gone
+	return deleted
 }
 
-// livesBefore reports whether a value of that version or an older one is held.
-func (e *entry) livesBefore(version uint64) bool {
+// hasValueUpTo reports whether the entry has a value of that version or an older one.
+func (e *entry) hasValueUpTo(version uint64) bool {
 	if !e.newest.Deleted && e.newest.Version <= version {
 		return true
 	}
 	return e.accepted.Version > 0 && e.accepted.Version <= version
 }
 
-// take merges one item and reports whether it told something new.
+// take merges one item and reports whether it changed anything.
 func (k *Keeper) take(it Item) bool {
 	if it.Version == 0 {
 		return false
@@ -150,12 +150,13 @@
 	e := k.entries[key]
 	if e == nil {
 		if !it.Deleted && it.Version <= k.listedAt[it.Kind] {
-			// The list would have named the record, so it was deleted before.
-			// Who tells of it does not know yet and has to hear it.
+			// The record would have been in the list if it still existed, so it was
+			// deleted before. The sender does not know that yet, so the deletion is
+			// stored and passed on to peers.
 			staleTotal.Inc()
 			it = Item{Kind: it.Kind, Name: it.Name, Version: k.listedAt[it.Kind], Deleted: true}
 		}
-		// Unknown after a list means that it did not exist at that version.
+		// A record that is unknown after a list did not exist at the list's version.
 		e = &entry{deletedAt: k.listedAt[it.Kind]}
 		k.entries[key] = e
 	}
@@ -169,7 +170,7 @@
 		staleTotal.Inc()
 		return false
 	}
-	takenTotal.Inc()
+	changesTotal.Inc()
 	invariant.Check(e.inForce() >= before, "record_never_reverts",
 		"%s went from version %d to %d", it.Key(), before, e.inForce())
 	if e.inForce() != before {
@@ -177,15 +178,15 @@
 	}
 	k.version = max(k.version, it.Version)
 	k.changes.Push(it)
-	k.forgetTombstones()
+	k.dropTombstone()
 	return true
 }
 
-// inForce is the version that decides what is in force: of the accepted value,
-// or of the deletion after it.
+// inForce returns the version that determines what is in force: that of the accepted
+// value, or of a later deletion.
 func (e *entry) inForce() uint64 { return max(e.accepted.Version, e.deletedAt) }
 
-// merge takes an item into account and reports whether anything changed.
+// merge merges an item and reports whether anything changed.
 func (e *entry) merge(it Item) bool {
 	changed := false
 	if newer(it, e.newest) {
@@ -206,7 +207,7 @@
 	if it.Version <= e.deletedAt || !newer(it, e.accepted) {
 		return changed
 	}
-	r, reason := judge(it)
+	r, reason := validate(it)
 	if reason != "" {
 		if it.Version == e.newest.Version && e.refused == "" {
 			e.refused = reason
@@ -218,8 +219,8 @@
 	return true
 }
 
-// forgetTombstones drops the oldest mark when there are too many.
-func (k *Keeper) forgetTombstones() {
+// dropTombstone removes the oldest tombstone if there are more than maxTombstones.
+func (k *Keeper) dropTombstone() {
 	if len(k.entries) <= maxTombstones {
 		return
 	}
@@ -239,8 +240,8 @@
 	}
 }
 
-// SetComplete says that a peer that has all records has handed them over, so
-// that they may be put in force before the object API has confirmed them.
+// SetComplete declares that all records have been received from a peer that has all
+// of them, so that they are put in force before the object API has confirmed them.
 func (k *Keeper) SetComplete() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -251,9 +252,8 @@
 	k.publish()
 }
 
-// Complete reports whether all records are known. Before that nothing is in
-// force: with some of the records missing, callers would be told that their
-// key or model is not known.
+// Complete reports whether all records are known. Until then nothing is in force: with
+// some records missing, requests would be refused for an unknown key or model.
 func (k *Keeper) Complete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -262,7 +262,7 @@
 
 func (k *Keeper) isComplete() bool { return k.complete || len(k.listedAt) >= len(Kinds) }
 
-// publish builds a snapshot and hands it to the subscribers.
+// publish builds a snapshot and calls the subscribers with it.
 func (k *Keeper) publish() {
 	if !k.isComplete() {
 		return
@@ -280,7 +280,7 @@
 }
 
 // Subscribe calls fn with the snapshot in force, if there is one, and with each
-// later one, in order. fn must not block nor call the keeper.
+// later one, in order. fn must not block or call the Keeper.
 func (k *Keeper) Subscribe(fn func(*Snapshot)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -290,29 +290,29 @@
 	}
 }
 
-// Snapshot returns the records in force, or nil before they are complete.
+// Snapshot returns the records in force, or nil until they are complete.
 func (k *Keeper) Snapshot() *Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.snapshot
 }
 
-// Version is the highest store version of a record or deletion that was heard
-// of. The version of a list does not count: it rises with all that the object
-// API holds, and instances list at different times.
+// Version returns the highest store version of a record or deletion received. The
+// version of a list does not count: it increases with every change in the object API,
+// also of other objects, and instances list at different times.
 func (k *Keeper) Version() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.version
 }
 
-// Changes is the ring of items that were new here, for the one duty that
-// tells them to peers. When it is full, the oldest are given up.
+// Changes returns the ring buffer of newly merged items, for the one goroutine that
+// sends them to peers. When it is full, the oldest items are dropped.
 func (k *Keeper) Changes() *ring.Ring[Item] { return k.changes }
 
-// Items returns all that a peer needs to reach the same state, in order of
-// key: of each record the newest item, and where that one was refused also the
-// one in force and the deletion between them.
+// Items returns all items that a peer needs to reach the same state, sorted by key:
+// the newest item of each record and, if that was refused, also the one in force and
+// the deletion between them.
 func (k *Keeper) Items() []Item {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/record/keeper_test.go
+++ b/record/keeper_test.go
@@ -12,7 +12,7 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// classItem is a stored class whose max_wait_ms tells its version.
+// classItem returns a stored class whose max_wait_ms equals its version.
 func classItem(name string, version uint64) Item {
 	value, err := Marshal(&recordspb.Record{SchemaVersion: 1, Name: name, Spec: &recordspb.Record_Class{
 		Class: &recordspb.RequestClass{MaxWaitMs: int64(version), TimeoutMs: 1000},
@@ -33,7 +33,7 @@
 	return Item{Kind: Classes, Name: name, Version: version, Value: []byte(value)}
 }
 
-func complete() *Keeper {
+func newCompleteKeeper() *Keeper {
 	k := NewKeeper(clock.System{})
 	k.SetComplete()
 	return k
@@ -47,42 +47,42 @@
 	return c.GetMaxWaitMs()
 }
 
-// An operator makes a typing error in a record. Callers notice nothing: the
-// last good version stays in force, and the status says what is wrong.
-func TestBadEditLeavesTheLastAcceptedInForce(t *testing.T) {
-	k := complete()
+// An operator stores an invalid version of a record. The last accepted version must
+// stay in force, and the condition must report the fault.
+func TestInvalidEditKeepsLastAcceptedVersionInForce(t *testing.T) {
+	k := newCompleteKeeper()
 	k.Offer(classItem("quote", 3), refusedItem("quote", 5))
 	if got := inForce(k, "quote"); got != 3 {
 		t.Fatalf("version %d is in force, want 3", got)
 	}
 	c := k.Conditions()[0]
 	if c.Newest != 5 || !strings.Contains(c.Refused, "max_wait_ms") {
-		t.Fatalf("the condition does not tell the refused version and field: %+v", c)
+		t.Fatalf("the condition does not report the refused version and field: %+v", c)
 	}
 }
 
-// Half of the instances are updated and operators use what only the new
-// release knows. The old half keeps serving by what it last understood and
-// hands the new record on as it is.
-func TestNewerSchemaIsHandedOnButNotUsed(t *testing.T) {
-	k := complete()
+// During an update, operators store a record with a schema that only the new release
+// knows. Instances of the old release must keep the last version they can decode in
+// force and forward the new one unchanged.
+func TestNewerSchemaIsForwardedButNotUsed(t *testing.T) {
+	k := newCompleteKeeper()
 	newest := newerSchemaItem("quote", 9)
 	k.Offer(classItem("quote", 3), newest)
 	if got := inForce(k, "quote"); got != 3 {
 		t.Fatalf("version %d is in force, want 3", got)
 	}
 	if c := k.Conditions()[0]; !strings.Contains(c.Refused, "schema version 2") {
-		t.Fatalf("the condition does not tell the schema: %+v", c)
+		t.Fatalf("the condition does not report the schema version: %+v", c)
 	}
 	if got := k.Items()[0]; !reflect.DeepEqual(got, newest) {
-		t.Fatalf("handed on %+v, want %+v", got, newest)
+		t.Fatalf("forwarded %+v, want %+v", got, newest)
 	}
 }
 
-// A peer that was cut off comes back and tells of a record that was deleted in
-// the meantime. An organisation that was removed must not get in again.
-func TestStalePeerDoesNotBringBackADeletedRecord(t *testing.T) {
-	k := complete()
+// A peer that was partitioned sends a record that has been deleted in the meantime.
+// The record must not be restored, or a removed organisation would regain access.
+func TestStalePeerDoesNotRestoreDeletedRecord(t *testing.T) {
+	k := newCompleteKeeper()
 	k.Offer(classItem("quote", 3))
 	k.OfferListing(Classes, 8, nil)
 	k.Offer(classItem("quote", 3), classItem("quote", 7))
@@ -91,11 +91,11 @@
 	}
 }
 
-// The object API counts versions over all that it holds, claims and leases too.
-// An instance that lists later than another has the same records, and is not
-// ahead: otherwise the status would name the other as behind for minutes.
-func TestListingsOfTheSameRecordsAreOneVersion(t *testing.T) {
-	early, late := complete(), complete()
+// The object API's versions count changes of all objects, including claims and leases.
+// An instance that lists later than another has the same records and must have the
+// same version; otherwise the status would report the other as behind for minutes.
+func TestListVersionDoesNotCountAsRecordVersion(t *testing.T) {
+	early, late := newCompleteKeeper(), newCompleteKeeper()
 	early.OfferListing(Classes, 14, []Item{classItem("quote", 3)})
 	late.OfferListing(Classes, 900, []Item{classItem("quote", 3)})
 	if early.Version() != 3 || late.Version() != 3 {
@@ -106,9 +106,9 @@
 	}
 }
 
-// With only some kinds read, callers would hear that their key is not known.
-// So nothing is in force until every kind was listed.
-func TestNothingIsInForceBeforeAllKindsAreKnown(t *testing.T) {
+// With only some kinds listed, requests would be refused for an unknown key. Nothing
+// may be in force until every kind was listed.
+func TestNothingIsInForceBeforeAllKindsAreListed(t *testing.T) {
 	k := NewKeeper(clock.System{})
 	for _, kind := range Kinds {
 		if k.Snapshot() != nil {
@@ -121,9 +121,9 @@
 	}
 }
 
-// Records that pass their own checks can still not work together. They are in
-// force, since the other half may be on its way, and operators are told.
-func TestWarningsOfRecordsThatDoNotFit(t *testing.T) {
+// Records can be valid by themselves but not fit each other. They must be in force,
+// because a record they refer to may not have arrived yet, and must have warnings.
+func TestWarningsOfInconsistentRecords(t *testing.T) {
 	twice := []*recordspb.Endpoint{{Name: "engine-1"}, {Name: "engine-1"}}
 	shared := []string{HashKey("key")}
 	s := NewSnapshot(1, []*recordspb.Record{
@@ -142,7 +142,7 @@
 		{Pools, "empty", 1}, {Pools, "twice", 2}, {Models, "counter", 2},
 		{Organisations, "accra", 0}, {Organisations, "tema", 2}, {Services, "ordering", 1},
 	} {
-		if got := warnings(s, endpointNames(s), c.kind, c.name); len(got) != c.want {
+		if got := warnings(s, countEndpointNames(s), c.kind, c.name); len(got) != c.want {
 			t.Errorf("%s/%s: warnings %q, want %d", c.kind, c.name, got, c.want)
 		}
 	}
@@ -151,8 +151,8 @@
 	}
 }
 
-func TestItemsSurviveTheWire(t *testing.T) {
-	k := complete()
+func TestItemEncodingRoundTrip(t *testing.T) {
+	k := newCompleteKeeper()
 	k.Offer(classItem("quote", 3), refusedItem("quote", 5), Item{Kind: Classes, Name: "old", Version: 4, Deleted: true})
 	for _, it := range k.Items() {
 		got, err := DecodeItem(it.Key(), it.Version, it.Encode())
@@ -162,7 +162,7 @@
 	}
 }
 
-// history is what happened in the object API, one change a version.
+// history is a sequence of changes in the object API, one per version.
 type history []Item
 
 var historyNames = []string{"a", "b", "c"}
@@ -189,7 +189,7 @@
 	return h
 }
 
-// listing is what a list returned at that version.
+// listing returns what a list at that version returns.
 func (h history) listing(version int) []Item {
 	last := map[string]Item{}
 	for _, it := range h[:version] {
@@ -204,7 +204,8 @@
 	return items
 }
 
-// wanted is the version that has to be in force for who saw all of it.
+// wanted returns the version that must be in force at an instance that received the
+// whole history.
 func (h history) wanted(name string) int64 {
 	var want int64
 	for _, it := range h {
@@ -219,14 +220,14 @@
 	return want
 }
 
-// Watches, lists, stale reads, peers and restarts bring the same changes in
-// any order and more than once. What is in force at an instance never goes
-// back, and instances that were told the same end equal; otherwise an operator
-// would see an accepted change come undone.
+// Watches, lists, stale reads, peers and restarts deliver the same changes in any order
+// and more than once. The version in force at an instance must never decrease, or an
+// accepted change would be undone, and instances that received the same items must
+// converge.
 func TestRecordsNeverGoBackAndEndEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
-		fleet := []*Keeper{complete(), complete(), complete()}
+		fleet := []*Keeper{newCompleteKeeper(), newCompleteKeeper(), newCompleteKeeper()}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(fleet)-1).Draw(t, "instance")
 			step(t, h, fleet, i)
@@ -251,7 +252,7 @@
 			}
 			for _, name := range historyNames {
 				if got, want := inForce(k, name), h.wanted(name); got != want {
-					t.Fatalf("%s: version %d in force after all was told, want %d", name, got, want)
+					t.Fatalf("%s: version %d in force after all changes, want %d", name, got, want)
 				}
 			}
 		}
@@ -266,13 +267,14 @@
 	return list
 }
 
-// step lets one instance hear something and checks that nothing goes back:
-// the keeper asserts it for each record, the snapshot's version shows it here.
+// step delivers a change, list or exchange to one instance, or restarts it, and checks
+// that no version decreases: the Keeper asserts it for each record, and step checks it
+// for the snapshot's version and for the versions in force.
 func step(t *rapid.T, h history, fleet []*Keeper, i int) {
 	before := fleet[i].Snapshot()
-	forced := map[string]int64{}
+	versionsBefore := map[string]int64{}
 	for _, name := range historyNames {
-		forced[name] = inForce(fleet[i], name)
+		versionsBefore[name] = inForce(fleet[i], name)
 	}
 	switch rapid.SampledFrom([]string{"watch", "list", "peer", "restart"}).Draw(t, "step") {
 	case "watch":
@@ -283,23 +285,23 @@
 	case "peer":
 		fleet[i].Offer(fleet[rapid.IntRange(0, len(fleet)-1).Draw(t, "peer")].Items()...)
 	case "restart":
-		fleet[i] = complete()
+		fleet[i] = newCompleteKeeper()
 		return
 	}
 	if fleet[i].Snapshot().Version < before.Version {
 		t.Fatalf("the snapshot went from version %d to %d", before.Version, fleet[i].Snapshot().Version)
 	}
 	for _, name := range historyNames {
-		if got := inForce(fleet[i], name); got != 0 && got < forced[name] {
-			t.Fatalf("%s went from version %d to %d", name, forced[name], got)
+		if got := inForce(fleet[i], name); got != 0 && got < versionsBefore[name] {
+			t.Fatalf("%s went from version %d to %d", name, versionsBefore[name], got)
 		}
 	}
 }
 
-// BenchmarkConditions tells what a look at all records costs that a holder of a
-// lease makes every two seconds: 1,100 organisations, 22 pools of 110 endpoints.
+// BenchmarkConditions measures Conditions, which a lease holder calls every two
+// seconds, with 1,100 organisations and 22 pools of 110 endpoints each.
 func BenchmarkConditions(b *testing.B) {
-	k := complete()
+	k := newCompleteKeeper()
 	version := uint64(0)
 	offer := func(kind Kind, r *recordspb.Record) {
 		version++
--- a/record/preserve.go
+++ b/record/preserve.go
@@ -14,25 +14,26 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// PreservedKind is the kind of the objects that hold accepted versions of
-// records whose newest version is refused. Instances keep nothing over a
-// restart, and the object API shows only the newest version: when all instances
-// restart after a bad edit, nobody else would know what was in force before.
+// PreservedKind is the kind of the objects that store the accepted versions of
+// records whose newest version is refused. Instances have no persistent state, and the
+// object API returns only the newest version, so without these objects the accepted
+// version would be lost if all instances restarted after a bad edit.
 const PreservedKind = "accepted-records"
 
 const (
-	// preserveEvery is how often the holder looks for versions to keep.
-	preserveEvery = time.Second
-	// preserveTimeout bounds the calls of one look.
+	// preserveInterval is the time between two checks for versions to store or
+	// remove.
+	preserveInterval = time.Second
+	// preserveTimeout bounds the calls of one check.
 	preserveTimeout = 5 * time.Second
 )
 
 var (
-	preservedTotal = metrics.GetOrCreateCounter("sardinedock_record_preserved_total")
-	preserveFails  = metrics.GetOrCreateCounter("sardinedock_record_preserve_failures_total")
+	preservedTotal   = metrics.GetOrCreateCounter("sardinedock_record_preserved_total")
+	preserveFailures = metrics.GetOrCreateCounter("sardinedock_record_preserve_failures_total")
 )
 
-// preserved is the value of such an object.
+// preserved is the JSON value of an object of PreservedKind.
 type preserved struct {
 	Version uint64 `json:"version"`
 	Value   []byte `json:"value"`
@@ -40,13 +41,14 @@
 
 func preservedName(kind Kind, name string) string { return string(kind) + "." + name }
 
-// Lease says whether this instance keeps the accepted versions.
+// Lease is the lease that a Preserver needs to store or remove versions.
 type Lease interface {
+	// Held reports whether this instance holds the lease, and with which fencing number.
 	Held() (fence uint64, ok bool)
 }
 
-// Preserver keeps, while it holds the lease, the accepted version of each
-// record whose newest version is refused, and removes what is outdated.
+// Preserver stores, while this instance holds the lease, the accepted version of each
+// record whose newest version is refused, and removes outdated ones.
 type Preserver struct {
 	store  objectapi.Store
 	keeper *Keeper
@@ -54,67 +56,69 @@
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	// kept is what is stored; it is read when the lease was taken.
-	kept   map[entryKey]keptVersion
+	// stored is what the object API stores. It is listed when this instance
+	// acquires the lease and after a failure; listed is false until then.
+	stored map[entryKey]storedVersion
 	listed bool
 }
 
-// keptVersion is a stored object's version and that of the record in it.
-type keptVersion struct {
+// storedVersion is the version of a stored object and of the record in it.
+type storedVersion struct {
 	object objectapi.Version
 	record uint64
 }
 
-// NewPreserver returns a duty that does nothing before Start.
+// NewPreserver returns a Preserver that is idle until Start.
 func NewPreserver(store objectapi.Store, keeper *Keeper, lease Lease) *Preserver {
 	return &Preserver{store: store, keeper: keeper, lease: lease}
 }
 
-// Start begins to look for versions to keep.
+// Start starts to check periodically for versions to store or remove.
 func (p *Preserver) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
 	p.done.Go(func() {
 		for ctx.Err() == nil {
 			if _, held := p.lease.Held(); held {
-				p.look(ctx)
+				p.check(ctx)
 			} else {
 				p.listed = false
 			}
-			_ = clock.Sleep(ctx, preserveEvery)
+			_ = clock.Sleep(ctx, preserveInterval)
 		}
 	})
 }
 
-// Stop ends the duty and waits for its goroutine.
+// Stop stops the checks and waits for the goroutine.
 func (p *Preserver) Stop() {
 	p.cancel()
 	p.done.Wait()
 }
 
-// look stores and removes what is due. After any failure it reads again what
-// is stored: the reply may have been lost, or a former holder is at work.
-func (p *Preserver) look(ctx context.Context) {
+// check stores and removes the versions that are due. After a failure the stored
+// objects are listed again: the reply may have been lost, or a former lease holder may
+// have changed them.
+func (p *Preserver) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, preserveTimeout)
 	defer cancel()
 	err := p.list(ctx)
 	for _, it := range p.keeper.acceptedItems() {
-		if err == nil && p.kept[entryKey{it.Kind, it.Name}].record < it.Version {
-			err = p.keep(ctx, it)
+		if err == nil && p.stored[entryKey{it.Kind, it.Name}].record < it.Version {
+			err = p.storeVersion(ctx, it)
 		}
 	}
-	for key, k := range p.kept {
+	for key, k := range p.stored {
 		if err == nil && p.keeper.isOutdated(key, k.record) {
 			err = p.remove(ctx, key, k)
 		}
 	}
 	if err != nil {
-		preserveFails.Inc()
+		preserveFailures.Inc()
 		p.listed = false
 	}
 }
 
-// list reads what is stored, once for each time that the lease was taken.
+// list reads the stored versions, unless they are known already.
 func (p *Preserver) list(ctx context.Context) error {
 	if p.listed {
 		return nil
@@ -123,48 +127,48 @@
 	if err != nil {
 		return err
 	}
-	p.kept = make(map[entryKey]keptVersion, len(listing.Objects))
+	p.stored = make(map[entryKey]storedVersion, len(listing.Objects))
 	for _, obj := range listing.Objects {
 		kind, name, _ := strings.Cut(obj.Name, ".")
-		var there preserved
-		// An object that cannot be read is written anew or removed.
-		_ = json.Unmarshal(obj.Value, &there)
-		p.kept[entryKey{Kind(kind), name}] = keptVersion{obj.Version, there.Version}
+		var content preserved
+		// An object that cannot be decoded is overwritten or removed.
+		_ = json.Unmarshal(obj.Value, &content)
+		p.stored[entryKey{Kind(kind), name}] = storedVersion{obj.Version, content.Version}
 	}
 	p.listed = true
 	return nil
 }
 
-func (p *Preserver) keep(ctx context.Context, it Item) error {
+func (p *Preserver) storeVersion(ctx context.Context, it Item) error {
 	value, err := json.Marshal(preserved{Version: it.Version, Value: it.Value})
 	if err != nil {
 		return err
 	}
 	key := entryKey{it.Kind, it.Name}
 	obj := objectapi.Object{Kind: PreservedKind, Name: preservedName(it.Kind, it.Name), Value: value}
-	version, err := p.store.Put(ctx, obj, p.kept[key].object)
+	version, err := p.store.Put(ctx, obj, p.stored[key].object)
 	if err != nil {
 		return err
 	}
 	preservedTotal.Inc()
-	p.kept[key] = keptVersion{version, it.Version}
+	p.stored[key] = storedVersion{version, it.Version}
 	return nil
 }
 
-// remove takes away a version that must not come back: a newer one is in
-// force, or the record was deleted and perhaps made anew.
-func (p *Preserver) remove(ctx context.Context, key entryKey, k keptVersion) error {
+// remove deletes a stored version that must not be restored, because a newer one is
+// in force or the record was deleted and possibly recreated.
+func (p *Preserver) remove(ctx context.Context, key entryKey, k storedVersion) error {
 	if err := p.store.Delete(ctx, PreservedKind, preservedName(key.kind, key.name), k.object); err != nil {
 		return err
 	}
-	delete(p.kept, key)
+	delete(p.stored, key)
 	return nil
 }
 
-// recall reads the accepted version of a record of which only a refused one is
-// known. It is offered after the list that showed the record, so one that was
-// deleted in between does not come back.
-func recall(ctx context.Context, store objectapi.Store, keeper *Keeper, kind Kind, name string) error {
+// restoreAccepted reads the stored accepted version of a record of which only a
+// refused version is known, and offers it to the Keeper. The caller has already offered
+// the list that contains the record, so a version deleted in between is not restored.
+func restoreAccepted(ctx context.Context, store objectapi.Store, keeper *Keeper, kind Kind, name string) error {
 	obj, err := store.Get(ctx, PreservedKind, preservedName(kind, name))
 	if fault.Is(err, fault.NotFound) {
 		return nil
@@ -172,15 +176,15 @@
 	if err != nil {
 		return err
 	}
-	var there preserved
-	if err := json.Unmarshal(obj.Value, &there); err != nil {
+	var content preserved
+	if err := json.Unmarshal(obj.Value, &content); err != nil {
 		return fault.Wrap(err, fault.Invalid, "remove the object", "object %s/%s", PreservedKind, obj.Name)
 	}
-	keeper.Offer(Item{Kind: kind, Name: name, Version: there.Version, Value: there.Value})
+	keeper.Offer(Item{Kind: kind, Name: name, Version: content.Version, Value: content.Value})
 	return nil
 }
 
-// acceptedItems lists what is in force of records whose newest version is
+// acceptedItems returns the accepted items of the records whose newest version is
 // refused.
 func (k *Keeper) acceptedItems() []Item {
 	k.mu.Lock()
@@ -194,21 +198,23 @@
 	return items
 }
 
-// isOutdated reports whether something newer than that version decides what is
-// in force of a record.
+// isOutdated reports whether a newer version or deletion of the record than the given
+// version is in force.
 func (k *Keeper) isOutdated(key entryKey, version uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := k.entries[key]
 	if e == nil {
-		// Unknown after a list means deleted; before one it means nothing.
+		// A record that is unknown after a list was deleted. Without a later list
+		// nothing follows.
 		return k.listedAt[key.kind] > version
 	}
 	return e.inForce() > version
 }
 
-// lacking names the records of a kind of which only a refused version is known.
-func (k *Keeper) lacking(kind Kind) []string {
+// withoutAccepted names the records of a kind of which only a refused version is
+// known.
+func (k *Keeper) withoutAccepted(kind Kind) []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var names []string
--- a/record/provider.go
+++ b/record/provider.go
@@ -11,45 +11,47 @@
 )
 
 const (
-	// listInterval is the mean time from one list to the next at an instance.
-	// Lists find what neither watch nor peer has told; they are the safety
-	// net, so they are rare: at 360 instances they cost 6 calls a second.
+	// listInterval is the mean time between two lists of a kind at an instance.
+	// Lists find changes that neither a watch nor a peer delivered. They are
+	// only a fallback and therefore rare: at 360 instances they cost 6 calls a
+	// second.
 	listInterval = 5 * time.Minute
-	// recheckInterval is the mean time after which an instance that the object
-	// API did not answer, and that has nothing to watch, asks again. The
-	// client's breaker makes that one call at a time during an outage.
+	// recheckInterval is the mean time after which an instance whose last call
+	// to the object API failed, and that has nothing to watch, lists again. During
+	// an outage the client's circuit breaker lets one call through at a time.
 	recheckInterval = 5 * time.Second
-	// membersGrace is how long an instance that knows of no other waits with
-	// its watches. In a herd of restarts all would watch everything otherwise.
-	membersGrace = 2 * time.Second
-	// firstPause and longestPause bound the time between attempts that fail.
-	firstPause   = 100 * time.Millisecond
-	longestPause = 4 * time.Second
+	// membersWait is how long an instance waits for the list of members before it
+	// watches all kinds. Without it, every instance would watch every kind when
+	// many restart at once.
+	membersWait = 2 * time.Second
+	// minBackoff and maxBackoff bound the mean delay after a failed attempt.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 4 * time.Second
 )
 
 var (
-	listsTotal    = metrics.GetOrCreateCounter("sardinedock_record_lists_total")
-	watchesTotal  = metrics.GetOrCreateCounter("sardinedock_record_watches_total")
-	providerFails = metrics.GetOrCreateCounter("sardinedock_record_provider_failures_total")
+	listsTotal       = metrics.GetOrCreateCounter("sardinedock_record_lists_total")
+	watchesTotal     = metrics.GetOrCreateCounter("sardinedock_record_watches_total")
+	providerFailures = metrics.GetOrCreateCounter("sardinedock_record_provider_failures_total")
 )
 
-// ProviderConfig is what a Provider needs.
+// ProviderConfig configures a Provider.
 type ProviderConfig struct {
 	Store  objectapi.Store
 	Keeper *Keeper
 	// Self is this instance's name among the members.
 	Self string
-	// Spread returns the time over which the instances spread their first
-	// lists; this one waits for a random part of it. It may call the object
-	// API. Nil means no spread.
+	// Spread returns the interval over which the instances spread their first
+	// lists; this instance waits for a random part of it. It may call the object
+	// API. Nil means no wait.
 	Spread func(context.Context) time.Duration
-	// ReachableChanged is called when StoreReachable may have changed. It must
-	// not block. Nil is allowed.
+	// ReachableChanged is called when the result of StoreReachable may have
+	// changed. It must not block. It may be nil.
 	ReachableChanged func()
 }
 
-// Provider follows the operators' records in the object API and offers them to
-// the keeper. Each kind has a goroutine of its own.
+// Provider reads the operators' records from the object API, by lists and watches, and
+// offers them to the Keeper. Each kind has its own goroutine.
 type Provider struct {
 	cfg       ProviderConfig
 	followers []*follower
@@ -57,7 +59,7 @@
 	done      sync.WaitGroup
 }
 
-// NewProvider returns a provider that does nothing before Start.
+// NewProvider returns a Provider that is idle until Start.
 func NewProvider(cfg ProviderConfig) *Provider {
 	p := &Provider{cfg: cfg}
 	for _, kind := range Kinds {
@@ -66,7 +68,7 @@
 	return p
 }
 
-// Start begins to follow the records. It does not wait for the object API.
+// Start starts to read the records. It does not wait for the object API.
 func (p *Provider) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	p.cancel = cancel
@@ -85,17 +87,17 @@
 	return p.cfg.Spread(ctx)
 }
 
-// Stop ends the duty and waits for its goroutines.
+// Stop stops reading and waits for the goroutines.
 func (p *Provider) Stop() {
 	p.cancel()
 	p.done.Wait()
 }
 
-// SetMembers tells the live members, from which follows what this instance
-// watches. Any goroutine may call it; it does not block.
+// SetMembers sets the live members, which determine the kinds that this instance
+// watches. It is safe for concurrent use and does not block.
 func (p *Provider) SetMembers(members []Member) {
 	for _, f := range p.followers {
-		d := dutyRest
+		d := dutyIdle
 		if WatchDuty(members, p.cfg.Self, f.kind) {
 			d = dutyWatch
 		}
@@ -103,8 +105,8 @@
 	}
 }
 
-// StoreReachable reports whether the last call of each kind was answered. It is
-// what this instance tells others of itself; see Member.
+// StoreReachable reports whether the last call for each kind succeeded. The instance
+// publishes it to the other members; see Member.
 func (p *Provider) StoreReachable() bool {
 	for _, d := range p.Dump() {
 		if d.Failure != "" {
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -32,13 +32,13 @@
 	return list
 }
 
-func TestChangeComesByWatch(t *testing.T) {
+func TestChangeIsReceivedByWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		put(s, 1)
 		k, p := startProvider(s, "entry-0", 0)
 		defer p.Stop()
-		time.Sleep(membersGrace + time.Second)
+		time.Sleep(membersWait + time.Second)
 		put(s, 2)
 		synctest.Wait()
 		if got := inForce(k, "quote"); got != 2 {
@@ -47,9 +47,9 @@
 	})
 }
 
-// An instance starts while the object API is down for an hour. It must not
-// give up, must not hammer, and must have the records soon after the end.
-func TestStartDuringAnOutage(t *testing.T) {
+// An instance starts while the object API is down for an hour. It must keep trying at
+// a bounded rate and must have the records soon after the outage.
+func TestStartDuringOutageRetriesAtBoundedRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		put(s, 1)
@@ -58,51 +58,51 @@
 		defer p.Stop()
 		time.Sleep(time.Hour)
 		if k.Snapshot() != nil {
-			t.Fatal("records are in force that nobody told")
+			t.Fatal("a snapshot is in force during the outage")
 		}
 		if lists := s.Counts().Lists; lists > 5*2000 {
 			t.Fatalf("%d lists in an hour of outage", lists)
 		}
 		s.SetDown(false)
-		time.Sleep(2 * longestPause)
+		time.Sleep(2 * maxBackoff)
 		if got := inForce(k, "quote"); got != 1 {
 			t.Fatalf("version %d is in force, want 1", got)
 		}
 	})
 }
 
-// The object API is away while operators go on with another client of it, and
-// it forgets old versions meanwhile. No change may stay unheard of.
-func TestWatchResumesAfterAnOutageAndRelistsWhenTooOld(t *testing.T) {
-	for _, forget := range []bool{false, true} {
+// The object API is unreachable from this instance while operators change a record, and
+// it may compact old versions meanwhile. The instance must still receive the change.
+func TestWatchResumesAfterOutageOrListsAgainIfCompacted(t *testing.T) {
+	for _, compact := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			s := &objecttest.Store{}
 			put(s, 1)
 			k, p := startProvider(s, "entry-0", 0)
 			defer p.Stop()
-			time.Sleep(membersGrace + time.Second)
+			time.Sleep(membersWait + time.Second)
 			s.SetDown(true)
 			time.Sleep(time.Minute)
 			put(s, 2)
-			if forget {
+			if compact {
 				s.Forget()
 			}
 			lists := s.Counts().Lists
 			s.SetDown(false)
-			time.Sleep(2 * longestPause)
+			time.Sleep(2 * maxBackoff)
 			if got := inForce(k, "quote"); got != 2 {
-				t.Fatalf("forgotten %v: version %d is in force, want 2", forget, got)
+				t.Fatalf("old versions compacted %v: version %d is in force, want 2", compact, got)
 			}
-			if relisted := s.Counts().Lists > lists; relisted != forget {
-				t.Fatalf("forgotten %v: listed again %v", forget, relisted)
+			if relisted := s.Counts().Lists > lists; relisted != compact {
+				t.Fatalf("old versions compacted %v: listed again %v", compact, relisted)
 			}
 		})
 	}
 }
 
-// All instances restart at once. Each list is read once by each of them, and
-// they do not all come in the same moment.
-func TestHerdRestartListsOnceAndSpread(t *testing.T) {
+// All instances restart at once. Each must list each kind once, and the lists must be
+// spread over time.
+func TestSimultaneousRestartsSpreadTheirLists(t *testing.T) {
 	const instances = 40
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -124,9 +124,9 @@
 	})
 }
 
-// The instances that watch are lost, or cut off from the object API. Others
-// have to watch in their place.
-func TestWatchDutyMovesOn(t *testing.T) {
+// The watching instances lose their connection to the object API. Others have to watch
+// in their place.
+func TestWatchDutyMovesToReachableInstances(t *testing.T) {
 	list := members(8)
 	watchers := func() []int {
 		var found []int
@@ -161,48 +161,49 @@
 	}
 }
 
-// An instance is cut off from the object API while others are not. It has to
-// say so at once, so that others watch in its place, and to say when it is back.
-func TestReachabilityIsToldAtOnce(t *testing.T) {
+// One instance loses its connection to the object API while others do not. It has to
+// report this at once, so that others watch in its place, and to notice when the
+// object API is reachable again.
+func TestReachabilityIsReportedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		put(s, 1)
-		told := make(chan bool, 64)
+		reported := make(chan bool, 64)
 		var p *Provider
 		p = NewProvider(ProviderConfig{
 			Store: s, Keeper: NewKeeper(clock.System{}), Self: "entry-0",
-			ReachableChanged: func() { told <- p.StoreReachable() },
+			ReachableChanged: func() { reported <- p.StoreReachable() },
 		})
 		p.Start()
 		defer p.Stop()
-		time.Sleep(membersGrace + time.Second)
-		for len(told) > 0 {
-			if !<-told {
-				t.Fatal("a loss was told that never was")
+		time.Sleep(membersWait + time.Second)
+		for len(reported) > 0 {
+			if !<-reported {
+				t.Fatal("the object API was reported unreachable while it was reachable")
 			}
 		}
 		s.SetDown(true)
 		synctest.Wait()
-		if len(told) == 0 || <-told {
-			t.Fatal("the loss was not told")
+		if len(reported) == 0 || <-reported {
+			t.Fatal("the object API was not reported unreachable")
 		}
 		p.SetMembers(append(members(8)[1:], Member{Name: "entry-0"}))
 		s.SetDown(false)
 		time.Sleep(2 * recheckInterval)
 		if !p.StoreReachable() {
-			t.Fatal("an instance without a watch does not find that the object API answers again")
+			t.Fatal("an instance without a watch does not notice that the object API is reachable again")
 		}
 	})
 }
 
-// BenchmarkStoreCallsAtRest tells how many calls a second the instances make
-// when nothing changes, each waiting watch counted as one call a second.
+// BenchmarkStoreCallsAtRest reports how many calls a second the instances make while
+// no record changes, with each pending watch counted as one call a second.
 func BenchmarkStoreCallsAtRest(b *testing.B) {
 	for _, n := range []int{8, 64, 360} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
 			most, total := 0, 0
 			for b.Loop() {
-				most, total = watchesAtRest(n)
+				most, total = idleWatches(n)
 			}
 			lists := float64(len(Kinds)) / listInterval.Seconds()
 			b.ReportMetric(float64(total)+lists*float64(n), "fleet-calls/s")
@@ -212,8 +213,9 @@
 	}
 }
 
-// watchesAtRest counts the watches of the instance that has most, and of all.
-func watchesAtRest(n int) (most, total int) {
+// idleWatches returns the largest number of watches at one instance, and the total of
+// all instances.
+func idleWatches(n int) (most, total int) {
 	list := members(n)
 	for _, m := range list {
 		own := 0
--- a/record/record.go
+++ b/record/record.go
@@ -1,5 +1,5 @@
-// Package record turns the records that operators keep in the object API into
-// an immutable snapshot that every duty of an instance reads.
+// Package record reads the operators' records from the object API, decodes and checks
+// them, and provides the versions in force as an immutable snapshot.
 package record
 
 import (
@@ -19,7 +19,7 @@
 // SchemaVersion is the newest schema version that this program understands.
 const SchemaVersion = 1
 
-// Kind is a kind of record, as it stands in the object API.
+// Kind is a kind of record, as named in the object API.
 type Kind string
 
 // The kinds of record.
@@ -34,7 +34,7 @@
 // Kinds lists all kinds in the order in which they are loaded.
 var Kinds = []Kind{Classes, Pools, Models, Organisations, Services}
 
-// KindOf returns the kind that a record's content says it is.
+// KindOf returns the kind of a record's content, or false if it has none.
 func KindOf(r *recordspb.Record) (Kind, bool) {
 	switch r.GetSpec().(type) {
 	case *recordspb.Record_Organisation:
@@ -51,7 +51,7 @@
 	return "", false
 }
 
-// ParseYAML reads a file of records and returns what is wrong with it.
+// ParseYAML decodes a file of records and returns the records and the faults found.
 func ParseYAML(data []byte) ([]*recordspb.Record, []yamlpb.Fault) {
 	messages, faults := yamlpb.Decode(data, func() proto.Message { return &recordspb.Record{} })
 	records := make([]*recordspb.Record, 0, len(messages))
@@ -91,11 +91,11 @@
 	return nil, fault.New(fault.Invalid, "mend the fields named above", "%s", strings.Join(texts, "; "))
 }
 
-// Snapshot is all records in force at one moment. It is never changed once
-// built, so any goroutine may read it.
+// Snapshot is an immutable set of all records in force at one time. It is safe for
+// concurrent use.
 type Snapshot struct {
-	// Version is the highest store version that the snapshot takes account
-	// of, also where the change of that version was refused.
+	// Version is the highest store version received when the snapshot was built,
+	// including changes that were refused.
 	Version uint64
 
 	organisations map[string]*recordspb.Organisation
@@ -103,15 +103,15 @@
 	pools         map[string]*recordspb.EndpointPool
 	classes       map[string]*recordspb.RequestClass
 	services      map[string]*recordspb.Service
-	byKey         map[keyHash]string
+	keyOwners     map[keyHash]string
 	serviceOrder  []string
 }
 
-// keyHash is the SHA-256 sum of an organisation's key.
+// keyHash is the SHA-256 hash of an organisation's API key.
 type keyHash [sha256.Size]byte
 
-// NewSnapshot builds a snapshot. Records that are not valid must have been
-// left out by the caller; of two records of one name the last one counts.
+// NewSnapshot builds a snapshot. The caller must leave out invalid records. Of two
+// records of the same kind and name, the last one is used.
 func NewSnapshot(version uint64, records []*recordspb.Record) *Snapshot {
 	s := &Snapshot{
 		Version:       version,
@@ -120,7 +120,7 @@
 		pools:         map[string]*recordspb.EndpointPool{},
 		classes:       map[string]*recordspb.RequestClass{},
 		services:      map[string]*recordspb.Service{},
-		byKey:         map[keyHash]string{},
+		keyOwners:     map[keyHash]string{},
 	}
 	for _, r := range records {
 		s.add(r)
@@ -151,38 +151,38 @@
 	}
 }
 
-// indexKeys finds organisations by key. A key that two organisations name
-// would make instances that heard of them in another order serve one as the
-// other, so the first by name has it everywhere.
+// indexKeys builds the index of organisations by key. If two organisations have the
+// same key, it belongs to the first by name. If it depended on the order of arrival,
+// instances could attribute the same key to different organisations.
 func (s *Snapshot) indexKeys() {
 	for _, name := range sortedNames(s.organisations) {
 		for _, text := range s.organisations[name].GetKeyHashes() {
 			h := parseKeyHash(text)
-			if _, taken := s.byKey[h]; !taken {
-				s.byKey[h] = name
+			if _, taken := s.keyOwners[h]; !taken {
+				s.keyOwners[h] = name
 			}
 		}
 	}
 }
 
-// parseKeyHash reads a sum that the record's checks have found well formed.
+// parseKeyHash decodes a hash that the record's checks have found well formed.
 func parseKeyHash(text string) keyHash {
 	var h keyHash
 	_, _ = hex.Decode(h[:], []byte(text))
 	return h
 }
 
-// HashKey returns the sum of an organisation's key as records hold it.
+// HashKey returns the hash of an organisation's API key as stored in its record.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// OrganisationByKey names the organisation that a key belongs to. The key is
-// only ever compared through its SHA-256 sum, so the time of a lookup tells an
-// attacker nothing that helps to guess a key.
+// OrganisationByKey returns the name of the organisation that a key belongs to. Only
+// SHA-256 hashes of keys are compared, so the duration of a lookup does not help an
+// attacker to guess a key.
 func (s *Snapshot) OrganisationByKey(key string) (string, bool) {
-	name, ok := s.byKey[sha256.Sum256([]byte(key))]
+	name, ok := s.keyOwners[sha256.Sum256([]byte(key))]
 	return name, ok
 }
 
@@ -198,7 +198,7 @@
 	return m, ok
 }
 
-// ModelNames lists the models in order of name.
+// ModelNames returns the sorted names of the models.
 func (s *Snapshot) ModelNames() []string { return sortedNames(s.models) }
 
 // Pool returns the record of that name.
@@ -207,10 +207,10 @@
 	return p, ok
 }
 
-// OrganisationNames lists the organisations in order of name.
+// OrganisationNames returns the sorted names of the organisations.
 func (s *Snapshot) OrganisationNames() []string { return sortedNames(s.organisations) }
 
-// PoolNames lists the pools in order of name.
+// PoolNames returns the sorted names of the pools.
 func (s *Snapshot) PoolNames() []string { return sortedNames(s.pools) }
 
 // Class returns the record of that name.
--- a/record/judge.go
+++ b/record/validate.go
@@ -8,9 +8,9 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// judge decides whether this program can put an item in force. Otherwise it
-// returns the reason in words for the operator.
-func judge(it Item) (*recordspb.Record, string) {
+// validate decodes an item and checks whether this program can put it in force. If
+// not, it returns the reason as a text for the operator.
+func validate(it Item) (*recordspb.Record, string) {
 	if v := schemaVersionOf(it.Value); v > SchemaVersion {
 		return nil, fmt.Sprintf("schema version %d is newer than this program's %d; update the instances", v, SchemaVersion)
 	}
@@ -28,8 +28,8 @@
 	return r, ""
 }
 
-// schemaVersionOf reads only the schema version, because the rest of a newer
-// record may look like nothing that this program can parse.
+// schemaVersionOf reads only the schema version, because this program may not be able
+// to parse the rest of a record with a newer schema.
 func schemaVersionOf(value []byte) int32 {
 	var envelope struct {
 		Camel int32 `json:"schemaVersion"`
@@ -41,15 +41,15 @@
 	return max(envelope.Camel, envelope.Snake)
 }
 
-// warnings lists what is in force but cannot work as the operator meant it.
-// These are no reasons to refuse a record: the other half may be on its way.
-// named is the result of endpointNames.
-func warnings(s *Snapshot, named map[string]int, kind Kind, name string) []string {
+// warnings returns the faults of a record that is in force but does not fit the other
+// records. The record is not refused for them, because the record it refers to may
+// not have arrived yet. endpointCounts is the result of countEndpointNames.
+func warnings(s *Snapshot, endpointCounts map[string]int, kind Kind, name string) []string {
 	switch kind {
 	case Models:
 		return modelWarnings(s, name)
 	case Pools:
-		return poolWarnings(s, named, name)
+		return poolWarnings(s, endpointCounts, name)
 	case Organisations:
 		return organisationWarnings(s, name)
 	case Services:
@@ -68,31 +68,31 @@
 	return list
 }
 
-// poolWarnings finds endpoints that cannot be told apart: queue, health and
-// cache of an endpoint are kept under its name.
-func poolWarnings(s *Snapshot, named map[string]int, name string) []string {
+// poolWarnings reports endpoints with duplicate names: the queue, health and cache of
+// an endpoint are stored under its name.
+func poolWarnings(s *Snapshot, endpointCounts map[string]int, name string) []string {
 	endpoints := s.pools[name].GetEndpoints()
 	if len(endpoints) == 0 {
 		return []string{"the pool has no endpoints, so all its requests are refused; add endpoints"}
 	}
 	var list []string
 	for _, e := range endpoints {
-		if named[e.GetName()] > 1 {
+		if endpointCounts[e.GetName()] > 1 {
 			list = append(list, fmt.Sprintf("endpoint %q is named more than once, in this or another pool; give each a name of its own", e.GetName()))
 		}
 	}
 	return list
 }
 
-// endpointNames counts how often pools name each endpoint.
-func endpointNames(s *Snapshot) map[string]int {
-	named := map[string]int{}
+// countEndpointNames counts the occurrences of each endpoint name in all pools.
+func countEndpointNames(s *Snapshot) map[string]int {
+	endpointCounts := map[string]int{}
 	for _, p := range s.pools {
 		for _, e := range p.GetEndpoints() {
-			named[e.GetName()]++
+			endpointCounts[e.GetName()]++
 		}
 	}
-	return named
+	return endpointCounts
 }
 
 func organisationWarnings(s *Snapshot, name string) []string {
@@ -103,7 +103,7 @@
 		}
 	}
 	for _, text := range s.organisations[name].GetKeyHashes() {
-		if owner := s.byKey[parseKeyHash(text)]; owner != name {
+		if owner := s.keyOwners[parseKeyHash(text)]; owner != name {
 			list = append(list, fmt.Sprintf("a key belongs to organisation %q already; give each organisation keys of its own", owner))
 		}
 	}
