--- a/kept/catalog.go
+++ b/kept/catalog.go
@@ -1,6 +1,6 @@
-// Package kept knows which prefixes' KV cache is kept in the platform's KV
-// store, has engines export what is worth keeping, and has them import it
-// where that is cheaper than computing it again.
+// Package kept tracks which prompt prefixes have their KV cache stored in the
+// platform's KV store. It has engines export prefixes that are worth storing, and
+// import them where that is cheaper than recomputing them.
 package kept
 
 import (
@@ -10,22 +10,22 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// catalogLimit bounds the prefixes that an instance knows of, at some 100
-// bytes each. At 1,100 organisations it is 15 prefixes for each.
-const catalogLimit = 1 << 14
+// maxCatalogEntries bounds the prefixes in a Catalog, at about 100 bytes each. With
+// 1,100 organisations it allows 15 prefixes for each.
+const maxCatalogEntries = 1 << 14
 
-// Prefix is a kept prefix. It is named by the hash of its last block, which
-// chains from organisation, model and version; the engine refuses an import
-// whose salt differs all the same.
+// Prefix is a prefix in the KV store. It is identified by the hash of its last block.
+// The hash depends on organisation, model and version through the hashes of all blocks
+// before it; in addition, the engine refuses an import whose salt differs.
 type Prefix struct {
 	Last prefix.Hash
-	// Blocks is its length.
+	// Blocks is the length in blocks.
 	Blocks int
 }
 
-// Catalog is what is known to be kept. An entry may be wrong: the KV store
-// forgets as it likes, and an import that finds nothing costs a round trip.
-// Any goroutine may use it.
+// Catalog is the set of prefixes believed to be in the KV store. An entry may be
+// stale, because the KV store evicts at any time; an import that finds nothing costs a
+// round trip. It is safe for concurrent use.
 type Catalog struct {
 	mu      sync.Mutex
 	entries map[prefix.Hash]entry
@@ -39,20 +39,20 @@
 // NewCatalog returns an empty catalog.
 func NewCatalog() *Catalog { return &Catalog{entries: map[prefix.Hash]entry{}} }
 
-// Add notes that a prefix is kept until then. Over the limit, an entry that
-// expires soonest among a few makes room.
+// Add adds a prefix that expires at the given time. If the Catalog is full, it evicts
+// the entry that expires first in a small sample.
 func (c *Catalog) Add(p Prefix, until time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if _, held := c.entries[p.Last]; !held && len(c.entries) >= catalogLimit {
-		delete(c.entries, c.soonest())
+	if _, exists := c.entries[p.Last]; !exists && len(c.entries) >= maxCatalogEntries {
+		delete(c.entries, c.evictionCandidate())
 	}
 	c.entries[p.Last] = entry{p.Blocks, until}
 }
 
-// soonest picks among the entries that the map's iteration happens to begin
-// with, which is enough to let go of old ones.
-func (c *Catalog) soonest() prefix.Hash {
+// evictionCandidate returns the entry that expires first among the first few of the
+// map's iteration order, which is good enough to evict old entries.
+func (c *Catalog) evictionCandidate() prefix.Hash {
 	const sample = 8
 	var found prefix.Hash
 	var expires time.Time
@@ -68,14 +68,15 @@
 	return found
 }
 
-// Forget notes that a prefix is not kept after all.
+// Forget removes a prefix that is not in the KV store.
 func (c *Catalog) Forget(last prefix.Hash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.entries, last)
 }
 
-// Deepest returns the longest kept prefix of a prompt.
+// Deepest returns the longest unexpired prefix of a prompt. chain is the hashes of
+// the prompt's blocks.
 func (c *Catalog) Deepest(now time.Time, chain []prefix.Hash) (Prefix, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -95,7 +96,7 @@
 	return Prefix{}, false
 }
 
-// Len is the number of entries.
+// Len returns the number of entries.
 func (c *Catalog) Len() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/kept/engine_test.go
+++ b/kept/engine_test.go
@@ -16,16 +16,16 @@
 
 const blockTokens = 64
 
-// pair is two engines with one KV store, and a keeper.
+// pair is two engines that share a KV store, and a Keeper.
 type pair struct {
-	clients [2]*endpoint.Client
-	keeper  *kept.Keeper
-	known   chan kept.Prefix
+	clients   [2]*endpoint.Client
+	keeper    *kept.Keeper
+	published chan kept.Prefix
 }
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{known: make(chan kept.Prefix, 1)}
+	p := &pair{published: make(chan kept.Prefix, 1)}
 	shared := emulator.NewShared(1)
 	for i, name := range []string{"engine-1", "engine-2"} {
 		e, err := emulator.StartEngine("127.0.0.1:0", emulator.EngineConfig{
@@ -41,7 +41,7 @@
 	p.keeper = kept.NewKeeper(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return byAddress[address] },
-		Publish: func(_ context.Context, x kept.Prefix, _ time.Duration) { p.known <- x },
+		Publish: func(_ context.Context, x kept.Prefix, _ time.Duration) { p.published <- x },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -49,7 +49,7 @@
 	return p
 }
 
-// cachedTokens runs a prompt and returns how much of it the engine had.
+// cachedTokens runs a prompt and returns how many of its tokens the engine had cached.
 func (p *pair) cachedTokens(t *testing.T, engine int, salt prefix.Hash, prompt string) int64 {
 	t.Helper()
 	body, err := json.Marshal(struct {
@@ -84,18 +84,17 @@
 	return got.Usage.Details.Cached
 }
 
-// Two organisations send the same catalogue. If an engine took in under one
-// organisation's name what was kept for the other, that one would be answered
-// from work that is not its own, and from the time of its answers could tell
-// what the other had asked.
-func TestKeptWorkStaysWithItsOrganisation(t *testing.T) {
+// Two organisations send the same prompt. If an engine imported for one of them the KV
+// cache stored for the other, the first could find out from its response times what the
+// other had sent.
+func TestStoredPrefixIsNotSharedBetweenOrganisations(t *testing.T) {
 	p := newPair(t)
 	prompt := strings.Repeat("M12 anchor, grade 8.8; ", 200)
 	own, other := prefix.Salt("accra", "m", "1"), prefix.Salt("kumasi", "m", "1")
 	chain := prefix.Blocks(nil, own, []byte(prompt), blockTokens)
 	p.cachedTokens(t, 0, own, prompt)
 	p.keeper.Used(kept.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
-	x := <-p.known
+	x := <-p.published
 
 	p.keeper.Import(context.Background(), "engine-2", other, x)
 	if got := p.cachedTokens(t, 1, other, prompt); got != 0 {
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -14,103 +14,105 @@
 )
 
 const (
-	// Lifetime is how long a prefix is taken to be kept. One that is still used
-	// by then is exported again. At 11,000 prefixes it is three changes a second
-	// that instances tell each other.
+	// Lifetime is how long a prefix is assumed to stay in the KV store. A prefix
+	// still used after that is exported again. With 11,000 prefixes, instances
+	// publish three changes a second to each other.
 	Lifetime = time.Hour
-	// usesRing bounds the uses that wait for the duty; the oldest are given up,
-	// since a prefix in use is used again.
+	// usesRing bounds the queue of uses. The oldest are dropped when it is full,
+	// since a prefix in use will be used again.
 	usesRing = 256
-	// transferBound ends an export or import that hangs; both take a tenth of
+	// transferTimeout bounds an export or import. Normally either takes a tenth of
 	// the time that computing the prefix takes.
-	transferBound = 2 * time.Second
+	transferTimeout = 2 * time.Second
 )
 
 var (
-	exports       = metrics.GetOrCreateCounter("sardinedock_kept_exports_total")
-	exportsFailed = metrics.GetOrCreateCounter("sardinedock_kept_exports_failed_total")
-	imports       = metrics.GetOrCreateCounter("sardinedock_kept_imports_total")
-	importsFailed = metrics.GetOrCreateCounter("sardinedock_kept_imports_failed_total")
-	importedBlock = metrics.GetOrCreateCounter("sardinedock_kept_imported_blocks_total")
+	exportsTotal   = metrics.GetOrCreateCounter("sardinedock_kept_exports_total")
+	exportFailures = metrics.GetOrCreateCounter("sardinedock_kept_exports_failed_total")
+	importsTotal   = metrics.GetOrCreateCounter("sardinedock_kept_imports_total")
+	importFailures = metrics.GetOrCreateCounter("sardinedock_kept_imports_failed_total")
+	importedBlocks = metrics.GetOrCreateCounter("sardinedock_kept_imported_blocks_total")
 )
 
-// Engine is what an endpoint has to offer.
+// Engine is the part of an engine's interface that a Keeper uses. Both methods return
+// the number of blocks transferred.
 type Engine interface {
 	Export(ctx context.Context, h endpoint.KVHandle) (int, error)
 	Import(ctx context.Context, h endpoint.KVHandle) (int, error)
 }
 
-// Config is what a Keeper needs.
+// Config configures a Keeper.
 type Config struct {
 	Clock clock.Clock
-	// Dial returns the engine at an address.
+	// Dial returns a client of the engine at an address.
 	Dial func(address string) Engine
-	// Publish tells all instances of a kept prefix. It is called by the duty's
-	// goroutine and may block.
+	// Publish sends an exported prefix to all instances. It is called in the
+	// goroutine of Run and may block.
 	Publish func(ctx context.Context, p Prefix, ttl time.Duration)
 }
 
-// Keeper has prefixes exported and imported. Its methods may be called by any
-// goroutine; only Import blocks.
+// Keeper makes engines export and import prefixes. Its methods are safe for concurrent
+// use; only Run and Import block.
 type Keeper struct {
 	cfg     Config
 	catalog *Catalog
 	uses    *ring.Ring[Use]
 }
 
-// Use is one request that was answered at an endpoint, which therefore has its
-// prompt cached.
+// Use is a request that an endpoint has answered, so that it has the request's prompt
+// cached.
 type Use struct {
 	Address string
 	Salt    prefix.Hash
-	// Chain is the prompt's blocks.
+	// Chain is the hashes of the prompt's blocks.
 	Chain []prefix.Hash
-	// Levels are the numbers of leading blocks that end a shared level, shortest
-	// first.
+	// Levels are the lengths in blocks of the prefixes that the prompt shares with
+	// other prompts, shortest first.
 	Levels []int
 }
 
-// NewKeeper returns a keeper that exports nothing before Run.
+// NewKeeper returns a Keeper that exports nothing until Run.
 func NewKeeper(cfg Config) *Keeper {
 	return &Keeper{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesRing)}
 }
 
-// Used notes a use of shared levels.
+// Used queues a use for export, unless its longest level is shorter than minBlocks.
 func (k *Keeper) Used(u Use) {
 	if n := len(u.Levels); n > 0 && u.Levels[n-1] >= minBlocks {
 		k.uses.Push(u)
 	}
 }
 
-// Heard notes a prefix that another instance had exported.
+// Heard adds a prefix that another instance has published. ttl is limited to Lifetime.
 func (k *Keeper) Heard(p Prefix, ttl time.Duration) {
 	k.catalog.Add(p, k.cfg.Clock.Now().Add(min(ttl, Lifetime)))
 }
 
-// Deepest returns the longest kept prefix of a prompt.
+// Deepest returns the longest prefix of a prompt that is in the KV store. chain is
+// the hashes of the prompt's blocks.
 func (k *Keeper) Deepest(chain []prefix.Hash) (Prefix, bool) {
 	return k.catalog.Deepest(k.cfg.Clock.Now(), chain)
 }
 
-// Import has an engine take a kept prefix in. A failure costs nothing but the
-// time: the engine computes what it does not have. A prefix that the KV store
-// has lost is forgotten here.
+// Import makes an engine import a prefix from the KV store. A failure costs only time,
+// since the engine computes what it does not have. A prefix that the KV store no longer
+// has is removed from the catalog.
 func (k *Keeper) Import(ctx context.Context, address string, salt prefix.Hash, p Prefix) {
-	ctx, cancel := context.WithTimeout(ctx, transferBound)
+	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	imports.Inc()
+	importsTotal.Inc()
 	blocks, err := k.cfg.Dial(address).Import(ctx, handle(salt, p.Last, nil))
 	if err == nil {
-		importedBlock.Add(blocks)
+		importedBlocks.Add(blocks)
 		return
 	}
-	importsFailed.Inc()
+	importFailures.Inc()
 	if fault.Is(err, fault.NotFound) {
 		k.catalog.Forget(p.Last)
 	}
 }
 
-// Run exports until ctx ends.
+// Run exports prefixes of the queued uses until ctx is done.
 func (k *Keeper) Run(ctx context.Context) {
 	selector := NewSelector()
 	for {
@@ -118,13 +120,14 @@
 		case <-ctx.Done():
 			return
 		case u := <-k.uses.C():
-			k.used(ctx, selector, u)
+			k.exportLevels(ctx, selector, u)
 		}
 	}
 }
 
-// used exports the levels of a prompt that are not kept yet, shortest first.
-func (k *Keeper) used(ctx context.Context, s *Selector, u Use) {
+// exportLevels exports the levels of a prompt that are not in the KV store yet, as far
+// as the Selector allows, shortest first. It stops at the first failure.
+func (k *Keeper) exportLevels(ctx context.Context, s *Selector, u Use) {
 	for {
 		now := k.cfg.Clock.Now()
 		known, _ := k.catalog.Deepest(now, u.Chain)
@@ -135,18 +138,20 @@
 	}
 }
 
-// export has a level kept and reports whether it is.
+// export exports the first blocks of a prompt and reports whether all of them are
+// stored.
 func (k *Keeper) export(ctx context.Context, u Use, blocks int) bool {
 	chain := u.Chain[:blocks]
 	p := Prefix{chain[blocks-1], blocks}
-	bounded, cancel := context.WithTimeout(ctx, transferBound)
+	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
-	exports.Inc()
+	exportsTotal.Inc()
 	stored, err := k.cfg.Dial(u.Address).Export(bounded, handle(u.Salt, p.Last, chain))
 	if err != nil || stored < blocks {
-		// The engine has evicted the end meanwhile, so what was kept under this
-		// name is shorter than it says. It stays out of the catalog.
-		exportsFailed.Inc()
+		// If fewer blocks were stored, the engine has evicted the end of the prefix
+		// since its use. It is not added to the catalog, because the stored prefix
+		// is shorter than the one that the handle names.
+		exportFailures.Inc()
 		return false
 	}
 	k.catalog.Add(p, k.cfg.Clock.Now().Add(Lifetime))
@@ -154,8 +159,8 @@
 	return true
 }
 
-// handle names a prefix in the KV store: by its content, so that two instances
-// that export it at once write the same.
+// handle returns the handle of a prefix in the KV store. It is derived from the prefix's
+// content, so that two instances that export it concurrently write the same value.
 func handle(salt, last prefix.Hash, chain []prefix.Hash) endpoint.KVHandle {
 	h := endpoint.KVHandle{Handle: last.String(), Salt: salt.String()}
 	for _, b := range chain {
@@ -164,7 +169,7 @@
 	return h
 }
 
-// Dump is the keeper's part of the state dump.
+// Dump is the Keeper's part of the state dump.
 type Dump struct {
 	Known         int    `json:"known"`
 	Exports       uint64 `json:"exports"`
@@ -173,7 +178,7 @@
 	ImportsFailed uint64 `json:"imports_failed"`
 }
 
-// Dump returns the state now.
+// Dump returns the current state.
 func (k *Keeper) Dump() Dump {
-	return Dump{k.catalog.Len(), exports.Get(), exportsFailed.Get(), imports.Get(), importsFailed.Get()}
+	return Dump{k.catalog.Len(), exportsTotal.Get(), exportFailures.Get(), importsTotal.Get(), importFailures.Get()}
 }
