--- a/instance/pools.go
+++ b/instance/pools.go
@@ -24,7 +24,7 @@
 // held is the duties that one lease goes with. rollout is nil for the fleet's.
 type held struct {
 	lease   *lease.Duty
-	rollout *rollout.Duty
+	rollout *rollout.Controller
 	status  *status.Writer
 	// preserver belongs to the fleet's lease only.
 	preserver *record.Preserver
--- a/rollout/duty.go
+++ b/rollout/duty.go
@@ -60,7 +60,7 @@
 	Held() (fence uint64, ok bool)
 }
 
-// Config configures a Duty.
+// Config configures a Controller.
 type Config struct {
 	Pool  string
 	Lease Lease
@@ -92,10 +92,10 @@
 	Refused string `json:"refused,omitempty"`
 }
 
-// Duty brings the endpoints of one pool to the state in the records while this
+// Controller brings the endpoints of one pool to the state in the records while this
 // instance holds the pool's lease. It works in one goroutine of its own; Progress
 // is safe for concurrent use.
-type Duty struct {
+type Controller struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -116,12 +116,12 @@
 }
 
 // NewDuty returns a Duty that is idle until Start.
-func NewDuty(cfg Config) *Duty {
-	return &Duty{cfg: cfg, last: map[string]lastState{}, progress: Progress{Pool: cfg.Pool}}
+func NewDuty(cfg Config) *Controller {
+	return &Controller{cfg: cfg, last: map[string]lastState{}, progress: Progress{Pool: cfg.Pool}}
 }
 
 // Start starts to reconcile the pool periodically.
-func (d *Duty) Start() {
+func (d *Controller) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	d.cancel = cancel
 	d.done.Go(func() {
@@ -132,14 +132,14 @@
 }
 
 // Stop stops the reconciliation and waits for its goroutine.
-func (d *Duty) Stop() {
+func (d *Controller) Stop() {
 	d.cancel()
 	d.done.Wait()
 }
 
 // Progress returns the progress as of this instance's last reconciliation. ok is
 // false if the instance does not hold the lease or has not queried the pool yet.
-func (d *Duty) Progress() (p Progress, ok bool) {
+func (d *Controller) Progress() (p Progress, ok bool) {
 	if _, held := d.cfg.Lease.Held(); !held {
 		return Progress{}, false
 	}
@@ -150,7 +150,7 @@
 
 // reconcile queries the pool's endpoints once and sends the orders that are due.
 // It returns the time to wait before the next call.
-func (d *Duty) reconcile(ctx context.Context) time.Duration {
+func (d *Controller) reconcile(ctx context.Context) time.Duration {
 	records := d.cfg.Records()
 	fence, held := d.cfg.Lease.Held()
 	if records == nil || !held {
@@ -179,7 +179,7 @@
 }
 
 // observe queries the state of all endpoints, with bounded concurrency.
-func (d *Duty) observe(ctx context.Context, endpoints []*recordspb.Endpoint) []Observed {
+func (d *Controller) observe(ctx context.Context, endpoints []*recordspb.Endpoint) []Observed {
 	list := make([]Observed, len(endpoints))
 	forEach(endpoints, func(i int, e *recordspb.Endpoint) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -193,7 +193,7 @@
 
 // fillMissing uses the last known state for endpoints that did not answer, until
 // unresponsiveTimeout.
-func (d *Duty) fillMissing(list []Observed, now time.Time) {
+func (d *Controller) fillMissing(list []Observed, now time.Time) {
 	remaining := make(map[string]lastState, len(list))
 	for i, o := range list {
 		last, ok := d.last[o.Name]
@@ -226,7 +226,7 @@
 // dropFinished removes orders from inFlight: those whose effect is visible, those
 // whose endpoint answers but has not shown an effect within effectTimeout, and those
 // whose endpoint has been unresponsive for unresponsiveTimeout.
-func (d *Duty) dropFinished(now time.Time, observed []Observed) {
+func (d *Controller) dropFinished(now time.Time, observed []Observed) {
 	byName := make(map[string]Observed, len(observed))
 	for _, o := range observed {
 		byName[o.Name] = o
@@ -246,7 +246,7 @@
 
 // send sends the orders. This instance may have been paused for longer than the
 // lease since the plan was made, so the lease is checked before each order.
-func (d *Duty) send(ctx context.Context, endpoints []*recordspb.Endpoint, orders []Order, fence uint64) {
+func (d *Controller) send(ctx context.Context, endpoints []*recordspb.Endpoint, orders []Order, fence uint64) {
 	addresses := map[string]string{}
 	for _, e := range endpoints {
 		addresses[e.GetName()] = e.GetAddress()
@@ -265,7 +265,7 @@
 
 // sendOrder sends one order. It returns false if the endpoint has already seen a
 // newer lease holder.
-func (d *Duty) sendOrder(ctx context.Context, address string, o Order) bool {
+func (d *Controller) sendOrder(ctx context.Context, address string, o Order) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ordersTotal.Inc()
@@ -284,7 +284,7 @@
 	return true
 }
 
-func (d *Duty) converged() bool {
+func (d *Controller) converged() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.progress.Behind) == 0
@@ -292,7 +292,7 @@
 
 // updateProgress stores the progress and logs when the pool starts or stops
 // differing from the records.
-func (d *Duty) updateProgress(w Wanted, observed []Observed) {
+func (d *Controller) updateProgress(w Wanted, observed []Observed) {
 	p := Progress{Pool: d.cfg.Pool, At: time.Now(), Endpoints: len(observed)}
 	for _, m := range w.Models {
 		p.Wanted = append(p.Wanted, m.Model+"@"+m.Version)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -141,7 +141,7 @@
 	return l.fence, l.fence > 0
 }
 
-func startDuty(p *enginePool, l Lease, records func() *record.Snapshot) *Duty {
+func startDuty(p *enginePool, l Lease, records func() *record.Snapshot) *Controller {
 	d := NewDuty(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
 	d.Start()
 	return d
