--- a/instance/pools.go
+++ b/instance/pools.go
@@ -132,7 +132,7 @@
 	if pool == "" {
 		h.preserver = record.NewPreserver(i.store, i.keeper, h.lease)
 	} else {
-		h.rollout = rollout.NewDuty(rollout.Config{
+		h.rollout = rollout.NewController(rollout.Config{
 			Pool: pool, Lease: h.lease, Records: i.keeper.Snapshot,
 			Dial: func(addr string) rollout.Engine { return i.clients.Engine(addr) },
 		})
--- a/rollout/duty.go
+++ b/rollout/duty.go
@@ -115,8 +115,8 @@
 	at    time.Time
 }
 
-// NewDuty returns a Duty that is idle until Start.
-func NewDuty(cfg Config) *Controller {
+// NewController returns a Controller that is idle until Start.
+func NewController(cfg Config) *Controller {
 	return &Controller{cfg: cfg, last: map[string]lastState{}, progress: Progress{Pool: cfg.Pool}}
 }
 
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -142,7 +142,7 @@
 }
 
 func startDuty(p *enginePool, l Lease, records func() *record.Snapshot) *Controller {
-	d := NewDuty(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
+	d := NewController(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
 	d.Start()
 	return d
 }
