--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -54,9 +54,9 @@
 	State   *balance.State
 	// Pools returns the models of each service that has any, by service name.
 	Pools func() map[string][]string
-	// Soon is called with an endpoint that is expected to start loading after
+	// OnLoadExpected is called with an endpoint that is expected to start loading after
 	// about d. It must not block.
-	Soon func(endpointID string, d time.Duration)
+	OnLoadExpected func(endpointID string, d time.Duration)
 	// Loading is called with an endpoint that is loading and the expected
 	// remaining time. Holds is called with the version that an endpoint has
 	// loaded. Neither may block.
@@ -208,11 +208,11 @@
 	return list, behind
 }
 
-// announce calls Soon for the endpoints that load next.
+// announce calls OnLoadExpected for the endpoints that load next.
 func (h *Hosted) announce(next []Candidate) {
 	loadTime := h.averageLoadTime()
 	for _, c := range next {
-		h.cfg.Soon(c.ID, loadTime)
+		h.cfg.OnLoadExpected(c.ID, loadTime)
 	}
 }
 
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -114,9 +114,9 @@
 		state.SetEndpoints(list)
 		h := NewHosted(HostedConfig{
 			Self: "a", Lease: heldLease{}, Control: e, State: state,
-			Pools:   func() map[string][]string { return map[string][]string{"pool": {"m"}} },
-			Soon:    func(string, time.Duration) {},
-			Loading: func(string, time.Duration) {}, Holds: state.Holds,
+			Pools:          func() map[string][]string { return map[string][]string{"pool": {"m"}} },
+			OnLoadExpected: func(string, time.Duration) {},
+			Loading:        func(string, time.Duration) {}, Holds: state.Holds,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
