--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -57,11 +57,11 @@
 	// OnLoadExpected is called with an endpoint that is expected to start loading after
 	// about d. It must not block.
 	OnLoadExpected func(endpointID string, d time.Duration)
-	// Loading is called with an endpoint that is loading and the expected
+	// OnLoading is called with an endpoint that is loading and the expected
 	// remaining time. Holds is called with the version that an endpoint has
 	// loaded. Neither may block.
-	Loading func(endpointID string, d time.Duration)
-	Holds   func(endpointID, model string, version int64)
+	OnLoading func(endpointID string, d time.Duration)
+	Holds     func(endpointID, model string, version int64)
 }
 
 // Hosted brings the endpoints of hosted pools to the versions that operators
@@ -237,7 +237,7 @@
 		return
 	}
 	ordersTotal.Inc()
-	h.cfg.Loading(t.ID, h.averageLoadTime())
+	h.cfg.OnLoading(t.ID, h.averageLoadTime())
 	sentAt := time.Now()
 	verdict, err := h.cfg.Control.Load(ctx, t, LoadOrder{Weights: w, Mode: LoadAtOnce, Holder: h.cfg.Self, Fence: fence, Expect: &expect})
 	line := log.WithFields(log.Fields{"endpoint": t.ID, "model": w.Model, "version": w.Version, "fence": fence, "expect": expect, "verdict": int(verdict)})
@@ -340,7 +340,7 @@
 				break
 			}
 		}
-		h.cfg.Loading(t.ID, pollInterval)
+		h.cfg.OnLoading(t.ID, pollInterval)
 		_ = clock.Sleep(ctx, pollInterval)
 	}
 	h.setOrders(t, 0, false)
