--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -58,10 +58,10 @@
 	// about d. It must not block.
 	OnLoadExpected func(endpointID string, d time.Duration)
 	// OnLoading is called with an endpoint that is loading and the expected
-	// remaining time. Holds is called with the version that an endpoint has
+	// remaining time. OnLoaded is called with the version that an endpoint has
 	// loaded. Neither may block.
 	OnLoading func(endpointID string, d time.Duration)
-	Holds     func(endpointID, model string, version int64)
+	OnLoaded  func(endpointID, model string, version int64)
 }
 
 // Hosted brings the endpoints of hosted pools to the versions that operators
@@ -268,7 +268,7 @@
 	}
 	h.setOrders(t, r.Orders, true)
 	if v := r.Versions[w.Model]; v >= w.Version && !r.Loading {
-		h.cfg.Holds(t.ID, w.Model, v)
+		h.cfg.OnLoaded(t.ID, w.Model, v)
 		return 0, false
 	}
 	return r.Orders, !r.Loading
@@ -299,7 +299,7 @@
 		h.awaitLoad(ctx, t, w, sentAt)
 		return
 	case InPlace:
-		h.cfg.Holds(t.ID, w.Model, w.Version)
+		h.cfg.OnLoaded(t.ID, w.Model, w.Version)
 		h.endOrder(t, 0)
 		return
 	case Fenced:
@@ -330,7 +330,7 @@
 		}
 		if err == nil && r.Versions[w.Model] >= w.Version {
 			h.recordLoadTime(time.Since(sentAt))
-			h.cfg.Holds(t.ID, w.Model, r.Versions[w.Model])
+			h.cfg.OnLoaded(t.ID, w.Model, r.Versions[w.Model])
 			h.endOrder(t, 0)
 			return
 		}
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -116,7 +116,7 @@
 			Self: "a", Lease: heldLease{}, Control: e, State: state,
 			Pools:          func() map[string][]string { return map[string][]string{"pool": {"m"}} },
 			OnLoadExpected: func(string, time.Duration) {},
-			OnLoading:      func(string, time.Duration) {}, Holds: state.Holds,
+			OnLoading:      func(string, time.Duration) {}, OnLoaded: state.Holds,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
