--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		i.state.Want(time.Now(), w.Model, w.Version)
-		i.rollout.Want(w)
+		i.rollout.SetWanted(w)
 	}
 }
 
--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -65,7 +65,7 @@
 }
 
 // Hosted brings the endpoints of hosted pools to the versions that operators
-// request, while this instance holds the lease. Want and Wanted are safe for
+// request, while this instance holds the lease. SetWanted and Wanted are safe for
 // concurrent use.
 type Hosted struct {
 	cfg HostedConfig
@@ -97,9 +97,9 @@
 	return &Hosted{cfg: cfg, wanted: map[string]int64{}, targets: map[string]*target{}, loadTime: initialLoadTime, wake: make(chan struct{}, 1)}
 }
 
-// Want sets the version of a model that operators request. A version older than
+// SetWanted sets the version of a model that operators request. A version older than
 // the current one is ignored.
-func (h *Hosted) Want(w Weights) {
+func (h *Hosted) SetWanted(w Weights) {
 	h.mu.Lock()
 	newer := w.Version > h.wanted[w.Model]
 	if newer {
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -121,7 +121,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
 		done.Go(func() { h.Run(ctx) })
-		h.Want(Weights{Model: "m", Version: 2})
+		h.SetWanted(Weights{Model: "m", Version: 2})
 		time.Sleep(200 * time.Millisecond)
 		e.mu.Lock()
 		for id, n := range e.orders {
