--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -298,7 +298,7 @@
 		h.setOrders(t, expect+1, true)
 		h.awaitLoad(ctx, t, w, sentAt)
 		return
-	case InPlace:
+	case AlreadyLoaded:
 		h.cfg.OnLoaded(t.ID, w.Model, w.Version)
 		h.endOrder(t, 0)
 		return
--- a/rollout/weights.go
+++ b/rollout/weights.go
@@ -55,8 +55,8 @@
 	Unanswered Verdict = iota
 	// Accepted means that the endpoint is loading.
 	Accepted
-	// InPlace means that the endpoint has already loaded the version.
-	InPlace
+	// AlreadyLoaded means that the endpoint has already loaded the version.
+	AlreadyLoaded
 	// Busy means that another order is being executed, or that Expect does not match.
 	Busy
 	// Fenced means that the endpoint has seen a newer fencing number.
