--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -302,7 +302,7 @@
 		h.cfg.OnLoaded(t.ID, w.Model, w.Version)
 		h.endOrder(t, 0)
 		return
-	case Fenced:
+	case StaleFence:
 		staleOrders.Inc()
 		h.mu.Lock()
 		h.staleFence = fence
--- a/rollout/weights.go
+++ b/rollout/weights.go
@@ -59,8 +59,8 @@
 	AlreadyLoaded
 	// Busy means that another order is being executed, or that Expect does not match.
 	Busy
-	// Fenced means that the endpoint has seen a newer fencing number.
-	Fenced
+	// StaleFence means that the endpoint has seen a newer fencing number.
+	StaleFence
 	// Replaced means that another incarnation uses the address now.
 	Replaced
 	// Refused means that the order was refused for another reason.
