--- a/instance/pools.go
+++ b/instance/pools.go
@@ -125,7 +125,7 @@
 		Store: i.store, Name: name, Self: i.name(),
 		Length: time.Duration(i.settings.GetPlatform().GetLeaseMs()) * time.Millisecond,
 		Candidate: func() bool {
-			return record.Chosen(watchers(i.peers.node.View()), i.name(), "lease/"+name, leaseCandidates)
+			return record.IsChosen(watchers(i.peers.node.View()), i.name(), "lease/"+name, leaseCandidates)
 		},
 	})
 	describe := func() (status.Object, bool) { return i.describeFleet(h) }
--- a/record/duty.go
+++ b/record/duty.go
@@ -23,15 +23,15 @@
 // kind. Instances with the same list of live members choose the same watchers, and
 // each side of a network partition chooses its own.
 func WatchDuty(members []Member, self string, kind Kind) bool {
-	return Chosen(members, self, string(kind), WatchersPerKind)
+	return IsChosen(members, self, string(kind), WatchersPerKind)
 }
 
-// Chosen reports whether this instance is one of the n that rendezvous hashing
+// IsChosen reports whether this instance is one of the n that rendezvous hashing
 // assigns to a duty from among the live members. Members that cannot reach the
 // object API rank last: they are chosen only if there are not enough others, so
 // that during an outage the same few instances retry and not all of them. An
 // instance that is not in members counts as able to reach it.
-func Chosen(members []Member, self, duty string, n int) bool {
+func IsChosen(members []Member, self, duty string, n int) bool {
 	own := candidate{reachable: true, score: rendezvous.Score(duty, self), name: self}
 	for _, m := range members {
 		if m.Name == self {
