--- a/record/duty.go
+++ b/record/duty.go
@@ -14,7 +14,7 @@
 	StoreReachable bool
 }
 
-// WatchDuty reports whether an instance has to watch a kind of record.
+// IsWatcher reports whether an instance has to watch a kind of record.
 //
 // A pending watch counts as a call against the object API's rate limits, which grow
 // more slowly than the fleet. If every instance watched all five kinds, the watches
@@ -22,7 +22,7 @@
 // would be refused. So only a few instances, chosen by rendezvous hashing, watch each
 // kind. Instances with the same list of live members choose the same watchers, and
 // each side of a network partition chooses its own.
-func WatchDuty(members []Member, self string, kind Kind) bool {
+func IsWatcher(members []Member, self string, kind Kind) bool {
 	return IsChosen(members, self, string(kind), WatchersPerKind)
 }
 
--- a/record/provider.go
+++ b/record/provider.go
@@ -98,7 +98,7 @@
 func (p *Provider) SetMembers(members []Member) {
 	for _, f := range p.followers {
 		d := dutyIdle
-		if WatchDuty(members, p.cfg.Self, f.kind) {
+		if IsWatcher(members, p.cfg.Self, f.kind) {
 			d = dutyWatch
 		}
 		f.setDuty(d)
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -131,7 +131,7 @@
 	watchers := func() []int {
 		var found []int
 		for i, m := range list {
-			if m.StoreReachable && WatchDuty(list, m.Name, Pools) {
+			if m.StoreReachable && IsWatcher(list, m.Name, Pools) {
 				found = append(found, i)
 			}
 		}
@@ -152,7 +152,7 @@
 	}
 	trying := 0
 	for _, m := range list {
-		if WatchDuty(list, m.Name, Pools) {
+		if IsWatcher(list, m.Name, Pools) {
 			trying++
 		}
 	}
@@ -220,7 +220,7 @@
 	for _, m := range list {
 		own := 0
 		for _, kind := range Kinds {
-			if WatchDuty(list, m.Name, kind) {
+			if IsWatcher(list, m.Name, kind) {
 				own++
 			}
 		}
