--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// Heard adds a prefix that another instance has published. ttl is limited to Lifetime.
-func (k *Keeper) Heard(p Prefix, ttl time.Duration) {
+// AddRemote adds a prefix that another instance has published. ttl is limited to Lifetime.
+func (k *Keeper) AddRemote(p Prefix, ttl time.Duration) {
 	k.catalog.Add(p, k.cfg.Clock.Now().Add(min(ttl, Lifetime)))
 }
 
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -122,7 +122,7 @@
 	runFixture(t, func(f *fixture) {
 		c := chain(20, 1)
 		p := Prefix{c[19], 20}
-		f.keeper.Heard(p, time.Minute)
+		f.keeper.AddRemote(p, time.Minute)
 		if got, ok := f.keeper.Deepest(c); !ok || got != p {
 			t.Fatalf("deepest is %+v", got)
 		}
@@ -136,7 +136,7 @@
 func TestPrefixExpires(t *testing.T) {
 	runFixture(t, func(f *fixture) {
 		c := chain(20, 1)
-		f.keeper.Heard(Prefix{c[19], 20}, time.Minute)
+		f.keeper.AddRemote(Prefix{c[19], 20}, time.Minute)
 		time.Sleep(time.Minute)
 		if _, ok := f.keeper.Deepest(c); ok {
 			t.Fatal("the prefix is still in the catalog after its expiry")
--- a/place/kept.go
+++ b/place/kept.go
@@ -86,5 +86,5 @@
 	if f.cfg.Kept == nil || !ok || proto.Unmarshal(it.Value, s) != nil || s.GetBlocks() <= 0 {
 		return
 	}
-	f.cfg.Kept.Heard(kept.Prefix{Last: last, Blocks: int(s.GetBlocks())}, it.TTL)
+	f.cfg.Kept.AddRemote(kept.Prefix{Last: last, Blocks: int(s.GetBlocks())}, it.TTL)
 }
