--- a/kept/engine_test.go
+++ b/kept/engine_test.go
@@ -93,7 +93,7 @@
 	own, other := prefix.Salt("accra", "m", "1"), prefix.Salt("kumasi", "m", "1")
 	chain := prefix.Blocks(nil, own, []byte(prompt), blockTokens)
 	p.cachedTokens(t, 0, own, prompt)
-	p.keeper.Used(kept.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
+	p.keeper.AddUse(kept.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
 	x := <-p.published
 
 	p.keeper.Import(context.Background(), "engine-2", other, x)
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -76,8 +76,8 @@
 	return &Keeper{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesRing)}
 }
 
-// Used queues a use for export, unless its longest level is shorter than minBlocks.
-func (k *Keeper) Used(u Use) {
+// AddUse queues a use for export, unless its longest level is shorter than minBlocks.
+func (k *Keeper) AddUse(u Use) {
 	if n := len(u.Levels); n > 0 && u.Levels[n-1] >= minBlocks {
 		k.uses.Push(u)
 	}
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -70,7 +70,7 @@
 }
 
 func (f *fixture) use(chain []prefix.Hash, levels ...int) {
-	f.keeper.Used(Use{Address: "engine", Chain: chain, Levels: levels})
+	f.keeper.AddUse(Use{Address: "engine", Chain: chain, Levels: levels})
 	synctest.Wait()
 }
 
--- a/place/kept.go
+++ b/place/kept.go
@@ -51,7 +51,7 @@
 	if len(t.levels) == 0 || !f.keeps(t.pool) {
 		return
 	}
-	f.cfg.Kept.Used(kept.Use{Address: g.Address, Salt: t.salt(), Chain: t.request.Blocks, Levels: t.levels})
+	f.cfg.Kept.AddUse(kept.Use{Address: g.Address, Salt: t.salt(), Chain: t.request.Blocks, Levels: t.levels})
 }
 
 // learnLevels takes over the levels that the owner knows, which has seen more of
