--- a/kept/catalog.go
+++ b/kept/catalog.go
@@ -68,8 +68,8 @@
 	return found
 }
 
-// Forget removes a prefix that is not in the KV store.
-func (c *Catalog) Forget(last prefix.Hash) {
+// Remove removes a prefix that is not in the KV store.
+func (c *Catalog) Remove(last prefix.Hash) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.entries, last)
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -108,7 +108,7 @@
 	}
 	importFailures.Inc()
 	if fault.Is(err, fault.NotFound) {
-		k.catalog.Forget(p.Last)
+		k.catalog.Remove(p.Last)
 	}
 }
 
