--- a/kept/catalog.go
+++ b/kept/catalog.go
@@ -75,9 +75,9 @@
 	delete(c.entries, last)
 }
 
-// Deepest returns the longest unexpired prefix of a prompt. chain is the hashes of
+// LongestPrefix returns the longest unexpired prefix of a prompt. chain is the hashes of
 // the prompt's blocks.
-func (c *Catalog) Deepest(now time.Time, chain []prefix.Hash) (Prefix, bool) {
+func (c *Catalog) LongestPrefix(now time.Time, chain []prefix.Hash) (Prefix, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.entries) == 0 {
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -91,7 +91,7 @@
 // Deepest returns the longest prefix of a prompt that is in the KV store. chain is
 // the hashes of the prompt's blocks.
 func (k *Keeper) Deepest(chain []prefix.Hash) (Prefix, bool) {
-	return k.catalog.Deepest(k.cfg.Clock.Now(), chain)
+	return k.catalog.LongestPrefix(k.cfg.Clock.Now(), chain)
 }
 
 // Import makes an engine import a prefix from the KV store. A failure costs only time,
@@ -130,7 +130,7 @@
 func (k *Keeper) exportLevels(ctx context.Context, s *Selector, u Use) {
 	for {
 		now := k.cfg.Clock.Now()
-		known, _ := k.catalog.Deepest(now, u.Chain)
+		known, _ := k.catalog.LongestPrefix(now, u.Chain)
 		blocks := s.Next(now, known.Blocks, u.Levels)
 		if blocks == 0 || !k.export(ctx, u, blocks) {
 			return
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -199,7 +199,7 @@
 	prompt := chain(200, 7)
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Deepest(now, prompt)
+		c.LongestPrefix(now, prompt)
 	}
 }
 
