--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -88,9 +88,9 @@
 	k.catalog.Add(p, k.cfg.Clock.Now().Add(min(ttl, Lifetime)))
 }
 
-// Deepest returns the longest prefix of a prompt that is in the KV store. chain is
+// LongestPrefix returns the longest prefix of a prompt that is in the KV store. chain is
 // the hashes of the prompt's blocks.
-func (k *Keeper) Deepest(chain []prefix.Hash) (Prefix, bool) {
+func (k *Keeper) LongestPrefix(chain []prefix.Hash) (Prefix, bool) {
 	return k.catalog.LongestPrefix(k.cfg.Clock.Now(), chain)
 }
 
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -90,7 +90,7 @@
 		if want := []int{10, 80}; !slices.Equal(f.store.exported, want) {
 			t.Fatalf("exported %v, want %v", f.store.exported, want)
 		}
-		if p, ok := f.keeper.Deepest(c); !ok || p.Blocks != 80 {
+		if p, ok := f.keeper.LongestPrefix(c); !ok || p.Blocks != 80 {
 			t.Fatalf("deepest is %+v", p)
 		}
 		if len(f.published) != 2 || f.published[1] != (Prefix{c[79], 80}) {
@@ -107,7 +107,7 @@
 		f.store.cached = 40
 		c := chain(100, 1)
 		f.use(c, 80)
-		if p, ok := f.keeper.Deepest(c); ok {
+		if p, ok := f.keeper.LongestPrefix(c); ok {
 			t.Fatalf("the catalog holds %+v", p)
 		}
 		if len(f.published) != 0 {
@@ -123,11 +123,11 @@
 		c := chain(20, 1)
 		p := Prefix{c[19], 20}
 		f.keeper.AddRemote(p, time.Minute)
-		if got, ok := f.keeper.Deepest(c); !ok || got != p {
+		if got, ok := f.keeper.LongestPrefix(c); !ok || got != p {
 			t.Fatalf("deepest is %+v", got)
 		}
 		f.keeper.Import(context.Background(), "engine", prefix.Hash{}, p)
-		if _, ok := f.keeper.Deepest(c); ok {
+		if _, ok := f.keeper.LongestPrefix(c); ok {
 			t.Fatal("a prefix that the KV store does not have is still in the catalog")
 		}
 	})
@@ -138,7 +138,7 @@
 		c := chain(20, 1)
 		f.keeper.AddRemote(Prefix{c[19], 20}, time.Minute)
 		time.Sleep(time.Minute)
-		if _, ok := f.keeper.Deepest(c); ok {
+		if _, ok := f.keeper.LongestPrefix(c); ok {
 			t.Fatal("the prefix is still in the catalog after its expiry")
 		}
 	})
--- a/place/kept.go
+++ b/place/kept.go
@@ -20,7 +20,7 @@
 // findKept notes the longest prefix of the prompt that could be imported.
 func (f *Fleet) findKept(t *ticket) {
 	if f.keeps(t.pool) {
-		t.kept, _ = f.cfg.Kept.Deepest(t.request.Blocks)
+		t.kept, _ = f.cfg.Kept.LongestPrefix(t.request.Blocks)
 	}
 }
 
