--- a/instance/records.go
+++ b/instance/records.go
@@ -23,7 +23,7 @@
 		Fleet:    objectapi.Rates{Reads: float64(p.GetReadsPerSecond()), Writes: float64(p.GetWritesPerSecond())},
 	})
 	i.tellNow = make(chan struct{}, 1)
-	i.keeper = record.NewKeeper(clock.System{})
+	i.keeper = record.NewRegistry(clock.System{})
 	i.provider = record.NewProvider(record.ProviderConfig{
 		Store:  i.store,
 		Keeper: i.keeper,
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -80,7 +80,7 @@
 
 // keeperOf holds records of organisations as they are in the object API.
 func keeperOf(n int) *record.Keeper {
-	k := record.NewKeeper(clock.System{})
+	k := record.NewRegistry(clock.System{})
 	var items []record.Item
 	for i := range n {
 		name := fmt.Sprintf("customer-%04d", i)
--- a/record/keeper.go
+++ b/record/keeper.go
@@ -68,8 +68,8 @@
 	refused string
 }
 
-// NewKeeper returns a Keeper without records.
-func NewKeeper(c clock.Clock) *Keeper {
+// NewRegistry returns a Keeper without records.
+func NewRegistry(c clock.Clock) *Keeper {
 	return &Keeper{
 		clock:    c,
 		changes:  ring.New[Item]("record_changes", changesRing),
--- a/record/keeper_test.go
+++ b/record/keeper_test.go
@@ -34,7 +34,7 @@
 }
 
 func newCompleteKeeper() *Keeper {
-	k := NewKeeper(clock.System{})
+	k := NewRegistry(clock.System{})
 	k.SetComplete()
 	return k
 }
@@ -109,7 +109,7 @@
 // With only some kinds listed, requests would be refused for an unknown key. Nothing
 // may be in force until every kind was listed.
 func TestNothingIsInForceBeforeAllKindsAreListed(t *testing.T) {
-	k := NewKeeper(clock.System{})
+	k := NewRegistry(clock.System{})
 	for _, kind := range Kinds {
 		if k.Snapshot() != nil {
 			t.Fatalf("a snapshot before %s was listed", kind)
