--- a/record/condition.go
+++ b/record/condition.go
@@ -59,14 +59,14 @@
 	return k.warnings
 }
 
-// KeeperDump is the Keeper's part of the state dump.
-type KeeperDump struct {
+// RegistryDump is the Keeper's part of the state dump.
+type RegistryDump struct {
 	Complete bool        `json:"complete"`
 	Version  uint64      `json:"version"`
 	Records  []Condition `json:"records"`
 }
 
 // Dump returns the keeper's state.
-func (k *Keeper) Dump() KeeperDump {
-	return KeeperDump{Complete: k.Complete(), Version: k.Version(), Records: k.Conditions()}
+func (k *Keeper) Dump() RegistryDump {
+	return RegistryDump{Complete: k.Complete(), Version: k.Version(), Records: k.Conditions()}
 }
