--- a/instance/records.go
+++ b/instance/records.go
@@ -26,7 +26,7 @@
 	i.keeper = record.NewRegistry(clock.System{})
 	i.provider = record.NewProvider(record.ProviderConfig{
 		Store:  i.store,
-		Keeper: i.keeper,
+		Registry: i.keeper,
 		Self:   i.name(),
 		Spread: i.spreadLists,
 		ReachableChanged: func() {
--- a/record/follower.go
+++ b/record/follower.go
@@ -147,9 +147,9 @@
 	for _, obj := range listing.Objects {
 		items = append(items, f.item(obj))
 	}
-	f.cfg.Keeper.OfferListing(f.kind, uint64(listing.Version), items)
-	for _, name := range f.cfg.Keeper.withoutAccepted(f.kind) {
-		f.noteResult(restoreAccepted(ctx, f.cfg.Store, f.cfg.Keeper, f.kind, name))
+	f.cfg.Registry.OfferListing(f.kind, uint64(listing.Version), items)
+	for _, name := range f.cfg.Registry.withoutAccepted(f.kind) {
+		f.noteResult(restoreAccepted(ctx, f.cfg.Store, f.cfg.Registry, f.kind, name))
 	}
 	f.advance(max(listing.Version, 1))
 	f.mu.Lock()
@@ -202,7 +202,7 @@
 		if err != nil {
 			return err
 		}
-		f.cfg.Keeper.Offer(f.item(obj))
+		f.cfg.Registry.Offer(f.item(obj))
 		f.advance(obj.Version)
 	}
 }
--- a/record/provider.go
+++ b/record/provider.go
@@ -37,8 +37,8 @@
 
 // ProviderConfig configures a Provider.
 type ProviderConfig struct {
-	Store  objectapi.Store
-	Keeper *Keeper
+	Store    objectapi.Store
+	Registry *Keeper
 	// Self is this instance's name among the members.
 	Self string
 	// Spread returns the interval over which the instances spread their first
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -19,7 +19,7 @@
 
 func startProvider(s *objecttest.Store, self string, spread time.Duration) (*Keeper, *Provider) {
 	k := NewRegistry(clock.System{})
-	p := NewProvider(ProviderConfig{Store: s, Keeper: k, Self: self, Spread: func(context.Context) time.Duration { return spread }})
+	p := NewProvider(ProviderConfig{Store: s, Registry: k, Self: self, Spread: func(context.Context) time.Duration { return spread }})
 	p.Start()
 	return k, p
 }
@@ -171,7 +171,7 @@
 		reported := make(chan bool, 64)
 		var p *Provider
 		p = NewProvider(ProviderConfig{
-			Store: s, Keeper: NewRegistry(clock.System{}), Self: "entry-0",
+			Store: s, Registry: NewRegistry(clock.System{}), Self: "entry-0",
 			ReachableChanged: func() { reported <- p.StoreReachable() },
 		})
 		p.Start()
