--- a/instance/instance.go
+++ b/instance/instance.go
@@ -23,7 +23,7 @@
 type Instance struct {
 	settings *settingspb.Settings
 	store    *objectapi.Client
-	keeper   *record.Keeper
+	keeper   *record.Registry
 	provider *record.Provider
 	// tellNow wakes the duty that tells peers what is in force here.
 	tellNow chan struct{}
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -79,7 +79,7 @@
 }
 
 // keeperOf holds records of organisations as they are in the object API.
-func keeperOf(n int) *record.Keeper {
+func keeperOf(n int) *record.Registry {
 	k := record.NewRegistry(clock.System{})
 	var items []record.Item
 	for i := range n {
--- a/record/condition.go
+++ b/record/condition.go
@@ -20,7 +20,7 @@
 
 // Conditions returns the condition of each existing record, sorted by kind and
 // name.
-func (k *Keeper) Conditions() []Condition {
+func (k *Registry) Conditions() []Condition {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	found := k.findWarnings()
@@ -42,7 +42,7 @@
 
 // findWarnings returns the warnings about the snapshot in force. They are cached for
 // each snapshot, because lease holders call Conditions every few seconds.
-func (k *Keeper) findWarnings() map[entryKey][]string {
+func (k *Registry) findWarnings() map[entryKey][]string {
 	if k.warnedSnapshot == k.snapshot {
 		return k.warnings
 	}
@@ -59,14 +59,14 @@
 	return k.warnings
 }
 
-// RegistryDump is the Keeper's part of the state dump.
+// RegistryDump is the Registry's part of the state dump.
 type RegistryDump struct {
 	Complete bool        `json:"complete"`
 	Version  uint64      `json:"version"`
 	Records  []Condition `json:"records"`
 }
 
-// Dump returns the keeper's state.
-func (k *Keeper) Dump() RegistryDump {
+// Dump returns the registry's state.
+func (k *Registry) Dump() RegistryDump {
 	return RegistryDump{Complete: k.Complete(), Version: k.Version(), Records: k.Conditions()}
 }
--- a/record/follower.go
+++ b/record/follower.go
@@ -134,7 +134,7 @@
 	}
 }
 
-// list lists all records of the kind, offers them to the Keeper and reports whether
+// list lists all records of the kind, offers them to the Registry and reports whether
 // that succeeded.
 func (f *follower) list(ctx context.Context) bool {
 	listsTotal.Inc()
@@ -162,7 +162,7 @@
 	return Item{Kind: f.kind, Name: obj.Name, Version: uint64(obj.Version), Value: obj.Value, Deleted: obj.Deleted}
 }
 
-// watch offers changes to the Keeper until the watch ends, the next list is due or
+// watch offers changes to the Registry until the watch ends, the next list is due or
 // the duty moves to another instance. It resumes from the last position, so no change
 // is missed in between.
 func (f *follower) watch(ctx context.Context, until time.Time) {
@@ -194,7 +194,7 @@
 	f.backOff(ctx)
 }
 
-// receiveChanges offers each change to the Keeper and returns the error that ended the
+// receiveChanges offers each change to the Registry and returns the error that ended the
 // watch.
 func (f *follower) receiveChanges(w objectapi.Watch) error {
 	for {
--- a/record/item.go
+++ b/record/item.go
@@ -16,7 +16,7 @@
 	// Version is the object API's version of this change.
 	Version uint64
 	// Value is the stored value, empty if Deleted is set. It must not be modified
-	// after the item was offered to a Keeper.
+	// after the item was offered to a Registry.
 	Value []byte
 	// Deleted reports that the record did not exist at Version.
 	Deleted bool
@@ -24,7 +24,7 @@
 	slot slot
 }
 
-// slot distinguishes the items that a Keeper stores for one record: besides the
+// slot distinguishes the items that a Registry stores for one record: besides the
 // newest there may be an older one that is still in force, and a deletion between the
 // two.
 type slot string
@@ -35,7 +35,7 @@
 	slotDeleted  slot = "@deleted"
 )
 
-// Key is unique among the items of a Keeper and the same at all instances. Of two
+// Key is unique among the items of a Registry and the same at all instances. Of two
 // items with the same key, the one with the higher version is kept.
 func (it Item) Key() string { return string(it.Kind) + "/" + it.Name + string(it.slot) }
 
--- a/record/keeper.go
+++ b/record/keeper.go
@@ -29,11 +29,11 @@
 	staleTotal   = metrics.GetOrCreateCounter("sardinedock_record_stale_total")
 )
 
-// Keeper merges the records received from watches, lists and peers. The highest
+// Registry merges the records received from watches, lists and peers. The highest
 // version of a record wins, whatever its source and order of arrival, so that a stale
 // read, a peer that was partitioned or a restart cannot restore an older version. All
 // methods are safe for concurrent use; none blocks on I/O.
-type Keeper struct {
+type Registry struct {
 	clock   clock.Clock
 	changes *ring.Ring[Item]
 
@@ -68,9 +68,9 @@
 	refused string
 }
 
-// NewRegistry returns a Keeper without records.
-func NewRegistry(c clock.Clock) *Keeper {
-	return &Keeper{
+// NewRegistry returns a Registry without records.
+func NewRegistry(c clock.Clock) *Registry {
+	return &Registry{
 		clock:    c,
 		changes:  ring.New[Item]("record_changes", changesRing),
 		entries:  map[entryKey]*entry{},
@@ -79,7 +79,7 @@
 }
 
 // Offer merges items and returns how many of them changed anything.
-func (k *Keeper) Offer(items ...Item) int {
+func (k *Registry) Offer(items ...Item) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	taken := 0
@@ -97,7 +97,7 @@
 // OfferListing merges all records of a kind as the object API listed them at one
 // version. A known record of a lower version that is not in the list was deleted. A
 // list older than the known state changes nothing. It returns the number of changes.
-func (k *Keeper) OfferListing(kind Kind, version uint64, items []Item) int {
+func (k *Registry) OfferListing(kind Kind, version uint64, items []Item) int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	taken := 0
@@ -122,7 +122,7 @@
 }
 
 // missing returns tombstones for the known records that are not in a list.
-func (k *Keeper) missing(kind Kind, version uint64, listed map[string]bool) []Item {
+func (k *Registry) missing(kind Kind, version uint64, listed map[string]bool) []Item {
 	var deleted []Item
 	for key, e := range k.entries {
 		if key.kind == kind && !listed[key.name] && e.hasValueUpTo(version) {
@@ -141,7 +141,7 @@
 }
 
 // take merges one item and reports whether it changed anything.
-func (k *Keeper) take(it Item) bool {
+func (k *Registry) take(it Item) bool {
 	if it.Version == 0 {
 		return false
 	}
@@ -163,7 +163,7 @@
 	return k.merge(e, it)
 }
 
-func (k *Keeper) merge(e *entry, it Item) bool {
+func (k *Registry) merge(e *entry, it Item) bool {
 	before := e.inForce()
 	changed := e.merge(it)
 	if !changed {
@@ -220,7 +220,7 @@
 }
 
 // dropTombstone removes the oldest tombstone if there are more than maxTombstones.
-func (k *Keeper) dropTombstone() {
+func (k *Registry) dropTombstone() {
 	if len(k.entries) <= maxTombstones {
 		return
 	}
@@ -242,7 +242,7 @@
 
 // SetComplete declares that all records have been received from a peer that has all
 // of them, so that they are put in force before the object API has confirmed them.
-func (k *Keeper) SetComplete() {
+func (k *Registry) SetComplete() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.isComplete() {
@@ -254,16 +254,16 @@
 
 // Complete reports whether all records are known. Until then nothing is in force: with
 // some records missing, requests would be refused for an unknown key or model.
-func (k *Keeper) Complete() bool {
+func (k *Registry) Complete() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.isComplete()
 }
 
-func (k *Keeper) isComplete() bool { return k.complete || len(k.listedAt) >= len(Kinds) }
+func (k *Registry) isComplete() bool { return k.complete || len(k.listedAt) >= len(Kinds) }
 
 // publish builds a snapshot and calls the subscribers with it.
-func (k *Keeper) publish() {
+func (k *Registry) publish() {
 	if !k.isComplete() {
 		return
 	}
@@ -280,8 +280,8 @@
 }
 
 // Subscribe calls fn with the snapshot in force, if there is one, and with each
-// later one, in order. fn must not block or call the Keeper.
-func (k *Keeper) Subscribe(fn func(*Snapshot)) {
+// later one, in order. fn must not block or call the Registry.
+func (k *Registry) Subscribe(fn func(*Snapshot)) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.subscribers = append(k.subscribers, fn)
@@ -291,7 +291,7 @@
 }
 
 // Snapshot returns the records in force, or nil until they are complete.
-func (k *Keeper) Snapshot() *Snapshot {
+func (k *Registry) Snapshot() *Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.snapshot
@@ -300,7 +300,7 @@
 // Version returns the highest store version of a record or deletion received. The
 // version of a list does not count: it increases with every change in the object API,
 // also of other objects, and instances list at different times.
-func (k *Keeper) Version() uint64 {
+func (k *Registry) Version() uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.version
@@ -308,12 +308,12 @@
 
 // Changes returns the ring buffer of newly merged items, for the one goroutine that
 // sends them to peers. When it is full, the oldest items are dropped.
-func (k *Keeper) Changes() *ring.Ring[Item] { return k.changes }
+func (k *Registry) Changes() *ring.Ring[Item] { return k.changes }
 
 // Items returns all items that a peer needs to reach the same state, sorted by key:
 // the newest item of each record and, if that was refused, also the one in force and
 // the deletion between them.
-func (k *Keeper) Items() []Item {
+func (k *Registry) Items() []Item {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	items := make([]Item, 0, len(k.entries))
@@ -339,7 +339,7 @@
 	return items
 }
 
-func (k *Keeper) sortedKeys() []entryKey {
+func (k *Registry) sortedKeys() []entryKey {
 	keys := make([]entryKey, 0, len(k.entries))
 	for key := range k.entries {
 		keys = append(keys, key)
--- a/record/keeper_test.go
+++ b/record/keeper_test.go
@@ -33,13 +33,13 @@
 	return Item{Kind: Classes, Name: name, Version: version, Value: []byte(value)}
 }
 
-func newCompleteKeeper() *Keeper {
+func newCompleteKeeper() *Registry {
 	k := NewRegistry(clock.System{})
 	k.SetComplete()
 	return k
 }
 
-func inForce(k *Keeper, name string) int64 {
+func inForce(k *Registry, name string) int64 {
 	c, ok := k.Snapshot().Class(name)
 	if !ok {
 		return 0
@@ -227,7 +227,7 @@
 func TestRecordsNeverGoBackAndEndEqual(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
-		fleet := []*Keeper{newCompleteKeeper(), newCompleteKeeper(), newCompleteKeeper()}
+		fleet := []*Registry{newCompleteKeeper(), newCompleteKeeper(), newCompleteKeeper()}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(fleet)-1).Draw(t, "instance")
 			step(t, h, fleet, i)
@@ -268,9 +268,9 @@
 }
 
 // step delivers a change, list or exchange to one instance, or restarts it, and checks
-// that no version decreases: the Keeper asserts it for each record, and step checks it
+// that no version decreases: the Registry asserts it for each record, and step checks it
 // for the snapshot's version and for the versions in force.
-func step(t *rapid.T, h history, fleet []*Keeper, i int) {
+func step(t *rapid.T, h history, fleet []*Registry, i int) {
 	before := fleet[i].Snapshot()
 	versionsBefore := map[string]int64{}
 	for _, name := range historyNames {
--- a/record/preserve.go
+++ b/record/preserve.go
@@ -51,7 +51,7 @@
 // record whose newest version is refused, and removes outdated ones.
 type Preserver struct {
 	store  objectapi.Store
-	keeper *Keeper
+	keeper *Registry
 	lease  Lease
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -69,7 +69,7 @@
 }
 
 // NewPreserver returns a Preserver that is idle until Start.
-func NewPreserver(store objectapi.Store, keeper *Keeper, lease Lease) *Preserver {
+func NewPreserver(store objectapi.Store, keeper *Registry, lease Lease) *Preserver {
 	return &Preserver{store: store, keeper: keeper, lease: lease}
 }
 
@@ -166,9 +166,9 @@
 }
 
 // restoreAccepted reads the stored accepted version of a record of which only a
-// refused version is known, and offers it to the Keeper. The caller has already offered
+// refused version is known, and offers it to the Registry. The caller has already offered
 // the list that contains the record, so a version deleted in between is not restored.
-func restoreAccepted(ctx context.Context, store objectapi.Store, keeper *Keeper, kind Kind, name string) error {
+func restoreAccepted(ctx context.Context, store objectapi.Store, keeper *Registry, kind Kind, name string) error {
 	obj, err := store.Get(ctx, PreservedKind, preservedName(kind, name))
 	if fault.Is(err, fault.NotFound) {
 		return nil
@@ -186,7 +186,7 @@
 
 // acceptedItems returns the accepted items of the records whose newest version is
 // refused.
-func (k *Keeper) acceptedItems() []Item {
+func (k *Registry) acceptedItems() []Item {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var items []Item
@@ -200,7 +200,7 @@
 
 // isOutdated reports whether a newer version or deletion of the record than the given
 // version is in force.
-func (k *Keeper) isOutdated(key entryKey, version uint64) bool {
+func (k *Registry) isOutdated(key entryKey, version uint64) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	e := k.entries[key]
@@ -214,7 +214,7 @@
 
 // withoutAccepted names the records of a kind of which only a refused version is
 // known.
-func (k *Keeper) withoutAccepted(kind Kind) []string {
+func (k *Registry) withoutAccepted(kind Kind) []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var names []string
--- a/record/provider.go
+++ b/record/provider.go
@@ -38,7 +38,7 @@
 // ProviderConfig configures a Provider.
 type ProviderConfig struct {
 	Store    objectapi.Store
-	Registry *Keeper
+	Registry *Registry
 	// Self is this instance's name among the members.
 	Self string
 	// Spread returns the interval over which the instances spread their first
@@ -51,7 +51,7 @@
 }
 
 // Provider reads the operators' records from the object API, by lists and watches, and
-// offers them to the Keeper. Each kind has its own goroutine.
+// offers them to the Registry. Each kind has its own goroutine.
 type Provider struct {
 	cfg       ProviderConfig
 	followers []*follower
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -17,7 +17,7 @@
 	s.Set(string(Classes), "quote", it.Value)
 }
 
-func startProvider(s *objecttest.Store, self string, spread time.Duration) (*Keeper, *Provider) {
+func startProvider(s *objecttest.Store, self string, spread time.Duration) (*Registry, *Provider) {
 	k := NewRegistry(clock.System{})
 	p := NewProvider(ProviderConfig{Store: s, Registry: k, Self: self, Spread: func(context.Context) time.Duration { return spread }})
 	p.Start()
