--- a/instance/kept.go
+++ b/instance/kept.go
@@ -10,7 +10,7 @@
 
 // newKept returns the duty that has shared prefixes kept in the KV store.
 func (i *Instance) newKept() *kept.Keeper {
-	return kept.NewKeeper(kept.Config{
+	return kept.NewCoordinator(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return i.clients.Engine(address) },
 		Publish: func(_ context.Context, p kept.Prefix, ttl time.Duration) { i.peers.placer.PublishKept(p, ttl) },
--- a/kept/engine_test.go
+++ b/kept/engine_test.go
@@ -38,7 +38,7 @@
 		p.clients[i] = endpoint.NewClient(e.Addr(), time.Second, 5*time.Second)
 	}
 	byAddress := map[string]kept.Engine{"engine-1": p.clients[0], "engine-2": p.clients[1]}
-	p.keeper = kept.NewKeeper(kept.Config{
+	p.keeper = kept.NewCoordinator(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return byAddress[address] },
 		Publish: func(_ context.Context, x kept.Prefix, _ time.Duration) { p.published <- x },
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -71,8 +71,8 @@
 	Levels []int
 }
 
-// NewKeeper returns a Keeper that exports nothing until Run.
-func NewKeeper(cfg Config) *Keeper {
+// NewCoordinator returns a Keeper that exports nothing until Run.
+func NewCoordinator(cfg Config) *Keeper {
 	return &Keeper{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesRing)}
 }
 
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -57,7 +57,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{store: &store{cached: 1000, stored: map[string]int{}}}
-		f.keeper = NewKeeper(Config{
+		f.keeper = NewCoordinator(Config{
 			Clock:   clock.System{},
 			Dial:    func(string) Engine { return f.store },
 			Publish: func(_ context.Context, p Prefix, _ time.Duration) { f.published = append(f.published, p) },
