--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -46,7 +46,7 @@
 	placer    *place.Fleet
 	duty      *place.Duty
 	handOvers *place.HandOvers
-	kept      *kept.Keeper
+	kept      *kept.Coordinator
 	client    *transport.Client
 	traffic   *transport.Traffic
 	listener  net.Listener
--- a/instance/kept.go
+++ b/instance/kept.go
@@ -9,7 +9,7 @@
 )
 
 // newKept returns the duty that has shared prefixes kept in the KV store.
-func (i *Instance) newKept() *kept.Keeper {
+func (i *Instance) newKept() *kept.Coordinator {
 	return kept.NewCoordinator(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return i.clients.Engine(address) },
--- a/kept/engine_test.go
+++ b/kept/engine_test.go
@@ -16,10 +16,10 @@
 
 const blockTokens = 64
 
-// pair is two engines that share a KV store, and a Keeper.
+// pair is two engines that share a KV store, and a Coordinator.
 type pair struct {
 	clients   [2]*endpoint.Client
-	keeper    *kept.Keeper
+	keeper    *kept.Coordinator
 	published chan kept.Prefix
 }
 
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -34,14 +34,14 @@
 	importedBlocks = metrics.GetOrCreateCounter("sardinedock_kept_imported_blocks_total")
 )
 
-// Engine is the part of an engine's interface that a Keeper uses. Both methods return
+// Engine is the part of an engine's interface that a Coordinator uses. Both methods return
 // the number of blocks transferred.
 type Engine interface {
 	Export(ctx context.Context, h endpoint.KVHandle) (int, error)
 	Import(ctx context.Context, h endpoint.KVHandle) (int, error)
 }
 
-// Config configures a Keeper.
+// Config configures a Coordinator.
 type Config struct {
 	Clock clock.Clock
 	// Dial returns a client of the engine at an address.
@@ -51,9 +51,9 @@
 	Publish func(ctx context.Context, p Prefix, ttl time.Duration)
 }
 
-// Keeper makes engines export and import prefixes. Its methods are safe for concurrent
+// Coordinator makes engines export and import prefixes. Its methods are safe for concurrent
 // use; only Run and Import block.
-type Keeper struct {
+type Coordinator struct {
 	cfg     Config
 	catalog *Catalog
 	uses    *ring.Ring[Use]
@@ -71,33 +71,33 @@
 	Levels []int
 }
 
-// NewCoordinator returns a Keeper that exports nothing until Run.
-func NewCoordinator(cfg Config) *Keeper {
-	return &Keeper{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesRing)}
+// NewCoordinator returns a Coordinator that exports nothing until Run.
+func NewCoordinator(cfg Config) *Coordinator {
+	return &Coordinator{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesRing)}
 }
 
 // AddUse queues a use for export, unless its longest level is shorter than minBlocks.
-func (k *Keeper) AddUse(u Use) {
+func (k *Coordinator) AddUse(u Use) {
 	if n := len(u.Levels); n > 0 && u.Levels[n-1] >= minBlocks {
 		k.uses.Push(u)
 	}
 }
 
 // AddRemote adds a prefix that another instance has published. ttl is limited to Lifetime.
-func (k *Keeper) AddRemote(p Prefix, ttl time.Duration) {
+func (k *Coordinator) AddRemote(p Prefix, ttl time.Duration) {
 	k.catalog.Add(p, k.cfg.Clock.Now().Add(min(ttl, Lifetime)))
 }
 
 // LongestPrefix returns the longest prefix of a prompt that is in the KV store. chain is
 // the hashes of the prompt's blocks.
-func (k *Keeper) LongestPrefix(chain []prefix.Hash) (Prefix, bool) {
+func (k *Coordinator) LongestPrefix(chain []prefix.Hash) (Prefix, bool) {
 	return k.catalog.LongestPrefix(k.cfg.Clock.Now(), chain)
 }
 
 // Import makes an engine import a prefix from the KV store. A failure costs only time,
 // since the engine computes what it does not have. A prefix that the KV store no longer
 // has is removed from the catalog.
-func (k *Keeper) Import(ctx context.Context, address string, salt prefix.Hash, p Prefix) {
+func (k *Coordinator) Import(ctx context.Context, address string, salt prefix.Hash, p Prefix) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	importsTotal.Inc()
@@ -113,7 +113,7 @@
 }
 
 // Run exports prefixes of the queued uses until ctx is done.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Coordinator) Run(ctx context.Context) {
 	selector := NewSelector()
 	for {
 		select {
@@ -127,7 +127,7 @@
 
 // exportLevels exports the levels of a prompt that are not in the KV store yet, as far
 // as the Selector allows, shortest first. It stops at the first failure.
-func (k *Keeper) exportLevels(ctx context.Context, s *Selector, u Use) {
+func (k *Coordinator) exportLevels(ctx context.Context, s *Selector, u Use) {
 	for {
 		now := k.cfg.Clock.Now()
 		known, _ := k.catalog.LongestPrefix(now, u.Chain)
@@ -140,7 +140,7 @@
 
 // export exports the first blocks of a prompt and reports whether all of them are
 // stored.
-func (k *Keeper) export(ctx context.Context, u Use, blocks int) bool {
+func (k *Coordinator) export(ctx context.Context, u Use, blocks int) bool {
 	chain := u.Chain[:blocks]
 	p := Prefix{chain[blocks-1], blocks}
 	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
@@ -169,7 +169,7 @@
 	return h
 }
 
-// Dump is the Keeper's part of the state dump.
+// Dump is the Coordinator's part of the state dump.
 type Dump struct {
 	Known         int    `json:"known"`
 	Exports       uint64 `json:"exports"`
@@ -179,6 +179,6 @@
 }
 
 // Dump returns the current state.
-func (k *Keeper) Dump() Dump {
+func (k *Coordinator) Dump() Dump {
 	return Dump{k.catalog.Len(), exportsTotal.Get(), exportFailures.Get(), importsTotal.Get(), importFailures.Get()}
 }
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -46,9 +46,9 @@
 	return 0, fault.New(fault.NotFound, "none", "no such handle")
 }
 
-// fixture is a Keeper with one engine, which runs in a synctest bubble.
+// fixture is a Coordinator with one engine, which runs in a synctest bubble.
 type fixture struct {
-	keeper    *Keeper
+	keeper    *Coordinator
 	store     *store
 	published []Prefix
 }
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -72,7 +72,7 @@
 	// AskLeaving asks the endpoint at an address whether it leaves; nil asks none.
 	AskLeaving func(ctx context.Context, address string) (leaving bool, err error)
 	// Kept has prefixes exported and imported.
-	Kept *kept.Keeper
+	Kept *kept.Coordinator
 	// Publish shares a state with all instances, one version above the one
 	// held. It is called by one goroutine and may block.
 	Publish func(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error
