--- a/kept/engine_test.go
+++ b/kept/engine_test.go
@@ -18,9 +18,9 @@
 
 // pair is two engines that share a KV store, and a Coordinator.
 type pair struct {
-	clients   [2]*endpoint.Client
-	keeper    *kept.Coordinator
-	published chan kept.Prefix
+	clients     [2]*endpoint.Client
+	coordinator *kept.Coordinator
+	published   chan kept.Prefix
 }
 
 func newPair(t *testing.T) *pair {
@@ -38,14 +38,14 @@
 		p.clients[i] = endpoint.NewClient(e.Addr(), time.Second, 5*time.Second)
 	}
 	byAddress := map[string]kept.Engine{"engine-1": p.clients[0], "engine-2": p.clients[1]}
-	p.keeper = kept.NewCoordinator(kept.Config{
+	p.coordinator = kept.NewCoordinator(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return byAddress[address] },
 		Publish: func(_ context.Context, x kept.Prefix, _ time.Duration) { p.published <- x },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go p.keeper.Run(ctx)
+	go p.coordinator.Run(ctx)
 	return p
 }
 
@@ -93,14 +93,14 @@
 	own, other := prefix.Salt("accra", "m", "1"), prefix.Salt("kumasi", "m", "1")
 	chain := prefix.Blocks(nil, own, []byte(prompt), blockTokens)
 	p.cachedTokens(t, 0, own, prompt)
-	p.keeper.AddUse(kept.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
+	p.coordinator.AddUse(kept.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
 	x := <-p.published
 
-	p.keeper.Import(context.Background(), "engine-2", other, x)
+	p.coordinator.Import(context.Background(), "engine-2", other, x)
 	if got := p.cachedTokens(t, 1, other, prompt); got != 0 {
 		t.Fatalf("%d tokens cached for the other organisation", got)
 	}
-	p.keeper.Import(context.Background(), "engine-2", own, x)
+	p.coordinator.Import(context.Background(), "engine-2", own, x)
 	if got, want := p.cachedTokens(t, 1, own, prompt), int64(len(chain)*blockTokens); got != want {
 		t.Fatalf("%d tokens cached after the import, want %d", got, want)
 	}
--- a/kept/keeper.go
+++ b/kept/keeper.go
@@ -77,62 +77,62 @@
 }
 
 // AddUse queues a use for export, unless its longest level is shorter than minBlocks.
-func (k *Coordinator) AddUse(u Use) {
+func (c *Coordinator) AddUse(u Use) {
 	if n := len(u.Levels); n > 0 && u.Levels[n-1] >= minBlocks {
-		k.uses.Push(u)
+		c.uses.Push(u)
 	}
 }
 
 // AddRemote adds a prefix that another instance has published. ttl is limited to Lifetime.
-func (k *Coordinator) AddRemote(p Prefix, ttl time.Duration) {
-	k.catalog.Add(p, k.cfg.Clock.Now().Add(min(ttl, Lifetime)))
+func (c *Coordinator) AddRemote(p Prefix, ttl time.Duration) {
+	c.catalog.Add(p, c.cfg.Clock.Now().Add(min(ttl, Lifetime)))
 }
 
 // LongestPrefix returns the longest prefix of a prompt that is in the KV store. chain is
 // the hashes of the prompt's blocks.
-func (k *Coordinator) LongestPrefix(chain []prefix.Hash) (Prefix, bool) {
-	return k.catalog.LongestPrefix(k.cfg.Clock.Now(), chain)
+func (c *Coordinator) LongestPrefix(chain []prefix.Hash) (Prefix, bool) {
+	return c.catalog.LongestPrefix(c.cfg.Clock.Now(), chain)
 }
 
 // Import makes an engine import a prefix from the KV store. A failure costs only time,
 // since the engine computes what it does not have. A prefix that the KV store no longer
 // has is removed from the catalog.
-func (k *Coordinator) Import(ctx context.Context, address string, salt prefix.Hash, p Prefix) {
+func (c *Coordinator) Import(ctx context.Context, address string, salt prefix.Hash, p Prefix) {
 	ctx, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	importsTotal.Inc()
-	blocks, err := k.cfg.Dial(address).Import(ctx, handle(salt, p.Last, nil))
+	blocks, err := c.cfg.Dial(address).Import(ctx, handle(salt, p.Last, nil))
 	if err == nil {
 		importedBlocks.Add(blocks)
 		return
 	}
 	importFailures.Inc()
 	if fault.Is(err, fault.NotFound) {
-		k.catalog.Remove(p.Last)
+		c.catalog.Remove(p.Last)
 	}
 }
 
 // Run exports prefixes of the queued uses until ctx is done.
-func (k *Coordinator) Run(ctx context.Context) {
+func (c *Coordinator) Run(ctx context.Context) {
 	selector := NewSelector()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case u := <-k.uses.C():
-			k.exportLevels(ctx, selector, u)
+		case u := <-c.uses.C():
+			c.exportLevels(ctx, selector, u)
 		}
 	}
 }
 
 // exportLevels exports the levels of a prompt that are not in the KV store yet, as far
 // as the Selector allows, shortest first. It stops at the first failure.
-func (k *Coordinator) exportLevels(ctx context.Context, s *Selector, u Use) {
+func (c *Coordinator) exportLevels(ctx context.Context, s *Selector, u Use) {
 	for {
-		now := k.cfg.Clock.Now()
-		known, _ := k.catalog.LongestPrefix(now, u.Chain)
+		now := c.cfg.Clock.Now()
+		known, _ := c.catalog.LongestPrefix(now, u.Chain)
 		blocks := s.Next(now, known.Blocks, u.Levels)
-		if blocks == 0 || !k.export(ctx, u, blocks) {
+		if blocks == 0 || !c.export(ctx, u, blocks) {
 			return
 		}
 	}
@@ -140,13 +140,13 @@
 
 // export exports the first blocks of a prompt and reports whether all of them are
 // stored.
-func (k *Coordinator) export(ctx context.Context, u Use, blocks int) bool {
+func (c *Coordinator) export(ctx context.Context, u Use, blocks int) bool {
 	chain := u.Chain[:blocks]
 	p := Prefix{chain[blocks-1], blocks}
 	bounded, cancel := context.WithTimeout(ctx, transferTimeout)
 	defer cancel()
 	exportsTotal.Inc()
-	stored, err := k.cfg.Dial(u.Address).Export(bounded, handle(u.Salt, p.Last, chain))
+	stored, err := c.cfg.Dial(u.Address).Export(bounded, handle(u.Salt, p.Last, chain))
 	if err != nil || stored < blocks {
 		// If fewer blocks were stored, the engine has evicted the end of the prefix
 		// since its use. It is not added to the catalog, because the stored prefix
@@ -154,8 +154,8 @@
 		exportFailures.Inc()
 		return false
 	}
-	k.catalog.Add(p, k.cfg.Clock.Now().Add(Lifetime))
-	k.cfg.Publish(ctx, p, Lifetime)
+	c.catalog.Add(p, c.cfg.Clock.Now().Add(Lifetime))
+	c.cfg.Publish(ctx, p, Lifetime)
 	return true
 }
 
@@ -179,6 +179,6 @@
 }
 
 // Dump returns the current state.
-func (k *Coordinator) Dump() Dump {
-	return Dump{k.catalog.Len(), exportsTotal.Get(), exportFailures.Get(), importsTotal.Get(), importFailures.Get()}
+func (c *Coordinator) Dump() Dump {
+	return Dump{c.catalog.Len(), exportsTotal.Get(), exportFailures.Get(), importsTotal.Get(), importFailures.Get()}
 }
--- a/kept/keeper_test.go
+++ b/kept/keeper_test.go
@@ -48,29 +48,29 @@
 
 // fixture is a Coordinator with one engine, which runs in a synctest bubble.
 type fixture struct {
-	keeper    *Coordinator
-	store     *store
-	published []Prefix
+	coordinator *Coordinator
+	store       *store
+	published   []Prefix
 }
 
 func runFixture(t *testing.T, run func(f *fixture)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &fixture{store: &store{cached: 1000, stored: map[string]int{}}}
-		f.keeper = NewCoordinator(Config{
+		f.coordinator = NewCoordinator(Config{
 			Clock:   clock.System{},
 			Dial:    func(string) Engine { return f.store },
 			Publish: func(_ context.Context, p Prefix, _ time.Duration) { f.published = append(f.published, p) },
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		go f.keeper.Run(ctx)
+		go f.coordinator.Run(ctx)
 		run(f)
 	})
 }
 
 func (f *fixture) use(chain []prefix.Hash, levels ...int) {
-	f.keeper.AddUse(Use{Address: "engine", Chain: chain, Levels: levels})
+	f.coordinator.AddUse(Use{Address: "engine", Chain: chain, Levels: levels})
 	synctest.Wait()
 }
 
@@ -90,7 +90,7 @@
 		if want := []int{10, 80}; !slices.Equal(f.store.exported, want) {
 			t.Fatalf("exported %v, want %v", f.store.exported, want)
 		}
-		if p, ok := f.keeper.LongestPrefix(c); !ok || p.Blocks != 80 {
+		if p, ok := f.coordinator.LongestPrefix(c); !ok || p.Blocks != 80 {
 			t.Fatalf("deepest is %+v", p)
 		}
 		if len(f.published) != 2 || f.published[1] != (Prefix{c[79], 80}) {
@@ -107,7 +107,7 @@
 		f.store.cached = 40
 		c := chain(100, 1)
 		f.use(c, 80)
-		if p, ok := f.keeper.LongestPrefix(c); ok {
+		if p, ok := f.coordinator.LongestPrefix(c); ok {
 			t.Fatalf("the catalog holds %+v", p)
 		}
 		if len(f.published) != 0 {
@@ -122,12 +122,12 @@
 	runFixture(t, func(f *fixture) {
 		c := chain(20, 1)
 		p := Prefix{c[19], 20}
-		f.keeper.AddRemote(p, time.Minute)
-		if got, ok := f.keeper.LongestPrefix(c); !ok || got != p {
+		f.coordinator.AddRemote(p, time.Minute)
+		if got, ok := f.coordinator.LongestPrefix(c); !ok || got != p {
 			t.Fatalf("deepest is %+v", got)
 		}
-		f.keeper.Import(context.Background(), "engine", prefix.Hash{}, p)
-		if _, ok := f.keeper.LongestPrefix(c); ok {
+		f.coordinator.Import(context.Background(), "engine", prefix.Hash{}, p)
+		if _, ok := f.coordinator.LongestPrefix(c); ok {
 			t.Fatal("a prefix that the KV store does not have is still in the catalog")
 		}
 	})
@@ -136,9 +136,9 @@
 func TestPrefixExpires(t *testing.T) {
 	runFixture(t, func(f *fixture) {
 		c := chain(20, 1)
-		f.keeper.AddRemote(Prefix{c[19], 20}, time.Minute)
+		f.coordinator.AddRemote(Prefix{c[19], 20}, time.Minute)
 		time.Sleep(time.Minute)
-		if _, ok := f.keeper.LongestPrefix(c); ok {
+		if _, ok := f.coordinator.LongestPrefix(c); ok {
 			t.Fatal("the prefix is still in the catalog after its expiry")
 		}
 	})
--- a/record/condition.go
+++ b/record/condition.go
@@ -20,18 +20,18 @@
 
 // Conditions returns the condition of each existing record, sorted by kind and
 // name.
-func (k *Registry) Conditions() []Condition {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	found := k.findWarnings()
-	list := make([]Condition, 0, len(k.entries))
-	for _, key := range k.sortedKeys() {
-		e := k.entries[key]
+func (reg *Registry) Conditions() []Condition {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	found := reg.findWarnings()
+	list := make([]Condition, 0, len(reg.entries))
+	for _, key := range reg.sortedKeys() {
+		e := reg.entries[key]
 		if e.newest.Deleted {
 			continue
 		}
 		c := Condition{Kind: key.kind, Name: key.name, Since: e.since, Newest: e.newest.Version, Refused: e.refused}
-		if e.record != nil && k.snapshot != nil {
+		if e.record != nil && reg.snapshot != nil {
 			c.InForce = e.accepted.Version
 			c.Warnings = found[key]
 		}
@@ -42,21 +42,21 @@
 
 // findWarnings returns the warnings about the snapshot in force. They are cached for
 // each snapshot, because lease holders call Conditions every few seconds.
-func (k *Registry) findWarnings() map[entryKey][]string {
-	if k.warnedSnapshot == k.snapshot {
-		return k.warnings
+func (reg *Registry) findWarnings() map[entryKey][]string {
+	if reg.warnedSnapshot == reg.snapshot {
+		return reg.warnings
 	}
-	k.warnedSnapshot, k.warnings = k.snapshot, map[entryKey][]string{}
-	endpointCounts := countEndpointNames(k.snapshot)
-	for key, e := range k.entries {
+	reg.warnedSnapshot, reg.warnings = reg.snapshot, map[entryKey][]string{}
+	endpointCounts := countEndpointNames(reg.snapshot)
+	for key, e := range reg.entries {
 		if e.record == nil {
 			continue
 		}
-		if list := warnings(k.snapshot, endpointCounts, key.kind, key.name); len(list) > 0 {
-			k.warnings[key] = list
+		if list := warnings(reg.snapshot, endpointCounts, key.kind, key.name); len(list) > 0 {
+			reg.warnings[key] = list
 		}
 	}
-	return k.warnings
+	return reg.warnings
 }
 
 // RegistryDump is the Registry's part of the state dump.
@@ -67,6 +67,6 @@
 }
 
 // Dump returns the registry's state.
-func (k *Registry) Dump() RegistryDump {
-	return RegistryDump{Complete: k.Complete(), Version: k.Version(), Records: k.Conditions()}
+func (reg *Registry) Dump() RegistryDump {
+	return RegistryDump{Complete: reg.Complete(), Version: reg.Version(), Records: reg.Conditions()}
 }
--- a/record/duty.go
+++ b/record/duty.go
@@ -27,12 +27,12 @@
 }
 
 // IsChosen reports whether this instance is one of the n that rendezvous hashing
-// assigns to a duty from among the live members. Members that cannot reach the
+// assigns to a task from among the live members. Members that cannot reach the
 // object API rank last: they are chosen only if there are not enough others, so
 // that during an outage the same few instances retry and not all of them. An
 // instance that is not in members counts as able to reach it.
-func IsChosen(members []Member, self, duty string, n int) bool {
-	own := candidate{reachable: true, score: rendezvous.Score(duty, self), name: self}
+func IsChosen(members []Member, self, task string, n int) bool {
+	own := candidate{reachable: true, score: rendezvous.Score(task, self), name: self}
 	for _, m := range members {
 		if m.Name == self {
 			own.reachable = m.StoreReachable
@@ -40,7 +40,7 @@
 	}
 	ahead := 0
 	for _, m := range members {
-		other := candidate{m.StoreReachable, rendezvous.Score(duty, m.Name), m.Name}
+		other := candidate{m.StoreReachable, rendezvous.Score(task, m.Name), m.Name}
 		if m.Name != self && other.before(own) {
 			ahead++
 		}
@@ -48,7 +48,7 @@
 	return ahead < n
 }
 
-// candidate is a member with its rank for one duty.
+// candidate is a member with its rank for one task.
 type candidate struct {
 	reachable bool
 	score     uint64
--- a/record/follower.go
+++ b/record/follower.go
@@ -21,16 +21,16 @@
 	Failure string `json:"failure,omitempty"`
 }
 
-// duty is what an instance does for one kind between lists.
-type duty int
+// task is what an instance does for one kind between lists.
+type task int
 
 const (
-	// dutyUnknown means that the members are not known yet.
-	dutyUnknown duty = iota
-	// dutyWatch means that this instance watches the kind.
-	dutyWatch
-	// dutyIdle means that other instances watch the kind.
-	dutyIdle
+	// taskUnknown means that the members are not known yet.
+	taskUnknown task = iota
+	// taskWatch means that this instance watches the kind.
+	taskWatch
+	// taskIdle means that other instances watch the kind.
+	taskIdle
 )
 
 // follower lists one kind of record periodically and watches it if this instance is
@@ -38,30 +38,30 @@
 type follower struct {
 	cfg  ProviderConfig
 	kind Kind
-	// wake is signalled when the duty has changed.
+	// wake is signalled when the task has changed.
 	wake chan struct{}
 
 	position objectapi.Version
 	delay    time.Duration
 
 	mu       sync.Mutex
-	duty     duty
+	task     task
 	endWatch context.CancelFunc
 	// attempted is set once the first call has succeeded or failed.
 	attempted bool
 	dump      FollowerDump
 }
 
-// setDuty sets the duty, cancels the watch if this instance is no longer assigned to
+// setTask sets the task, cancels the watch if this instance is no longer assigned to
 // it, and wakes the goroutine.
-func (f *follower) setDuty(d duty) {
+func (f *follower) setTask(t task) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.duty == d {
+	if f.task == t {
 		return
 	}
-	f.duty = d
-	if d != dutyWatch && f.endWatch != nil {
+	f.task = t
+	if t != taskWatch && f.endWatch != nil {
 		f.endWatch()
 	}
 	select {
@@ -70,18 +70,18 @@
 	}
 }
 
-func (f *follower) currentDuty() duty {
+func (f *follower) currentTask() task {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.duty
+	return f.task
 }
 
 // assumeWatch makes an instance watch if it has not received the members.
 func (f *follower) assumeWatch() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.duty == dutyUnknown {
-		f.duty = dutyWatch
+	if f.task == taskUnknown {
+		f.task = taskWatch
 	}
 }
 
@@ -98,19 +98,19 @@
 	}
 }
 
-// followUntil performs the current duty until the next list is due.
+// followUntil performs the current task until the next list is due.
 func (f *follower) followUntil(ctx context.Context, relist time.Time) {
 	for ctx.Err() == nil && f.position > 0 && time.Now().Before(relist) {
-		switch f.currentDuty() {
-		case dutyWatch:
+		switch f.currentTask() {
+		case taskWatch:
 			f.watch(ctx, relist)
-		case dutyIdle:
+		case taskIdle:
 			if f.failing() {
 				relist = earlier(relist, time.Now().Add(jitter(recheckInterval)))
 			}
-			f.waitForDuty(ctx, time.Until(relist))
+			f.waitForTask(ctx, time.Until(relist))
 		default:
-			f.waitForDuty(ctx, membersWait)
+			f.waitForTask(ctx, membersWait)
 			f.assumeWatch()
 		}
 	}
@@ -123,8 +123,8 @@
 	return b
 }
 
-// waitForDuty waits until the duty changes, or for d.
-func (f *follower) waitForDuty(ctx context.Context, d time.Duration) {
+// waitForTask waits until the task changes, or for d.
+func (f *follower) waitForTask(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -163,14 +163,14 @@
 }
 
 // watch offers changes to the Registry until the watch ends, the next list is due or
-// the duty moves to another instance. It resumes from the last position, so no change
+// the task moves to another instance. It resumes from the last position, so no change
 // is missed in between.
 func (f *follower) watch(ctx context.Context, until time.Time) {
 	ctx, cancel := context.WithDeadline(ctx, until)
 	defer cancel()
 	f.mu.Lock()
 	f.endWatch = cancel
-	if f.duty != dutyWatch {
+	if f.task != taskWatch {
 		cancel()
 	}
 	f.mu.Unlock()
--- a/record/keeper.go
+++ b/record/keeper.go
@@ -79,17 +79,17 @@
 }
 
 // Offer merges items and returns how many of them changed anything.
-func (k *Registry) Offer(items ...Item) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (reg *Registry) Offer(items ...Item) int {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	taken := 0
 	for _, it := range items {
-		if k.take(it) {
+		if reg.take(it) {
 			taken++
 		}
 	}
 	if taken > 0 {
-		k.publish()
+		reg.publish()
 	}
 	return taken
 }
@@ -97,34 +97,34 @@
 // OfferListing merges all records of a kind as the object API listed them at one
 // version. A known record of a lower version that is not in the list was deleted. A
 // list older than the known state changes nothing. It returns the number of changes.
-func (k *Registry) OfferListing(kind Kind, version uint64, items []Item) int {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (reg *Registry) OfferListing(kind Kind, version uint64, items []Item) int {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	taken := 0
 	listed := make(map[string]bool, len(items))
 	for _, it := range items {
 		listed[it.Name] = true
-		if k.take(it) {
+		if reg.take(it) {
 			taken++
 		}
 	}
-	for _, deleted := range k.missing(kind, version, listed) {
-		if k.take(deleted) {
+	for _, deleted := range reg.missing(kind, version, listed) {
+		if reg.take(deleted) {
 			taken++
 		}
 	}
-	first := k.listedAt[kind] == 0
-	k.listedAt[kind] = max(k.listedAt[kind], version, 1)
+	first := reg.listedAt[kind] == 0
+	reg.listedAt[kind] = max(reg.listedAt[kind], version, 1)
 	if taken > 0 || first {
-		k.publish()
+		reg.publish()
 	}
 	return taken
 }
 
 // missing returns tombstones for the known records that are not in a list.
-func (k *Registry) missing(kind Kind, version uint64, listed map[string]bool) []Item {
+func (reg *Registry) missing(kind Kind, version uint64, listed map[string]bool) []Item {
 	var deleted []Item
-	for key, e := range k.entries {
+	for key, e := range reg.entries {
 		if key.kind == kind && !listed[key.name] && e.hasValueUpTo(version) {
 			deleted = append(deleted, Item{Kind: kind, Name: key.name, Version: version, Deleted: true})
 		}
@@ -141,29 +141,29 @@
 }
 
 // take merges one item and reports whether it changed anything.
-func (k *Registry) take(it Item) bool {
+func (reg *Registry) take(it Item) bool {
 	if it.Version == 0 {
 		return false
 	}
 	it.slot = slotNewest
 	key := entryKey{it.Kind, it.Name}
-	e := k.entries[key]
+	e := reg.entries[key]
 	if e == nil {
-		if !it.Deleted && it.Version <= k.listedAt[it.Kind] {
+		if !it.Deleted && it.Version <= reg.listedAt[it.Kind] {
 			// The record would have been in the list if it still existed, so it was
 			// deleted before. The sender does not know that yet, so the deletion is
 			// stored and passed on to peers.
 			staleTotal.Inc()
-			it = Item{Kind: it.Kind, Name: it.Name, Version: k.listedAt[it.Kind], Deleted: true}
+			it = Item{Kind: it.Kind, Name: it.Name, Version: reg.listedAt[it.Kind], Deleted: true}
 		}
 		// A record that is unknown after a list did not exist at the list's version.
-		e = &entry{deletedAt: k.listedAt[it.Kind]}
-		k.entries[key] = e
+		e = &entry{deletedAt: reg.listedAt[it.Kind]}
+		reg.entries[key] = e
 	}
-	return k.merge(e, it)
+	return reg.merge(e, it)
 }
 
-func (k *Registry) merge(e *entry, it Item) bool {
+func (reg *Registry) merge(e *entry, it Item) bool {
 	before := e.inForce()
 	changed := e.merge(it)
 	if !changed {
@@ -174,11 +174,11 @@
 	invariant.Check(e.inForce() >= before, "record_never_reverts",
 		"%s went from version %d to %d", it.Key(), before, e.inForce())
 	if e.inForce() != before {
-		e.since = k.clock.Now()
+		e.since = reg.clock.Now()
 	}
-	k.version = max(k.version, it.Version)
-	k.changes.Push(it)
-	k.dropTombstone()
+	reg.version = max(reg.version, it.Version)
+	reg.changes.Push(it)
+	reg.dropTombstone()
 	return true
 }
 
@@ -220,13 +220,13 @@
 }
 
 // dropTombstone removes the oldest tombstone if there are more than maxTombstones.
-func (k *Registry) dropTombstone() {
-	if len(k.entries) <= maxTombstones {
+func (reg *Registry) dropTombstone() {
+	if len(reg.entries) <= maxTombstones {
 		return
 	}
 	var oldest entryKey
 	count, lowest := 0, uint64(0)
-	for key, e := range k.entries {
+	for key, e := range reg.entries {
 		if !e.newest.Deleted {
 			continue
 		}
@@ -236,89 +236,89 @@
 		}
 	}
 	if count > maxTombstones {
-		delete(k.entries, oldest)
+		delete(reg.entries, oldest)
 	}
 }
 
 // SetComplete declares that all records have been received from a peer that has all
 // of them, so that they are put in force before the object API has confirmed them.
-func (k *Registry) SetComplete() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.isComplete() {
+func (reg *Registry) SetComplete() {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	if reg.isComplete() {
 		return
 	}
-	k.complete = true
-	k.publish()
+	reg.complete = true
+	reg.publish()
 }
 
 // Complete reports whether all records are known. Until then nothing is in force: with
 // some records missing, requests would be refused for an unknown key or model.
-func (k *Registry) Complete() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.isComplete()
+func (reg *Registry) Complete() bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return reg.isComplete()
 }
 
-func (k *Registry) isComplete() bool { return k.complete || len(k.listedAt) >= len(Kinds) }
+func (reg *Registry) isComplete() bool { return reg.complete || len(reg.listedAt) >= len(Kinds) }
 
 // publish builds a snapshot and calls the subscribers with it.
-func (k *Registry) publish() {
-	if !k.isComplete() {
+func (reg *Registry) publish() {
+	if !reg.isComplete() {
 		return
 	}
-	records := make([]*recordspb.Record, 0, len(k.entries))
-	for _, key := range k.sortedKeys() {
-		if r := k.entries[key].record; r != nil {
+	records := make([]*recordspb.Record, 0, len(reg.entries))
+	for _, key := range reg.sortedKeys() {
+		if r := reg.entries[key].record; r != nil {
 			records = append(records, r)
 		}
 	}
-	k.snapshot = NewSnapshot(k.version, records)
-	for _, fn := range k.subscribers {
-		fn(k.snapshot)
+	reg.snapshot = NewSnapshot(reg.version, records)
+	for _, fn := range reg.subscribers {
+		fn(reg.snapshot)
 	}
 }
 
 // Subscribe calls fn with the snapshot in force, if there is one, and with each
 // later one, in order. fn must not block or call the Registry.
-func (k *Registry) Subscribe(fn func(*Snapshot)) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.subscribers = append(k.subscribers, fn)
-	if k.snapshot != nil {
-		fn(k.snapshot)
+func (reg *Registry) Subscribe(fn func(*Snapshot)) {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	reg.subscribers = append(reg.subscribers, fn)
+	if reg.snapshot != nil {
+		fn(reg.snapshot)
 	}
 }
 
 // Snapshot returns the records in force, or nil until they are complete.
-func (k *Registry) Snapshot() *Snapshot {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.snapshot
+func (reg *Registry) Snapshot() *Snapshot {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return reg.snapshot
 }
 
 // Version returns the highest store version of a record or deletion received. The
 // version of a list does not count: it increases with every change in the object API,
 // also of other objects, and instances list at different times.
-func (k *Registry) Version() uint64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.version
+func (reg *Registry) Version() uint64 {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	return reg.version
 }
 
 // Changes returns the ring buffer of newly merged items, for the one goroutine that
 // sends them to peers. When it is full, the oldest items are dropped.
-func (k *Registry) Changes() *ring.Ring[Item] { return k.changes }
+func (reg *Registry) Changes() *ring.Ring[Item] { return reg.changes }
 
 // Items returns all items that a peer needs to reach the same state, sorted by key:
 // the newest item of each record and, if that was refused, also the one in force and
 // the deletion between them.
-func (k *Registry) Items() []Item {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	items := make([]Item, 0, len(k.entries))
-	for _, key := range k.sortedKeys() {
-		items = append(items, k.entries[key].items()...)
+func (reg *Registry) Items() []Item {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	items := make([]Item, 0, len(reg.entries))
+	for _, key := range reg.sortedKeys() {
+		items = append(items, reg.entries[key].items()...)
 	}
 	return items
 }
@@ -339,9 +339,9 @@
 	return items
 }
 
-func (k *Registry) sortedKeys() []entryKey {
-	keys := make([]entryKey, 0, len(k.entries))
-	for key := range k.entries {
+func (reg *Registry) sortedKeys() []entryKey {
+	keys := make([]entryKey, 0, len(reg.entries))
+	for key := range reg.entries {
 		keys = append(keys, key)
 	}
 	sort.Slice(keys, func(i, j int) bool {
--- a/record/preserve.go
+++ b/record/preserve.go
@@ -50,11 +50,11 @@
 // Preserver stores, while this instance holds the lease, the accepted version of each
 // record whose newest version is refused, and removes outdated ones.
 type Preserver struct {
-	store  objectapi.Store
-	keeper *Registry
-	lease  Lease
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	store    objectapi.Store
+	registry *Registry
+	lease    Lease
+	cancel   context.CancelFunc
+	done     sync.WaitGroup
 
 	// stored is what the object API stores. It is listed when this instance
 	// acquires the lease and after a failure; listed is false until then.
@@ -69,8 +69,8 @@
 }
 
 // NewPreserver returns a Preserver that is idle until Start.
-func NewPreserver(store objectapi.Store, keeper *Registry, lease Lease) *Preserver {
-	return &Preserver{store: store, keeper: keeper, lease: lease}
+func NewPreserver(store objectapi.Store, registry *Registry, lease Lease) *Preserver {
+	return &Preserver{store: store, registry: registry, lease: lease}
 }
 
 // Start starts to check periodically for versions to store or remove.
@@ -102,13 +102,13 @@
 	ctx, cancel := context.WithTimeout(ctx, preserveTimeout)
 	defer cancel()
 	err := p.list(ctx)
-	for _, it := range p.keeper.acceptedItems() {
+	for _, it := range p.registry.acceptedItems() {
 		if err == nil && p.stored[entryKey{it.Kind, it.Name}].record < it.Version {
 			err = p.storeVersion(ctx, it)
 		}
 	}
 	for key, k := range p.stored {
-		if err == nil && p.keeper.isOutdated(key, k.record) {
+		if err == nil && p.registry.isOutdated(key, k.record) {
 			err = p.remove(ctx, key, k)
 		}
 	}
@@ -168,7 +168,7 @@
 // restoreAccepted reads the stored accepted version of a record of which only a
 // refused version is known, and offers it to the Registry. The caller has already offered
 // the list that contains the record, so a version deleted in between is not restored.
-func restoreAccepted(ctx context.Context, store objectapi.Store, keeper *Registry, kind Kind, name string) error {
+func restoreAccepted(ctx context.Context, store objectapi.Store, registry *Registry, kind Kind, name string) error {
 	obj, err := store.Get(ctx, PreservedKind, preservedName(kind, name))
 	if fault.Is(err, fault.NotFound) {
 		return nil
@@ -180,17 +180,17 @@
 	if err := json.Unmarshal(obj.Value, &content); err != nil {
 		return fault.Wrap(err, fault.Invalid, "remove the object", "object %s/%s", PreservedKind, obj.Name)
 	}
-	keeper.Offer(Item{Kind: kind, Name: name, Version: content.Version, Value: content.Value})
+	registry.Offer(Item{Kind: kind, Name: name, Version: content.Version, Value: content.Value})
 	return nil
 }
 
 // acceptedItems returns the accepted items of the records whose newest version is
 // refused.
-func (k *Registry) acceptedItems() []Item {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (reg *Registry) acceptedItems() []Item {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	var items []Item
-	for _, e := range k.entries {
+	for _, e := range reg.entries {
 		if e.refused != "" && e.accepted.Version > 0 {
 			items = append(items, e.accepted)
 		}
@@ -200,26 +200,26 @@
 
 // isOutdated reports whether a newer version or deletion of the record than the given
 // version is in force.
-func (k *Registry) isOutdated(key entryKey, version uint64) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	e := k.entries[key]
+func (reg *Registry) isOutdated(key entryKey, version uint64) bool {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	e := reg.entries[key]
 	if e == nil {
 		// A record that is unknown after a list was deleted. Without a later list
 		// nothing follows.
-		return k.listedAt[key.kind] > version
+		return reg.listedAt[key.kind] > version
 	}
 	return e.inForce() > version
 }
 
 // withoutAccepted names the records of a kind of which only a refused version is
 // known.
-func (k *Registry) withoutAccepted(kind Kind) []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (reg *Registry) withoutAccepted(kind Kind) []string {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
 	var names []string
-	for _, key := range k.sortedKeys() {
-		if e := k.entries[key]; key.kind == kind && e.refused != "" && e.accepted.Version == 0 {
+	for _, key := range reg.sortedKeys() {
+		if e := reg.entries[key]; key.kind == kind && e.refused != "" && e.accepted.Version == 0 {
 			names = append(names, key.name)
 		}
 	}
--- a/record/provider.go
+++ b/record/provider.go
@@ -97,11 +97,11 @@
 // watches. It is safe for concurrent use and does not block.
 func (p *Provider) SetMembers(members []Member) {
 	for _, f := range p.followers {
-		d := dutyIdle
+		d := taskIdle
 		if IsWatcher(members, p.cfg.Self, f.kind) {
-			d = dutyWatch
+			d = taskWatch
 		}
-		f.setDuty(d)
+		f.setTask(d)
 	}
 }
 
