--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -194,7 +194,7 @@
 	})
 	i.rollout = rollout.NewHosted(rollout.HostedConfig{
 		Self: i.settings.GetInstance(), Lease: i.lease, Control: platform.NewControl(i.relays.to), State: i.state,
-		Pools: i.pools, OnLoadExpected: i.broadcastSoon, OnLoading: i.broadcastLoading, OnLoaded: i.broadcastHolds,
+		Pools: i.pools, LoadExpected: i.broadcastSoon, Loading: i.broadcastLoading, Holds: i.broadcastHolds,
 	})
 	i.feed = cachefeed.New(cachefeed.Config{
 		Source: platform.NewControl(i.relays.to), Owned: i.ownedHolders,
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -66,7 +66,7 @@
 			continue
 		}
 		i.state.Want(time.Now(), w.Model, w.Version)
-		i.rollout.SetWanted(w)
+		i.rollout.Want(w)
 	}
 }
 
--- a/instance/pools.go
+++ b/instance/pools.go
@@ -24,7 +24,7 @@
 // held is the duties that one lease goes with. rollout is nil for the fleet's.
 type held struct {
 	lease   *lease.Duty
-	rollout *rollout.Controller
+	rollout *rollout.Duty
 	status  *status.Writer
 	// preserver belongs to the fleet's lease only.
 	preserver *record.Preserver
@@ -132,7 +132,7 @@
 	if pool == "" {
 		h.preserver = record.NewPreserver(i.store, i.keeper, h.lease)
 	} else {
-		h.rollout = rollout.NewController(rollout.Config{
+		h.rollout = rollout.NewDuty(rollout.Config{
 			Pool: pool, Lease: h.lease, Records: i.keeper.Snapshot,
 			Dial: func(addr string) rollout.Engine { return i.clients.Engine(addr) },
 		})
--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -54,18 +54,18 @@
 	State   *balance.State
 	// Pools returns the models of each service that has any, by service name.
 	Pools func() map[string][]string
-	// OnLoadExpected is called with an endpoint that is expected to start loading after
+	// LoadExpected is called with an endpoint that is expected to start loading after
 	// about d. It must not block.
-	OnLoadExpected func(endpointID string, d time.Duration)
-	// OnLoading is called with an endpoint that is loading and the expected
-	// remaining time. OnLoaded is called with the version that an endpoint has
+	LoadExpected func(endpointID string, d time.Duration)
+	// Loading is called with an endpoint that is loading and the expected
+	// remaining time. Holds is called with the version that an endpoint has
 	// loaded. Neither may block.
-	OnLoading func(endpointID string, d time.Duration)
-	OnLoaded  func(endpointID, model string, version int64)
+	Loading func(endpointID string, d time.Duration)
+	Holds   func(endpointID, model string, version int64)
 }
 
 // Hosted brings the endpoints of hosted pools to the versions that operators
-// request, while this instance holds the lease. SetWanted and Wanted are safe for
+// request, while this instance holds the lease. Want and Wanted are safe for
 // concurrent use.
 type Hosted struct {
 	cfg HostedConfig
@@ -97,9 +97,9 @@
 	return &Hosted{cfg: cfg, wanted: map[string]int64{}, targets: map[string]*target{}, loadTime: initialLoadTime, wake: make(chan struct{}, 1)}
 }
 
-// SetWanted sets the version of a model that operators request. A version older than
+// Want sets the version of a model that operators request. A version older than
 // the current one is ignored.
-func (h *Hosted) SetWanted(w Weights) {
+func (h *Hosted) Want(w Weights) {
 	h.mu.Lock()
 	newer := w.Version > h.wanted[w.Model]
 	if newer {
@@ -208,11 +208,11 @@
 	return list, behind
 }
 
-// announce calls OnLoadExpected for the endpoints that load next.
+// announce calls LoadExpected for the endpoints that load next.
 func (h *Hosted) announce(next []Candidate) {
 	loadTime := h.averageLoadTime()
 	for _, c := range next {
-		h.cfg.OnLoadExpected(c.ID, loadTime)
+		h.cfg.LoadExpected(c.ID, loadTime)
 	}
 }
 
@@ -237,7 +237,7 @@
 		return
 	}
 	ordersTotal.Inc()
-	h.cfg.OnLoading(t.ID, h.averageLoadTime())
+	h.cfg.Loading(t.ID, h.averageLoadTime())
 	sentAt := time.Now()
 	verdict, err := h.cfg.Control.Load(ctx, t, LoadOrder{Weights: w, Mode: LoadAtOnce, Holder: h.cfg.Self, Fence: fence, Expect: &expect})
 	line := log.WithFields(log.Fields{"endpoint": t.ID, "model": w.Model, "version": w.Version, "fence": fence, "expect": expect, "verdict": int(verdict)})
@@ -268,7 +268,7 @@
 	}
 	h.setOrders(t, r.Orders, true)
 	if v := r.Versions[w.Model]; v >= w.Version && !r.Loading {
-		h.cfg.OnLoaded(t.ID, w.Model, v)
+		h.cfg.Holds(t.ID, w.Model, v)
 		return 0, false
 	}
 	return r.Orders, !r.Loading
@@ -299,7 +299,7 @@
 		h.awaitLoad(ctx, t, w, sentAt)
 		return
 	case AlreadyLoaded:
-		h.cfg.OnLoaded(t.ID, w.Model, w.Version)
+		h.cfg.Holds(t.ID, w.Model, w.Version)
 		h.endOrder(t, 0)
 		return
 	case StaleFence:
@@ -330,7 +330,7 @@
 		}
 		if err == nil && r.Versions[w.Model] >= w.Version {
 			h.recordLoadTime(time.Since(sentAt))
-			h.cfg.OnLoaded(t.ID, w.Model, r.Versions[w.Model])
+			h.cfg.Holds(t.ID, w.Model, r.Versions[w.Model])
 			h.endOrder(t, 0)
 			return
 		}
@@ -340,7 +340,7 @@
 				break
 			}
 		}
-		h.cfg.OnLoading(t.ID, pollInterval)
+		h.cfg.Loading(t.ID, pollInterval)
 		_ = clock.Sleep(ctx, pollInterval)
 	}
 	h.setOrders(t, 0, false)
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -114,14 +114,14 @@
 		state.SetEndpoints(list)
 		h := NewHosted(HostedConfig{
 			Self: "a", Lease: heldLease{}, Control: e, State: state,
-			Pools:          func() map[string][]string { return map[string][]string{"pool": {"m"}} },
-			OnLoadExpected: func(string, time.Duration) {},
-			OnLoading:      func(string, time.Duration) {}, OnLoaded: state.Holds,
+			Pools:        func() map[string][]string { return map[string][]string{"pool": {"m"}} },
+			LoadExpected: func(string, time.Duration) {},
+			Loading:      func(string, time.Duration) {}, Holds: state.Holds,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
 		done.Go(func() { h.Run(ctx) })
-		h.SetWanted(Weights{Model: "m", Version: 2})
+		h.Want(Weights{Model: "m", Version: 2})
 		time.Sleep(200 * time.Millisecond)
 		e.mu.Lock()
 		for id, n := range e.orders {
