--- a/place/fleet.go
+++ b/place/fleet.go
@@ -74,7 +74,7 @@
 	AskLeaving func(ctx context.Context, address string) (leaving bool, err error)
 	// Kept exports and imports the KV cache of prefixes. If nil, nothing is exported or
 	// imported.
-	Kept *kept.Keeper
+	Kept *kept.Coordinator
 	// Publish publishes a value to all instances, one version above the current one. It is
 	// called by one goroutine and may block.
 	Publish func(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error
--- a/place/kept.go
+++ b/place/kept.go
@@ -20,7 +20,7 @@
 // findKept sets t.kept to the longest prefix of the prompt that can be imported.
 func (f *Fleet) findKept(t *placement) {
 	if f.canImport(t.pool) {
-		t.kept, _ = f.cfg.Kept.Deepest(t.request.Blocks)
+		t.kept, _ = f.cfg.Kept.LongestPrefix(t.request.Blocks)
 	}
 }
 
@@ -52,7 +52,7 @@
 	if len(t.levels) == 0 || !f.canImport(t.pool) {
 		return
 	}
-	f.cfg.Kept.Used(kept.Use{Address: g.Address, Salt: t.salt(), Chain: t.request.Blocks, Levels: t.levels})
+	f.cfg.Kept.AddUse(kept.Use{Address: g.Address, Salt: t.salt(), Chain: t.request.Blocks, Levels: t.levels})
 }
 
 // setLevels replaces the levels by the owner's, unless they are fewer. The owner sees more
@@ -87,5 +87,5 @@
 	if f.cfg.Kept == nil || !ok || proto.Unmarshal(it.Value, s) != nil || s.GetBlocks() <= 0 {
 		return
 	}
-	f.cfg.Kept.Heard(kept.Prefix{Last: last, Blocks: int(s.GetBlocks())}, it.TTL)
+	f.cfg.Kept.AddRemote(kept.Prefix{Last: last, Blocks: int(s.GetBlocks())}, it.TTL)
 }
--- a/record/condition.go
+++ b/record/condition.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// Condition says of one record what is in force here and what is not.
+// Condition is the state of one record at this instance: which version is in force
+// and why the newest is not.
 type Condition struct {
 	Kind Kind   `json:"kind"`
 	Name string `json:"name"`
-	// InForce is the store version in force; 0 if the record is not.
+	// InForce is the store version in force, or 0 if none is.
 	InForce uint64    `json:"in_force"`
 	Since   time.Time `json:"since"`
-	// Newest is the highest store version that was heard of.
+	// Newest is the highest store version received.
 	Newest uint64 `json:"newest"`
-	// Refused says why the newest is not in force.
+	// Refused is the reason why the newest version is not in force, if it is not.
 	Refused string `json:"refused,omitempty"`
-	// Warnings are faults that did not keep the record from being in force.
+	// Warnings are faults for which the record was not refused.
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// Conditions returns the condition of each record that exists, in order of
-// kind and name.
-func (k *Keeper) Conditions() []Condition {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	found := k.findWarnings()
-	list := make([]Condition, 0, len(k.entries))
-	for _, key := range k.sortedKeys() {
-		e := k.entries[key]
+// Conditions returns the condition of each existing record, sorted by kind and
+// name.
+func (reg *Registry) Conditions() []Condition {
+	reg.mu.Lock()
+	defer reg.mu.Unlock()
+	found := reg.findWarnings()
+	list := make([]Condition, 0, len(reg.entries))
+	for _, key := range reg.sortedKeys() {
+		e := reg.entries[key]
 		if e.newest.Deleted {
 			continue
 		}
 		c := Condition{Kind: key.kind, Name: key.name, Since: e.since, Newest: e.newest.Version, Refused: e.refused}
-		if e.record != nil && k.snapshot != nil {
+		if e.record != nil && reg.snapshot != nil {
 			c.InForce = e.accepted.Version
 			c.Warnings = found[key]
 		}
@@ -39,33 +40,33 @@
 	return list
 }
 
-// findWarnings returns the warnings of the snapshot in force. They are found
-// once for each snapshot: the holders of leases ask every few seconds.
-func (k *Keeper) findWarnings() map[entryKey][]string {
-	if k.warned == k.snapshot {
-		return k.warnings
+// findWarnings returns the warnings about the snapshot in force. They are cached for
+// each snapshot, because lease holders call Conditions every few seconds.
+func (reg *Registry) findWarnings() map[entryKey][]string {
+	if reg.warnedSnapshot == reg.snapshot {
+		return reg.warnings
 	}
-	k.warned, k.warnings = k.snapshot, map[entryKey][]string{}
-	named := endpointNames(k.snapshot)
-	for key, e := range k.entries {
+	reg.warnedSnapshot, reg.warnings = reg.snapshot, map[entryKey][]string{}
+	endpointCounts := countEndpointNames(reg.snapshot)
+	for key, e := range reg.entries {
 		if e.record == nil {
 			continue
 		}
-		if list := warnings(k.snapshot, named, key.kind, key.name); len(list) > 0 {
-			k.warnings[key] = list
+		if list := warnings(reg.snapshot, endpointCounts, key.kind, key.name); len(list) > 0 {
+			reg.warnings[key] = list
 		}
 	}
-	return k.warnings
+	return reg.warnings
 }
 
-// KeeperDump is the keeper's part of the state dump.
-type KeeperDump struct {
+// RegistryDump is the Registry's part of the state dump.
+type RegistryDump struct {
 	Complete bool        `json:"complete"`
 	Version  uint64      `json:"version"`
 	Records  []Condition `json:"records"`
 }
 
-// Dump returns the keeper's state.
-func (k *Keeper) Dump() KeeperDump {
-	return KeeperDump{Complete: k.Complete(), Version: k.Version(), Records: k.Conditions()}
+// Dump returns the registry's state.
+func (reg *Registry) Dump() RegistryDump {
+	return RegistryDump{Complete: reg.Complete(), Version: reg.Version(), Records: reg.Conditions()}
 }
