--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -201,7 +201,7 @@
 		}
 		list = append(list, Candidate{
 			Target: Target{ID: v.ID, Name: v.Name, Born: v.Born, Address: v.Address}, Version: v.Versions[model], Running: v.Running, Draining: v.Draining,
-			BusyUntil: t.busyUntil, Loading: t.loading, Suspected: v.Suspected,
+			BusyUntil: t.busyUntil, Loading: t.loading, Unreliable: v.Suspected,
 		})
 		behind = behind || v.Versions[model] < want && !v.Draining
 	}
--- a/rollout/weights.go
+++ b/rollout/weights.go
@@ -89,8 +89,8 @@
 	BusyUntil time.Time
 	// Loading reports whether the endpoint is reading from the source of weights.
 	Loading bool
-	// Suspected endpoints recently rejected work or were unreachable.
-	Suspected bool
+	// Unreliable endpoints recently rejected work or were unreachable.
+	Unreliable bool
 }
 
 const (
@@ -128,8 +128,8 @@
 		}
 	}
 	sort.SliceStable(behind, func(i, j int) bool {
-		if behind[i].Suspected != behind[j].Suspected {
-			return !behind[i].Suspected
+		if behind[i].Unreliable != behind[j].Unreliable {
+			return !behind[i].Unreliable
 		}
 		if behind[i].Running != behind[j].Running {
 			return behind[i].Running < behind[j].Running
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -33,7 +33,7 @@
 			c := &list[i]
 			c.Version = rapid.Int64Range(1, 3).Draw(t, "version")
 			c.Draining = rapid.Bool().Draw(t, "draining")
-			c.Suspected = rapid.Bool().Draw(t, "doubtful")
+			c.Unreliable = rapid.Bool().Draw(t, "doubtful")
 			if rapid.IntRange(0, 3).Draw(t, "loads") == 0 {
 				c.Loading, c.BusyUntil = true, now.Add(time.Second)
 				loading++
