--- a/objectapi/breaker.go
+++ b/objectapi/breaker.go
@@ -3,82 +3,88 @@
 import "time"
 
 const (
-	// openAfter failures in a row nobody is sent to the object API any more.
-	// One lost reply or one reset connection is no outage.
+	// openAfter is the number of consecutive failures that opens the breaker. A single lost reply
+	// or reset connection is no outage.
 	openAfter = 3
-	// firstProbe and longestProbe bound the time from one probe to the next.
-	// The longest keeps the end of an outage from going unnoticed for longer
-	// than records may take to be in force.
-	firstProbe   = 200 * time.Millisecond
-	longestProbe = 4 * time.Second
-	// probesPerSecond bounds the probes of the whole fleet. A small fleet so
-	// finds the end of an outage sooner; its callers wait for that.
+	// minProbeInterval and maxProbeInterval bound the time between two probes. The maximum is
+	// chosen so that the end of an outage does not go unnoticed for longer than a change of the
+	// records may take to take effect.
+	minProbeInterval = 200 * time.Millisecond
+	maxProbeInterval = 4 * time.Second
+	// probesPerSecond bounds the probes of the whole fleet. A small fleet therefore probes at
+	// shorter intervals and detects the end of an outage sooner, which its callers wait for.
 	probesPerSecond = 60
 )
 
-// Breaker keeps calls from an object API that does not answer.
+// Breaker is a circuit breaker for calls to the object API.
 //
-// Load: every instance has calls to make during an outage, and more the longer
-// it lasts. Harm prevented: a busy loop during it, and all of them at once at
-// its end. Only one call at a time goes through as a probe, after intervals
-// that grow and that chance spreads over the instances. It is pure: time and
-// chance are arguments.
+// During an outage every instance has calls to make, and more of them the longer it lasts. Without
+// the breaker, instances would retry in a busy loop during the outage and all send at once when it
+// ends. An open breaker lets through one call at a time as a probe, at exponentially growing
+// intervals that are randomised across the instances.
+//
+// The time and random numbers are arguments. A Breaker is not safe for concurrent use.
 type Breaker struct {
 	failures  int
-	nextTry   time.Time
+	nextProbe time.Time
 	probing   bool
 	instances int
 }
 
-// SetInstances sets the number of instances that probe.
+// SetInstances sets the number of instances that share the fleet's rate of probes.
 func (b *Breaker) SetInstances(n int) { b.instances = n }
 
-// longest is the longest time between two probes of this instance.
-func (b *Breaker) longest() time.Duration {
+// maxInterval returns the longest time between two probes of this instance.
+func (b *Breaker) maxInterval() time.Duration {
 	share := time.Duration(b.instances) * time.Second / probesPerSecond
-	return min(max(share, firstProbe), longestProbe)
+	return min(max(share, minProbeInterval), maxProbeInterval)
 }
 
-// Allow reports whether a call may be sent now.
+// Allow reports whether a call may be sent now. While the breaker is open, it allows one probe per
+// interval.
 func (b *Breaker) Allow(now time.Time) bool {
 	if b.failures < openAfter {
 		return true
 	}
-	if now.Before(b.nextTry) {
+	if now.Before(b.nextProbe) {
 		return false
 	}
-	// The next probe waits until this one had its time.
-	b.nextTry = now.Add(b.interval())
+	// The next probe is due only after this one has had a whole interval to complete.
+	b.nextProbe = now.Add(b.interval())
 	b.probing = true
 	return true
 }
 
-// Open reports whether calls are being kept back.
+// Open reports whether the breaker is open, so that only probes may be sent.
 func (b *Breaker) Open() bool { return b.failures >= openAfter }
 
-// Succeeded says that the object API has answered, be it with a refusal.
+// Succeeded closes the breaker. It is called after a call that was answered, even with an error
+// status.
 func (b *Breaker) Succeeded() { b.failures, b.probing = 0, false }
 
-// Failed says that it has not. chance is in [0, 1).
-func (b *Breaker) Failed(now time.Time, chance float64) {
+// Failed is called after a call that was not answered. random is in [0, 1).
+func (b *Breaker) Failed(now time.Time, random float64) {
 	if b.Open() && !b.probing {
-		// Calls that were under way together are one sign, not many.
+		// The call was in flight when the breaker opened. Calls that fail together must not
+		// lengthen the interval as often as there are calls.
 		return
 	}
 	b.probing = false
 	b.failures++
-	b.nextTry = now.Add(jitter(b.interval(), chance))
+	b.nextProbe = now.Add(jitter(b.interval(), random))
 }
 
+// interval returns the time to the next probe, which doubles with each failure since the breaker
+// opened.
 func (b *Breaker) interval() time.Duration {
-	longest, d := b.longest(), firstProbe
-	for i := openAfter; i < b.failures && d < longest; i++ {
+	maxInterval, d := b.maxInterval(), minProbeInterval
+	for i := openAfter; i < b.failures && d < maxInterval; i++ {
 		d *= 2
 	}
-	return min(d, longest)
+	return min(d, maxInterval)
 }
 
-// jitter returns a part of d between a half and the whole and a half.
-func jitter(d time.Duration, chance float64) time.Duration {
-	return d/2 + time.Duration(chance*float64(d))
+// jitter returns a duration between d/2 and 3*d/2; random is in [0, 1).
+func jitter(d time.Duration, random float64) time.Duration {
+	return d/2 + time.Duration(random*float64(d))
 }
--- a/objectapi/budget_test.go
+++ b/objectapi/budget_test.go
@@ -9,10 +9,10 @@
 
 var start = time.Date(2026, 12, 1, 8, 0, 0, 0, time.UTC)
 
-// A fleet restarts and every instance wants to read at once. However many
-// there are and whenever they ask, the object API never gets more than its
-// rate and one burst of each, or it would refuse calls of all of them.
-func TestBudgetKeepsTheFleetInsideItsRate(t *testing.T) {
+// Guards against exceeding the object API's rate, upon which it rejects calls of all instances: when
+// a fleet restarts, every instance wants to read at once. Whatever the number of instances and the
+// times of their calls, each may send no more than its share of the rate and one burst.
+func TestBudgetKeepsFleetWithinRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(1, 400).Draw(t, "instances")
 		b := NewBudget(Rates{Reads: 1000, Writes: 200})
@@ -30,7 +30,7 @@
 		share := 1000 / float64(instances)
 		allowed := max(share, readBurst) + share*last.Sub(start).Seconds()
 		if float64(taken) > allowed+1e-6 {
-			t.Fatalf("%d calls by %v, %.2f are this instance's share", taken, last.Sub(start), allowed)
+			t.Fatalf("%d calls within %v, this instance's share is %.2f", taken, last.Sub(start), allowed)
 		}
 	})
 }
@@ -42,20 +42,19 @@
 	return b
 }
 
-func TestWaitingWatchesCountAsCalls(t *testing.T) {
+func TestOpenWatchesReduceReadRate(t *testing.T) {
 	b := NewBudget(Rates{Reads: 80, Writes: 8})
 	b.SetInstances(8)
 	b.SetWaiting(4)
 	if got := b.reads.rate; got != 6 {
-		t.Fatalf("%v reads a second are left of 10 with 4 watches, want 6", got)
+		t.Fatalf("%v of 10 reads per second left with 4 open watches, want 6", got)
 	}
 }
 
-// During an outage every call that is tried costs its caller a timeout and the
-// object API a connection. Calls are kept back but for probes whose intervals
-// grow, up to a bound that keeps the whole fleet's probes few. The first answer
-// lets all calls through again.
-func TestBreakerProbesRarely(t *testing.T) {
+// Guards against sending calls during an outage, each of which costs its caller a timeout and the
+// object API a connection. Only probes may be sent, at intervals that grow up to a limit that bounds
+// the probes of the whole fleet. The first answer has to let all calls through again.
+func TestOpenBreakerLimitsProbes(t *testing.T) {
 	for _, c := range []struct{ instances, most int }{{8, 305}, {60, 66}, {360, 25}} {
 		b := Breaker{instances: c.instances}
 		now, sent := start, 0
@@ -67,25 +66,25 @@
 			now = now.Add(10 * time.Millisecond)
 		}
 		if sent > c.most {
-			t.Fatalf("%d instances: %d calls of each in a minute of outage, want %d at most", c.instances, sent, c.most)
+			t.Fatalf("%d instances: %d calls by each in a one-minute outage, want at most %d", c.instances, sent, c.most)
 		}
 		b.Succeeded()
 		for range 2 {
 			if !b.Allow(now) {
-				t.Fatal("calls are kept back after the object API has answered")
+				t.Fatal("calls are held back after the object API has answered")
 			}
 		}
 	}
 }
 
-// Twenty calls are under way when the object API goes away. They fail together
-// and tell no more than one does, so the first probe still comes soon.
-func TestBreakerCountsFailuresTogetherAsOne(t *testing.T) {
+// Guards against calls that fail together lengthening the probe interval once for each call: after
+// an outage that begins with 20 calls in flight, the first probe still has to come soon.
+func TestBreakerIgnoresFailuresOfCallsInFlight(t *testing.T) {
 	var b Breaker
 	for range 20 {
 		b.Failed(start, 0.5)
 	}
-	if !b.Allow(start.Add(firstProbe)) {
+	if !b.Allow(start.Add(minProbeInterval)) {
 		t.Fatal("no probe after the first interval")
 	}
 }
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -19,46 +19,46 @@
 )
 
 const (
-	// readTries bounds the attempts of one read. Their pauses add up to less
-	// than half a second, so that a caller hears of an outage soon.
-	readTries = 3
-	// retryPause is the pause before the first repetition; it doubles.
-	retryPause = 50 * time.Millisecond
-	// idleConnection bounds how long an unused connection is kept. Something
-	// between the two ends may forget a connection that rests.
-	idleConnection = 5 * time.Second
-	// firstLimit and limitFactor shape the time of a call's first attempt:
-	// so many times the usual time of an answer, and no less than the limit.
-	firstLimit  = 300 * time.Millisecond
-	limitFactor = 8
-	// headerInstance names the caller to the object API's operators.
+	// maxReadAttempts bounds the attempts of one read. The backoffs between them add up to less
+	// than half a second, so that the caller soon gets the error of an outage.
+	maxReadAttempts = 3
+	// baseBackoff is the time before the first retry, before jitter. It doubles with each retry.
+	baseBackoff = 50 * time.Millisecond
+	// maxIdleTime is how long an unused connection is kept. A middlebox on the path may drop the
+	// state of an idle connection.
+	maxIdleTime = 5 * time.Second
+	// The timeout of a call's first attempt is latencyFactor times the recent response time, and
+	// at least minFirstTimeout.
+	minFirstTimeout = 300 * time.Millisecond
+	latencyFactor   = 8
+	// headerInstance carries the name of the calling instance, for the object API's operators.
 	headerInstance = "X-Instance"
 )
 
-// Config says how to reach the object API.
+// Config configures a Client.
 type Config struct {
 	// Address is IP:port.
 	Address string
-	// Instance names this instance; it may be empty.
+	// Instance is the name of this instance; it may be empty.
 	Instance string
 	// Timeout bounds one attempt of a call.
 	Timeout time.Duration
-	// Fleet is the part of the object API's rates that the whole fleet may
-	// use. Zero fields mean no limit.
+	// Fleet is the part of the object API's rates that the whole fleet may use. A rate of 0 means
+	// no limit.
 	Fleet Rates
-	// Silence bounds how long a watch may bring nothing, not even a heartbeat;
-	// 0 means three seconds, three heartbeats.
+	// Silence is the time after which a watch fails if it receives neither a change nor a
+	// heartbeat; 0 means 3 s, which is three heartbeats.
 	Silence time.Duration
 }
 
 const (
 	defaultSilence = 3 * time.Second
-	// noLimit is a rate that nothing here can reach.
+	// noLimit is a rate that is never reached.
 	noLimit = 1e9
 )
 
-// Client reaches the object API over HTTP and JSON. It counts every call and
-// waiting watch against a budget, and keeps calls back during an outage.
+// Client implements Store over HTTP and JSON. It counts every call and open watch against a Budget,
+// and holds calls back during an outage by a Breaker. It is safe for concurrent use.
 type Client struct {
 	cfg  Config
 	http *fasthttp.HostClient
@@ -66,9 +66,10 @@
 	mu      sync.Mutex
 	budget  *Budget
 	breaker Breaker
-	waiting int
-	// usual follows the time of answers: up at once, down slowly.
-	usual time.Duration
+	// watches is the number of open watches.
+	watches int
+	// latency estimates the response time. It rises at once and falls slowly.
+	latency time.Duration
 }
 
 // NewClient returns a client of the object API.
@@ -90,27 +91,27 @@
 			Dial:                      func(addr string) (net.Conn, error) { return dial(addr, cfg.Timeout) },
 			MaxIdemponentCallAttempts: 1,
 			RetryIfErr:                neverRetry,
-			MaxIdleConnDuration:       idleConnection,
+			MaxIdleConnDuration:       maxIdleTime,
 			MaxResponseBodySize:       maxResponseBytes,
 		},
 		budget: NewBudget(cfg.Fleet),
 	}
 }
 
-// maxResponseBytes bounds a listing: all records at the largest fleet are a
+// maxResponseBytes bounds the size of a response. A listing of all records of the largest fleet has a
 // few megabytes.
 const maxResponseBytes = 64 << 20
 
-// neverRetry keeps the HTTP library from repeating a call on its own: a
-// repeated conditional write would report a conflict with itself.
+// neverRetry keeps the HTTP library from retrying a call by itself: a conditional write that is
+// repeated would conflict with its own first attempt.
 func neverRetry(*fasthttp.Request, int, error) (bool, bool) { return false, false }
 
-// notSentError marks a call of which no byte has left.
+// notSentError marks a call of which no byte was sent.
 type notSentError struct{ error }
 
 func (e notSentError) Unwrap() error { return e.error }
 
-// wasSent reports whether the object API may have seen the call.
+// wasSent reports whether the object API may have received the call.
 func wasSent(err error) bool {
 	var e notSentError
 	return !errors.As(err, &e)
@@ -124,7 +125,7 @@
 	return conn, nil
 }
 
-// SetLiveInstances says how many instances share the object API's rates.
+// SetLiveInstances sets the number of instances that share the object API's rates.
 func (c *Client) SetLiveInstances(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -132,7 +133,8 @@
 	c.breaker.SetInstances(n)
 }
 
-// Reachable reports whether the last calls were answered.
+// Reachable reports whether the object API has answered recent calls. It is false while the breaker
+// is open.
 func (c *Client) Reachable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -153,7 +155,7 @@
 	return l, err
 }
 
-// Instances reads the list of live and leaving instances.
+// Instances reads the list of live and leaving instances, see InstanceEntry.
 func (c *Client) Instances(ctx context.Context) ([]InstanceEntry, error) {
 	var list []InstanceEntry
 	err := c.read(ctx, call{op: "instances", path: "/instances"}, &list)
@@ -164,7 +166,7 @@
 	return "/objects/" + url.PathEscape(kind) + "/" + url.PathEscape(name)
 }
 
-// call is one call of the object API.
+// call is one call to the object API.
 type call struct {
 	// op labels the call's counters.
 	op     string
@@ -172,56 +174,57 @@
 	path   string
 	body   []byte
 	write  bool
-	// limit bounds one attempt; 0 means Config.Timeout.
-	limit time.Duration
+	// timeout bounds one attempt; 0 means Config.Timeout.
+	timeout time.Duration
 }
 
-// attemptLimit bounds an attempt. The first one may go out on a connection that
-// something in between has forgotten: the call would notice nothing but silence
-// until its timeout, though a new connection works. So the first is given up
-// early, unless the object API has been slow of late.
-func (c *Client) attemptLimit(try int) time.Duration {
+// attemptTimeout returns the timeout of an attempt, numbered from 1. The first one may use a
+// connection whose state a middlebox has dropped: the call would get no answer until Config.Timeout,
+// though a new connection works. The first attempt therefore has a shorter timeout, unless the object
+// API has answered slowly of late.
+func (c *Client) attemptTimeout(try int) time.Duration {
 	if try > 1 {
 		return c.cfg.Timeout
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return min(max(limitFactor*c.usual, firstLimit), c.cfg.Timeout)
+	return min(max(latencyFactor*c.latency, minFirstTimeout), c.cfg.Timeout)
 }
 
-// answeredAfter takes the time of an answer into the usual one.
-func (c *Client) answeredAfter(d time.Duration) {
+// recordLatency updates the latency estimate with one response time.
+func (c *Client) recordLatency(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.usual = max(d, c.usual-c.usual/16)
+	c.latency = max(d, c.latency-c.latency/16)
 }
 
-// read repeats a read a few times. Reading twice harms nobody.
+// read makes up to maxReadAttempts attempts at a read, which is idempotent.
 func (c *Client) read(ctx context.Context, k call, out any) error {
 	k.method = fasthttp.MethodGet
 	for try := 1; ; try++ {
-		k.limit = c.attemptLimit(try)
+		k.timeout = c.attemptTimeout(try)
 		err := c.once(ctx, k, out)
-		if err == nil || !retriable(err) || try == readTries || !c.Reachable() {
+		if err == nil || !retriable(err) || try == maxReadAttempts || !c.Reachable() {
 			return err
 		}
-		if pause(ctx, try) != nil {
+		if backoff(ctx, try) != nil {
 			return err
 		}
 	}
 }
 
-// retriable reports whether another attempt may end otherwise.
+// retriable reports whether another attempt may succeed.
 func retriable(err error) bool {
 	return fault.Is(err, fault.Unavailable) || fault.Is(err, fault.RateLimited)
 }
 
-// pause waits before the attempt after the given one.
-func pause(ctx context.Context, try int) error {
-	return clock.Sleep(ctx, jitter(retryPause<<(try-1), rand.Float64()))
+// backoff waits before the retry that follows the given attempt.
+func backoff(ctx context.Context, try int) error {
+	return clock.Sleep(ctx, jitter(baseBackoff<<(try-1), rand.Float64()))
 }
 
-// admit waits for the budget and asks the breaker.
+// admit waits until the budget allows the call. It fails if the breaker is open or the wait would be
+// too long.
 func (c *Client) admit(ctx context.Context, k call) error {
 	limit := c.cfg.Timeout
 	if d, ok := ctx.Deadline(); ok {
@@ -241,7 +244,7 @@
 	c.mu.Unlock()
 	if !ok {
 		counter("over_budget", k.op).Inc()
-		return fault.New(fault.RateLimited, "raise platform.reads_per_second or writes_per_second", "%s: over this instance's share of the object API", k.op)
+		return fault.New(fault.RateLimited, "raise platform.reads_per_second or writes_per_second", "%s: over this instance's share of the object API's rate", k.op)
 	}
 	if err := clock.Sleep(ctx, wait); err != nil {
 		return fault.Wrap(err, fault.Unavailable, "allow the call more time", "%s", k.op)
@@ -249,10 +252,10 @@
 	return nil
 }
 
-// once makes one attempt.
+// once makes one attempt. Its error is a notSentError if the call was not admitted.
 func (c *Client) once(ctx context.Context, k call, out any) error {
-	if k.limit == 0 {
-		k.limit = c.cfg.Timeout
+	if k.timeout == 0 {
+		k.timeout = c.cfg.Timeout
 	}
 	if err := c.admit(ctx, k); err != nil {
 		return notSentError{err}
@@ -260,8 +263,9 @@
 	counter("calls", k.op).Inc()
 	start := time.Now()
 	err := c.exchange(ctx, k, out)
-	if k.limit < c.cfg.Timeout && errors.Is(err, fasthttp.ErrTimeout) && ctx.Err() == nil {
-		// An attempt that was given up early says nothing of the object API.
+	if k.timeout < c.cfg.Timeout && errors.Is(err, fasthttp.ErrTimeout) && ctx.Err() == nil {
+		// A timeout this short does not show that the object API is down, so it does not count
+		// for the breaker.
 		counter("given_up_early", k.op).Inc()
 		return err
 	}
@@ -270,11 +274,11 @@
 		counter("failures", k.op).Inc()
 		return err
 	}
-	c.answeredAfter(time.Since(start))
+	c.recordLatency(time.Since(start))
 	return nil
 }
 
-// observe tells the breaker how an attempt ended.
+// observe reports the result of an attempt to the breaker.
 func (c *Client) observe(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -285,18 +289,19 @@
 	c.breaker.Succeeded()
 }
 
+// exchange sends one request and decodes the response into out, unless that is nil.
 func (c *Client) exchange(ctx context.Context, k call, out any) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
 	c.prepare(req, k)
-	deadline := time.Now().Add(k.limit)
+	deadline := time.Now().Add(k.timeout)
 	if d, ok := ctx.Deadline(); ok && d.Before(deadline) {
 		deadline = d
 	}
 	if err := c.http.DoDeadline(req, resp, deadline); err != nil {
-		// The other connections may have been forgotten by the same thing in
-		// between, so the next attempt must not try them one after the other.
+		// The same middlebox may have dropped the state of the other idle connections, so the
+		// next attempts must not try them one after the other.
 		c.http.CloseIdleConnections()
 		if errors.Is(err, fasthttp.ErrNoFreeConns) {
 			err = notSentError{err}
@@ -315,6 +320,7 @@
 	return nil
 }
 
+// prepare sets the method, URI, header and body of the request.
 func (c *Client) prepare(req *fasthttp.Request, k call) {
 	req.SetRequestURI("http://" + c.cfg.Address + k.path)
 	req.Header.SetMethod(k.method)
@@ -324,6 +330,7 @@
 	req.SetBodyRaw(k.body)
 }
 
+// statusFault returns the error for a status of the object API, or nil for 200.
 func statusFault(status int, k call) error {
 	switch status {
 	case fasthttp.StatusOK:
@@ -342,11 +349,12 @@
 	return fault.New(fault.Unavailable, "check that the object API runs", "%s %s: status %d", k.method, k.path, status)
 }
 
-func counter(what, op string) *metrics.Counter {
-	return metrics.GetOrCreateCounter(fmt.Sprintf("sardinedock_objectapi_%s_total{op=%q}", what, op))
+// counter returns the counter of an event of calls of the operation op.
+func counter(event, op string) *metrics.Counter {
+	return metrics.GetOrCreateCounter(fmt.Sprintf("sardinedock_objectapi_%s_total{op=%q}", event, op))
 }
 
-// ClientDump is the client's part of the state dump.
+// ClientDump is the client's part of an instance's state dump.
 type ClientDump struct {
 	Reachable       bool    `json:"reachable"`
 	WaitingWatches  int     `json:"waiting_watches"`
@@ -361,7 +369,7 @@
 	defer c.mu.Unlock()
 	return ClientDump{
 		Reachable:       !c.breaker.Open(),
-		WaitingWatches:  c.waiting,
+		WaitingWatches:  c.watches,
 		LiveInstances:   c.budget.instances,
 		ReadsPerSecond:  c.budget.reads.rate,
 		WritesPerSecond: c.budget.writes.rate,
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -14,7 +14,7 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// startStore returns a store and a client that gives up soon.
+// startStore starts an emulated store and returns it with a client that has short timeouts.
 func startStore(t *testing.T, cfg emulator.StoreConfig) (*emulator.Store, *objectapi.Client) {
 	t.Helper()
 	s, err := emulator.StartStoreWith("127.0.0.1:0", cfg)
@@ -27,13 +27,14 @@
 	})
 }
 
+// object returns an object of kind leases.
 func object(name, value string) objectapi.Object {
 	return objectapi.Object{Kind: "leases", Name: name, Value: []byte(value)}
 }
 
-// The object API applies a write and the reply is lost. The writer must learn
-// that it was its own write, or it would take its own lease for another's.
-func TestLostReplyIsSettledByReadingBack(t *testing.T) {
+// Guards against a writer that takes its own lease for another's: the object API applies a write and
+// the reply is lost. The writer has to find out by reading back that the write was its own.
+func TestLostReplyIsResolvedByReadingBack(t *testing.T) {
 	for _, silently := range []bool{false, true} {
 		s, c := startStore(t, emulator.StoreConfig{})
 		s.SetFaults(emulator.StoreFaults{LoseNext: 1, LoseSilently: silently})
@@ -44,10 +45,10 @@
 	}
 }
 
-// The reply to a write is lost, and before it is read back another writer has
-// changed the object. Nobody can say any more whether the first write was
-// there, so the word must be unknown: neither success nor conflict is true.
-func TestLostReplyThatWasOverwrittenIsUnknown(t *testing.T) {
+// Guards against reporting success or a conflict for a write whose reply was lost and whose object
+// was changed by another writer before it was read back. It can't be determined any more whether the
+// write took effect, so the error must have kind fault.Unknown.
+func TestLostReplyAndOverwriteIsUnknownOutcome(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -67,9 +68,9 @@
 	}
 }
 
-// Two operators edit one record at the same time. One wins and the other sees
-// the conflict.
-func TestRacingEditsOneWins(t *testing.T) {
+// Guards against a lost update: of two concurrent edits of one record, one must succeed and the other
+// must fail with a conflict.
+func TestConcurrentEditsOneSucceeds(t *testing.T) {
 	s, c := startStore(t, emulator.StoreConfig{})
 	first := s.Set("classes", "quote", []byte("1"))
 	results := make([]error, 2)
@@ -80,16 +81,16 @@
 		})
 	}
 	wg.Wait()
-	won := 0
+	succeeded := 0
 	for _, err := range results {
 		if err == nil {
-			won++
+			succeeded++
 		} else if !fault.Is(err, fault.Conflict) {
 			t.Fatalf("got %v, want a conflict", err)
 		}
 	}
-	if won != 1 {
-		t.Fatalf("%d edits won, want 1", won)
+	if succeeded != 1 {
+		t.Fatalf("%d edits succeeded, want 1", succeeded)
 	}
 }
 
@@ -101,13 +102,13 @@
 	}
 	s.SetFaults(emulator.StoreFaults{LoseNext: 1})
 	if err := c.Delete(context.Background(), "leases", "a", version); err != nil {
-		t.Fatalf("the lost reply of a delete was not settled: %v", err)
+		t.Fatalf("retry after the lost reply of a delete: %v", err)
 	}
 }
 
-// Something between instance and object API forgets the open connections: they
-// are silent for good. A read must find a new one by itself.
-func TestReadLeavesASilentConnection(t *testing.T) {
+// Guards against a read that fails because a middlebox has dropped the state of the open connections,
+// which then stay unresponsive. The read has to be retried on a new connection.
+func TestReadIsRetriedOnNewConnection(t *testing.T) {
 	s, c := startStore(t, emulator.StoreConfig{})
 	s.Set("leases", "a", []byte("x"))
 	if _, err := c.Get(context.Background(), "leases", "a"); err != nil {
@@ -115,14 +116,14 @@
 	}
 	s.SilenceOpen()
 	if _, err := c.Get(context.Background(), "leases", "a"); err != nil {
-		t.Fatalf("the read did not change its connection: %v", err)
+		t.Fatalf("the read was not retried on a new connection: %v", err)
 	}
 }
 
-// The open connections are forgotten while the object API answers on new ones.
-// A call must not wait for its whole timeout, which is far longer here than the
-// test may take, and the object API must not pass for down.
-func TestSilentConnectionDoesNotCostTheTimeout(t *testing.T) {
+// Guards against a call that waits for its whole timeout on an unresponsive connection, and against
+// taking the object API for down, while it answers on new connections. The timeout is far longer here
+// than the test may run.
+func TestUnresponsiveConnectionDoesNotUseWholeTimeout(t *testing.T) {
 	s, _ := startStore(t, emulator.StoreConfig{})
 	c := objectapi.NewClient(objectapi.Config{Address: s.Addr(), Timeout: time.Hour})
 	for expected := objectapi.Version(0); expected < 4; expected++ {
@@ -133,13 +134,13 @@
 		s.SilenceOpen()
 	}
 	if !c.Reachable() {
-		t.Fatal("the object API passes for down")
+		t.Fatal("the object API counts as down")
 	}
 }
 
-// The object API becomes slow for long. Giving up early at each call would
-// double its load when it can bear that least.
-func TestSlowAnswersAreWaitedFor(t *testing.T) {
+// Guards against retrying every call early while the object API is slow for a long time, which would
+// double its load when it is least able to bear it.
+func TestFirstTimeoutAdaptsToSlowAnswers(t *testing.T) {
 	s, _ := startStore(t, emulator.StoreConfig{})
 	c := objectapi.NewClient(objectapi.Config{Address: s.Addr(), Timeout: time.Minute})
 	s.SetFaults(emulator.StoreFaults{SlowMS: 400})
@@ -150,13 +151,13 @@
 		}
 	}
 	if reads, _ := s.Calls(); reads >= 2*calls {
-		t.Fatalf("%d reads for %d calls: each was repeated", reads, calls)
+		t.Fatalf("%d reads for %d calls: every call was retried", reads, calls)
 	}
 }
 
-// A watch's connection is forgotten by something in between. Without
-// heartbeats the watch must end, so that it is opened again where it stood.
-func TestSilentWatchEndsAndResumes(t *testing.T) {
+// Guards against a watch that waits forever on a connection whose state a middlebox has dropped.
+// Without heartbeats the watch has to fail, so that it can be reopened from its last version.
+func TestWatchWithoutHeartbeatsFailsAndResumes(t *testing.T) {
 	s, c := startStore(t, emulator.StoreConfig{Heartbeat: 20 * time.Millisecond})
 	w, err := c.Watch(context.Background(), "classes", 0)
 	if err != nil {
@@ -170,19 +171,19 @@
 	s.SilenceOpen()
 	missed := s.Set("classes", "quote", []byte("2"))
 	if obj, err := w.Next(); err == nil {
-		t.Fatalf("got %+v from a silent connection", obj)
+		t.Fatalf("got %+v from an unresponsive connection", obj)
 	}
-	again, err := c.Watch(context.Background(), "classes", version)
+	reopened, err := c.Watch(context.Background(), "classes", version)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer again.Close()
-	if obj, err := again.Next(); err != nil || obj.Version != missed {
+	defer reopened.Close()
+	if obj, err := reopened.Next(); err != nil || obj.Version != missed {
 		t.Fatalf("got %+v, %v; want the missed change", obj, err)
 	}
 }
 
-func TestWatchOfAForgottenVersionIsExpired(t *testing.T) {
+func TestWatchFromDroppedVersionIsExpired(t *testing.T) {
 	s, c := startStore(t, emulator.StoreConfig{History: 2})
 	for range 5 {
 		s.Set("classes", "quote", nil)
@@ -200,22 +201,22 @@
 		t.Fatal(err)
 	}
 	if got := c.Dump().WaitingWatches; got != 1 {
-		t.Fatalf("%d waiting watches are counted, want 1", got)
+		t.Fatalf("%d open watches counted, want 1", got)
 	}
 	cancel()
 	if _, err := w.Next(); err == nil {
-		t.Fatal("the watch went on")
+		t.Fatal("the watch did not end")
 	}
 	w.Close()
 	if got := c.Dump().WaitingWatches; got != 0 {
-		t.Fatalf("%d waiting watches are counted, want 0", got)
+		t.Fatalf("%d open watches counted, want 0", got)
 	}
 	_ = s
 }
 
-// The object API is down for long. Callers are told at once, and the object
-// API hears next to nothing of them until it is back.
-func TestOutageIsNotHammered(t *testing.T) {
+// Guards against loading the object API with calls during a long outage: calls have to fail at once,
+// and hardly any may be sent until the object API is back.
+func TestFewCallsAreSentDuringOutage(t *testing.T) {
 	s, c := startStore(t, emulator.StoreConfig{})
 	c.SetLiveInstances(360)
 	s.SetFaults(emulator.StoreFaults{Outage: emulator.OutageRefuse})
@@ -225,10 +226,10 @@
 		}
 	}
 	if reads, _ := s.Calls(); reads > 20 {
-		t.Fatalf("%d calls reached the object API, want 20 at most", reads)
+		t.Fatalf("%d calls reached the object API, want at most 20", reads)
 	}
 	if c.Reachable() {
-		t.Fatal("the object API passes for reachable")
+		t.Fatal("the object API counts as reachable during the outage")
 	}
 	s.SetFaults(emulator.StoreFaults{})
 	s.Set("leases", "a", []byte("x"))
@@ -239,6 +240,6 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	if !c.Reachable() {
-		t.Fatal("the object API passes for down after an answer")
+		t.Fatal("the object API counts as down after an answer")
 	}
 }
--- a/objectapi/objecttest/storetest.go
+++ b/objectapi/objecttest/storetest.go
@@ -1,5 +1,5 @@
-// Package objecttest is the object API in memory, for tests that run in
-// virtual time and so without sockets.
+// Package objecttest provides an in-memory implementation of the object API, for tests that run in
+// virtual time and therefore can't use sockets.
 package objecttest
 
 import (
@@ -11,48 +11,53 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// Store implements objectapi.Store. The zero value is empty and ready.
+// Store implements objectapi.Store. The zero value is an empty store that is ready to use. It is safe
+// for concurrent use.
 type Store struct {
 	mu      sync.Mutex
 	version objectapi.Version
+	// history has all changes, in order.
 	history []objectapi.Object
+	// changed is closed at the next change; it is nil while no watch waits.
 	changed chan struct{}
 	entries []objectapi.InstanceEntry
 
-	down      bool
-	loseNext  int
+	down bool
+	// loseNext is the number of next writes whose replies are lost.
+	loseNext int
+	// forgotten is the version from which watches can start at the earliest.
 	forgotten objectapi.Version
 	counts    Counts
 }
 
-// Counts is how often each call was made.
+// Counts has the number of calls of each method.
 type Counts struct {
 	Gets, Lists, Puts, Watches int
 }
 
 var _ objectapi.Store = (*Store)(nil)
 
-// SetDown starts or ends an outage, in which all calls fail and watches end.
+// SetDown starts or ends an outage, during which all calls fail and watches end.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	s.tell()
+	s.notifyWatches()
 }
 
-// LoseReplies lets the next n writes take effect and fail with fault.Unknown.
+// LoseReplies makes the next n writes take effect but return fault.Unknown.
 func (s *Store) LoseReplies(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loseNext = n
 }
 
-// Forget makes watches from versions before the current one expire.
+// Forget makes new watches from versions before the current one fail with fault.Expired.
 func (s *Store) Forget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = s.version
-	s.tell()
+	s.notifyWatches()
 }
 
 // SetInstances replaces the list of instances.
@@ -62,50 +67,53 @@
 	s.entries = entries
 }
 
-// Counts returns how often each call was made.
+// Counts returns the number of calls of each method so far.
 func (s *Store) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counts
 }
 
-// Set stores a value without a condition.
+// Set stores a value unconditionally.
 func (s *Store) Set(kind, name string, value []byte) objectapi.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.record(objectapi.Object{Kind: kind, Name: name, Value: value})
+	return s.appendChange(objectapi.Object{Kind: kind, Name: name, Value: value})
 }
 
-// Remove deletes an object without a condition.
+// Remove deletes an object unconditionally.
 func (s *Store) Remove(kind, name string) objectapi.Version {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.record(objectapi.Object{Kind: kind, Name: name, Deleted: true})
+	return s.appendChange(objectapi.Object{Kind: kind, Name: name, Deleted: true})
 }
 
-func (s *Store) record(obj objectapi.Object) objectapi.Version {
+// appendChange adds a change at the next version. The caller holds s.mu.
+func (s *Store) appendChange(obj objectapi.Object) objectapi.Version {
 	s.version++
 	obj.Version = s.version
 	s.history = append(s.history, obj)
-	s.tell()
+	s.notifyWatches()
 	return s.version
 }
 
-func (s *Store) tell() {
+// notifyWatches wakes the waiting watches. The caller holds s.mu.
+func (s *Store) notifyWatches() {
 	if s.changed != nil {
 		close(s.changed)
 		s.changed = nil
 	}
 }
 
-// next is closed at the next change.
-func (s *Store) next() chan struct{} {
+// nextChange returns a channel that is closed at the next change. The caller holds s.mu.
+func (s *Store) nextChange() chan struct{} {
 	if s.changed == nil {
 		s.changed = make(chan struct{})
 	}
 	return s.changed
 }
 
+// find returns the last change of an object and whether the object exists.
 func (s *Store) find(kind, name string) (objectapi.Object, bool) {
 	for i := len(s.history) - 1; i >= 0; i-- {
 		if obj := s.history[i]; obj.Kind == kind && obj.Name == name {
@@ -115,7 +123,8 @@
 	return objectapi.Object{}, false
 }
 
-func (s *Store) outage(ctx context.Context) error {
+// checkReachable returns an error during an outage or after ctx has ended.
+func (s *Store) checkReachable(ctx context.Context) error {
 	if s.down || ctx.Err() != nil {
 		return fault.New(fault.Unavailable, "end the outage", "the object API is down")
 	}
@@ -127,7 +136,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Gets++
-	if err := s.outage(ctx); err != nil {
+	if err := s.checkReachable(ctx); err != nil {
 		return objectapi.Object{}, err
 	}
 	obj, ok := s.find(kind, name)
@@ -142,7 +151,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Lists++
-	if err := s.outage(ctx); err != nil {
+	if err := s.checkReachable(ctx); err != nil {
 		return objectapi.Listing{}, err
 	}
 	last := map[string]objectapi.Object{}
@@ -166,26 +175,28 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Puts++
-	if err := s.condition(ctx, obj.Kind, obj.Name, expected); err != nil {
+	if err := s.checkVersion(ctx, obj.Kind, obj.Name, expected); err != nil {
 		return 0, err
 	}
 	obj.Deleted = false
-	return s.reply(s.record(obj))
+	return s.reply(s.appendChange(obj))
 }
 
 // Delete implements objectapi.Store.
 func (s *Store) Delete(ctx context.Context, kind, name string, expected objectapi.Version) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.condition(ctx, kind, name, expected); err != nil {
+	if err := s.checkVersion(ctx, kind, name, expected); err != nil {
 		return err
 	}
-	_, err := s.reply(s.record(objectapi.Object{Kind: kind, Name: name, Deleted: true}))
+	_, err := s.reply(s.appendChange(objectapi.Object{Kind: kind, Name: name, Deleted: true}))
 	return err
 }
 
-func (s *Store) condition(ctx context.Context, kind, name string, expected objectapi.Version) error {
-	if err := s.outage(ctx); err != nil {
+// checkVersion returns an error unless the object's version equals expected; 0 means that it does not
+// exist.
+func (s *Store) checkVersion(ctx context.Context, kind, name string, expected objectapi.Version) error {
+	if err := s.checkReachable(ctx); err != nil {
 		return err
 	}
 	var current objectapi.Version
@@ -193,11 +204,12 @@
 		current = obj.Version
 	}
 	if current != expected {
-		return fault.New(fault.Conflict, "read it again", "%s/%s stands at version %d", kind, name, current)
+		return fault.New(fault.Conflict, "read it again", "%s/%s is at version %d", kind, name, current)
 	}
 	return nil
 }
 
+// reply returns the result of a write, which is an error if its reply is to be lost.
 func (s *Store) reply(version objectapi.Version) (objectapi.Version, error) {
 	if s.loseNext > 0 {
 		s.loseNext--
@@ -210,7 +222,7 @@
 func (s *Store) Instances(ctx context.Context) ([]objectapi.InstanceEntry, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.entries, s.outage(ctx)
+	return s.entries, s.checkReachable(ctx)
 }
 
 // Watch implements objectapi.Store.
@@ -218,20 +230,21 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Watches++
-	if err := s.outage(ctx); err != nil {
+	if err := s.checkReachable(ctx); err != nil {
 		return nil, err
 	}
 	if from < s.forgotten {
-		return nil, fault.New(fault.Expired, "list again", "version %d is forgotten", from)
+		return nil, fault.New(fault.Expired, "list again", "version %d is no longer in the history", from)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	return &watch{store: s, kind: kind, at: from, ctx: ctx, cancel: cancel}, nil
+	return &watch{store: s, kind: kind, last: from, ctx: ctx, cancel: cancel}, nil
 }
 
 type watch struct {
-	store  *Store
-	kind   string
-	at     objectapi.Version
+	store *Store
+	kind  string
+	// last is the version of the last change returned.
+	last   objectapi.Version
 	ctx    context.Context
 	cancel context.CancelFunc
 }
@@ -239,7 +252,7 @@
 // Next implements objectapi.Watch.
 func (w *watch) Next() (objectapi.Object, error) {
 	for {
-		obj, changed, err := w.look()
+		obj, changed, err := w.poll()
 		if err != nil || changed == nil {
 			return obj, err
 		}
@@ -251,21 +264,21 @@
 	}
 }
 
-// look returns the next change, or a channel that tells when to look again.
-func (w *watch) look() (objectapi.Object, chan struct{}, error) {
+// poll returns the next change or, if there is none yet, a channel that is closed at the next change.
+func (w *watch) poll() (objectapi.Object, chan struct{}, error) {
 	s := w.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.outage(w.ctx); err != nil {
+	if err := s.checkReachable(w.ctx); err != nil {
 		return objectapi.Object{}, nil, err
 	}
 	for _, obj := range s.history {
-		if obj.Kind == w.kind && obj.Version > w.at {
-			w.at = obj.Version
+		if obj.Kind == w.kind && obj.Version > w.last {
+			w.last = obj.Version
 			return obj, nil, nil
 		}
 	}
-	return objectapi.Object{}, s.next(), nil
+	return objectapi.Object{}, s.nextChange(), nil
 }
 
 // Close implements objectapi.Watch.
--- a/objectapi/watch.go
+++ b/objectapi/watch.go
@@ -19,13 +19,13 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// maxWatchLine bounds one change: the largest value in base64 and its envelope.
-const maxWatchLine = 2*MaxValueBytes + 4096
+// maxWatchLineBytes bounds the line of one change: the largest value in base64 and the other fields.
+const maxWatchLineBytes = 2*MaxValueBytes + 4096
 
-// Watch reports the changes of a kind after version from, in order. It opens a
-// connection of its own, so that a watch that went silent is checked by a
-// connection that nothing in between can have forgotten. fault.Expired: list
-// the kind again and watch from the list's version.
+// Watch returns the changes of a kind after version from, in order. It opens a new connection, so
+// that the watch that replaces an unresponsive one does not use a connection whose state a middlebox
+// may have dropped. After an error of kind fault.Expired the caller has to list the kind again and
+// watch from the listing's version.
 func (c *Client) Watch(ctx context.Context, kind string, from Version) (Watch, error) {
 	k := call{op: "watch", method: fasthttp.MethodGet, path: fmt.Sprintf("/watch/%s?from=%d", url.PathEscape(kind), from)}
 	if err := c.admit(ctx, k); err != nil {
@@ -38,15 +38,16 @@
 		counter("failures", k.op).Inc()
 		return nil, err
 	}
-	c.setWaiting(1)
+	c.addWatches(1)
 	return w, nil
 }
 
-func (c *Client) setWaiting(change int) {
+// addWatches adds delta to the number of open watches.
+func (c *Client) addWatches(delta int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waiting += change
-	c.budget.SetWaiting(c.waiting)
+	c.watches += delta
+	c.budget.SetWaiting(c.watches)
 }
 
 func (c *Client) openWatch(ctx context.Context, k call) (Watch, error) {
@@ -54,7 +55,7 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "check that the object API runs", "dial the object API")
 	}
-	w := &watch{conn: conn, silence: c.cfg.Silence, ended: func() { c.setWaiting(-1) }}
+	w := &watch{conn: conn, idleTimeout: c.cfg.Silence, onClose: func() { c.addWatches(-1) }}
 	w.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	if err := w.start(c, k); err != nil {
 		w.stop()
@@ -64,32 +65,33 @@
 	return w, nil
 }
 
-// watch reads JSON lines from one connection.
+// watch reads changes, one JSON object per line, from one connection.
 type watch struct {
-	conn    net.Conn
-	body    *bufio.Reader
-	silence time.Duration
-	line    []byte
-	stop    func() bool
-	once    sync.Once
-	ended   func()
+	conn        net.Conn
+	body        *bufio.Reader
+	idleTimeout time.Duration
+	line        []byte
+	stop        func() bool
+	once        sync.Once
+	onClose     func()
 }
 
+// start sends the request and reads the header of the answer.
 func (w *watch) start(c *Client, k call) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	c.prepare(req, k)
 	if err := w.conn.SetDeadline(time.Now().Add(c.cfg.Timeout)); err != nil {
-		return watchBroken(err)
+		return watchError(err)
 	}
 	bw := bufio.NewWriter(w.conn)
 	if err := errors.Join(req.Write(bw), bw.Flush()); err != nil {
-		return watchBroken(err)
+		return watchError(err)
 	}
 	var header fasthttp.ResponseHeader
 	br := bufio.NewReader(w.conn)
 	if err := header.Read(br); err != nil {
-		return watchBroken(err)
+		return watchError(err)
 	}
 	if err := statusFault(header.StatusCode(), k); err != nil {
 		return err
@@ -101,40 +103,42 @@
 	return nil
 }
 
-func watchBroken(err error) error {
-	return fault.Wrap(err, fault.Unavailable, "the watch is opened again from its last version", "watch of the object API")
+// watchError wraps the error that ended a watch.
+func watchError(err error) error {
+	return fault.Wrap(err, fault.Unavailable, "none: the watch is reopened from its last version", "watch the object API")
 }
 
-// Next blocks for the next change. The caller opens a new watch from the last
-// version it saw after any error.
+// Next blocks until the next change and returns it. After any error the caller has to open a new
+// watch from the last version that it received.
 func (w *watch) Next() (Object, error) {
 	for {
 		line, err := w.readLine()
 		if err != nil {
-			return Object{}, watchBroken(err)
+			return Object{}, watchError(err)
 		}
 		if len(line) == 0 {
 			continue
 		}
 		var obj Object
 		if err := json.Unmarshal(line, &obj); err != nil {
-			return Object{}, watchBroken(err)
+			return Object{}, watchError(err)
 		}
 		return obj, nil
 	}
 }
 
-// readLine returns the next line without its end. Heartbeats are empty lines.
+// readLine returns the next line without its line break. Heartbeats are empty lines. It fails if
+// nothing is received for idleTimeout.
 func (w *watch) readLine() ([]byte, error) {
 	w.line = w.line[:0]
 	for {
-		if err := w.conn.SetReadDeadline(time.Now().Add(w.silence)); err != nil {
+		if err := w.conn.SetReadDeadline(time.Now().Add(w.idleTimeout)); err != nil {
 			return nil, err
 		}
 		chunk, err := w.body.ReadSlice('\n')
 		w.line = append(w.line, chunk...)
-		if len(w.line) > maxWatchLine {
-			return nil, fmt.Errorf("line of over %d bytes", maxWatchLine)
+		if len(w.line) > maxWatchLineBytes {
+			return nil, fmt.Errorf("line of over %d bytes", maxWatchLineBytes)
 		}
 		switch {
 		case err == nil:
@@ -153,6 +157,6 @@
 	w.once.Do(func() {
 		w.stop()
 		_ = w.conn.Close()
-		w.ended()
+		w.onClose()
 	})
 }
--- a/objectapi/write.go
+++ b/objectapi/write.go
@@ -12,22 +12,21 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// writeTries bounds the attempts of one conditional write. All carry the same
-// attempt id, so a repetition cannot take effect twice.
-const writeTries = 3
+// maxWriteAttempts bounds the attempts of one conditional write. All carry the same attempt ID and
+// expected version, so a retry cannot take effect a second time.
+const maxWriteAttempts = 3
 
-// NewAttempt returns an id that no other write has.
+// NewAttempt returns a random ID for a write.
 func NewAttempt() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Put writes an object under the condition that its version is expected. An
-// empty obj.Attempt is filled in. A reply that is lost is settled by reading
-// the object back: the attempt id there tells whose write it was. An error of
-// kind fault.Unknown says that the write may have taken effect or may still do
-// so; any other error says that it did not.
+// Put writes an object if its stored version equals expected. It sets obj.Attempt if that is empty.
+// After a lost reply it reads the object back and compares the attempt ID to find out whether the
+// write took effect. An error of kind fault.Unknown means that the write may have taken effect or may
+// still do so; any other error means that it did not.
 func (c *Client) Put(ctx context.Context, obj Object, expected Version) (Version, error) {
 	if obj.Attempt == "" {
 		obj.Attempt = NewAttempt()
@@ -47,26 +46,27 @@
 	return w.run(ctx)
 }
 
-// pendingPut is a conditional write under way.
+// pendingPut is the state of a conditional write in progress.
 type pendingPut struct {
 	client   *Client
 	call     call
 	obj      Object
 	expected Version
-	// uncertain is set once an attempt may have taken effect unseen.
+	// uncertain is set once an attempt may have taken effect although its reply was lost.
 	uncertain bool
 }
 
+// run makes up to maxWriteAttempts attempts and returns the new version.
 func (w *pendingPut) run(ctx context.Context) (Version, error) {
 	var last error
-	for try := 1; try <= writeTries; try++ {
+	for try := 1; try <= maxWriteAttempts; try++ {
 		var stored Object
-		w.call.limit = w.client.attemptLimit(try)
+		w.call.timeout = w.client.attemptTimeout(try)
 		last = w.client.once(ctx, w.call, &stored)
 		if last == nil {
 			return stored.Version, nil
 		}
-		if final := w.judge(last); final != nil {
+		if final := w.classify(last); final != nil {
 			return 0, final
 		}
 		if w.uncertain {
@@ -75,7 +75,7 @@
 				return version, err
 			}
 		}
-		if !w.client.Reachable() || pause(ctx, try) != nil {
+		if !w.client.Reachable() || backoff(ctx, try) != nil {
 			break
 		}
 	}
@@ -85,9 +85,9 @@
 	return 0, last
 }
 
-// judge returns the error that ends the write at once, if it does, and notes
-// whether the attempt may have taken effect.
-func (w *pendingPut) judge(err error) error {
+// classify returns err if it ends the write, and nil if the write may be retried. It sets uncertain
+// if the attempt may have taken effect.
+func (w *pendingPut) classify(err error) error {
 	if !wasSent(err) || fault.Is(err, fault.RateLimited) {
 		return nil
 	}
@@ -95,15 +95,15 @@
 		w.uncertain = true
 		return nil
 	}
-	// A conflict after a lost reply may be one with our own write.
+	// A conflict after a lost reply may have been caused by our own write.
 	if fault.Is(err, fault.Conflict) && w.uncertain {
 		return nil
 	}
 	return err
 }
 
-// readBack looks whose write the object shows. It has settled nothing when
-// the object shows the state before, which may also be a stale read.
+// readBack reads the object to find out whether the write took effect. settled is false if the
+// object is unchanged, since the read may be stale, or if the read failed.
 func (w *pendingPut) readBack(ctx context.Context) (version Version, settled bool, err error) {
 	got, err := w.client.Get(ctx, w.obj.Kind, w.obj.Name)
 	switch {
@@ -111,21 +111,22 @@
 		counter("settled", "put").Inc()
 		return got.Version, true, nil
 	case err == nil && got.Version > w.expected:
-		// Another writer's change stands there. Whether ours came before it
-		// cannot be seen any more.
-		return 0, true, w.unknown(fault.New(fault.Conflict, "read the object again", "version %d stands there", got.Version))
+		// The object has been changed by another writer. Whether our write took effect before
+		// that can no longer be determined.
+		return 0, true, w.unknown(fault.New(fault.Conflict, "read the object again", "object is at version %d", got.Version))
 	}
 	return 0, false, nil
 }
 
+// unknown returns the error of a write that may have taken effect.
 func (w *pendingPut) unknown(cause error) error {
 	counter("unsettled", "put").Inc()
 	return fault.Wrap(cause, fault.Unknown, "read the object again before the next change", "reply lost: put %s/%s", w.obj.Kind, w.obj.Name)
 }
 
-// Delete removes an object under the condition that its version is expected. A
-// lost reply is settled by trying again: an object that is gone then is what
-// was asked for.
+// Delete removes an object if its stored version equals expected. After a lost reply it retries; if
+// the object does not exist then, the delete has succeeded. An error of kind fault.Unknown means that
+// the delete may have taken effect.
 func (c *Client) Delete(ctx context.Context, kind, name string, expected Version) error {
 	k := call{
 		op:     "delete",
@@ -135,8 +136,8 @@
 	}
 	uncertain := false
 	var last error
-	for try := 1; try <= writeTries; try++ {
-		k.limit = c.attemptLimit(try)
+	for try := 1; try <= maxWriteAttempts; try++ {
+		k.timeout = c.attemptTimeout(try)
 		last = c.once(ctx, k, nil)
 		if last == nil || (uncertain && fault.Is(last, fault.NotFound)) {
 			return nil
@@ -145,7 +146,7 @@
 			return last
 		}
 		uncertain = uncertain || (fault.Is(last, fault.Unavailable) && wasSent(last))
-		if pause(ctx, try) != nil {
+		if backoff(ctx, try) != nil {
 			break
 		}
 	}
