--- a/objectapi/breaker.go
+++ b/objectapi/breaker.go
@@ -58,15 +58,15 @@
 // Open reports whether the breaker is open, so that only probes may be sent.
 func (b *Breaker) Open() bool { return b.failures >= openAfter }
 
-// Succeeded closes the breaker. It is called after a call that was answered, even with an error
-// status.
+// Succeeded closes the breaker. It is called after a call that the object API has processed, even if
+// it rejected the call.
 func (b *Breaker) Succeeded() { b.failures, b.probing = 0, false }
 
-// Failed is called after a call that was not answered. random is in [0, 1).
+// Failed is called after a call that got no usable answer. random is in [0, 1).
 func (b *Breaker) Failed(now time.Time, random float64) {
 	if b.Open() && !b.probing {
 		// The call was in flight when the breaker opened. Calls that fail together must not
-		// lengthen the interval as often as there are calls.
+		// lengthen the interval once for each call.
 		return
 	}
 	b.probing = false
--- a/objectapi/budget.go
+++ b/objectapi/budget.go
@@ -29,8 +29,8 @@
 // Budget limits the calls of one instance to its equal share of the fleet's rates.
 //
 // A fleet that has grown faster than the rates of the object API, or in which many instances restart
-// at once, would exceed the rates. The object API then rejects calls of all instances, including those
-// that keep non-idempotent requests from running twice.
+// at once, would exceed the rates. The object API then rejects calls of all instances, including
+// those that keep non-idempotent requests from running twice.
 //
 // The time is an argument. A Budget is not safe for concurrent use.
 type Budget struct {
--- a/objectapi/write.go
+++ b/objectapi/write.go
@@ -16,7 +16,7 @@
 // expected version, so a retry cannot take effect a second time.
 const maxWriteAttempts = 3
 
-// NewAttempt returns a random ID for a write.
+// NewAttempt returns a random ID that identifies one write.
 func NewAttempt() string {
 	var b [12]byte
 	_, _ = rand.Read(b[:])
