--- a/hosted/change_test.go
+++ b/hosted/change_test.go
@@ -45,7 +45,7 @@
 	f.endpoint("e1", "orders", ok)
 	f.serve(1, nil)
 	f.store.SilenceOpen()
-	time.Sleep(platform.IdleBound)
+	time.Sleep(platform.MaxIdleTime)
 	began := time.Now()
 	f.serve(1, nil)
 	if took := time.Since(began); took > 1900*time.Millisecond {
