--- a/hosted/silence_test.go
+++ b/hosted/silence_test.go
@@ -43,7 +43,7 @@
 		x.End()
 		return true
 	})
-	dark.GoDark()
+	dark.RefuseConnections()
 	from := time.Now()
 	a := <-check
 	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"; a.cut || a.body != want {
