--- a/hosted/drain_test.go
+++ b/hosted/drain_test.go
@@ -91,7 +91,7 @@
 		ran.Add(1)
 		x.StreamHead()
 		x.Event(1)
-		x.CallerGone(takes)
+		x.CallerClosed(takes)
 		x.Event(2)
 		x.End()
 		return true
--- a/soak/pool_test.go
+++ b/soak/pool_test.go
@@ -302,7 +302,7 @@
 		return true
 	}
 	for range longSteps {
-		if e.CallerGone(eventPause) {
+		if e.CallerClosed(eventPause) {
 			return false
 		}
 	}
@@ -319,7 +319,7 @@
 	x.soak.ledger.made(c, signature, "", 200)
 	e.SignedStreamHead(signature)
 	for n := last + 1; n <= eventsOf(c.kind); n++ {
-		if e.CallerGone(eventPause) {
+		if e.CallerClosed(eventPause) {
 			return false
 		}
 		if m == garbling && n > 2 {
