--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -273,7 +273,7 @@
 		if v, _ := x.engine.Version(); v < s.named.Load() {
 			l.breach("VERSION: %s holds version %d at the end, %d is named", x.ID, v, s.named.Load())
 		}
-		if n := x.engine.TwoHolders(); n > 0 {
+		if n := x.engine.FenceConflicts(); n > 0 {
 			l.breach("ONE: %s got %d orders of a second holder under one fence", x.ID, n)
 		}
 	}
