--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -100,7 +100,7 @@
 	}},
 	{"store forgets its history", func(s *soak, _ *rand.Rand, _ time.Duration) { s.harmStore(s.store.Forget) }},
 	{"answers of the store lost", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmStore(func() { s.store.LoseWrites(1 + rng.IntN(4)) })
+		s.harmStore(func() { s.store.LoseWriteReplies(1 + rng.IntN(4)) })
 	}},
 	{"endpoint crashes", func(s *soak, rng *rand.Rand, lasts time.Duration) {
 		s.harmServer(rng, func(x *server) {
