--- a/hosted/change_test.go
+++ b/hosted/change_test.go
@@ -106,7 +106,7 @@
 	if a := f.do(f.request("GET", "/stock/1", "")); a.status != 200 {
 		t.Errorf("status %d during the outage", a.status)
 	}
-	f.store.Forget()
+	f.store.DropHistory()
 	f.store.Refuse(0)
 	f.serve(2, nil)
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -98,7 +98,7 @@
 			s.store.Refuse(0)
 		})
 	}},
-	{"store forgets its history", func(s *soak, _ *rand.Rand, _ time.Duration) { s.harmStore(s.store.Forget) }},
+	{"store forgets its history", func(s *soak, _ *rand.Rand, _ time.Duration) { s.harmStore(s.store.DropHistory) }},
 	{"answers of the store lost", func(s *soak, rng *rand.Rand, _ time.Duration) {
 		s.harmStore(func() { s.store.LoseWriteReplies(1 + rng.IntN(4)) })
 	}},
