--- a/soak/pool_test.go
+++ b/soak/pool_test.go
@@ -246,7 +246,7 @@
 	for entry := range strings.SplitSeq(c.parts, ",") {
 		part, tokens, _ := strings.Cut(entry, ":")
 		n, _ := strconv.ParseInt(tokens, 10, 64)
-		x.engine.Cached(scope, part, n)
+		x.engine.AddToCache(scope, part, n)
 	}
 }
 
