--- a/objectapi/objecttest/storetest.go
+++ b/objectapi/objecttest/storetest.go
@@ -52,8 +52,8 @@
 	s.loseNext = n
 }
 
-// Forget makes new watches from versions before the current one fail with fault.Expired.
-func (s *Store) Forget() {
+// DropHistory makes new watches from versions before the current one fail with fault.Expired.
+func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = s.version
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -85,7 +85,7 @@
 			time.Sleep(time.Minute)
 			put(s, 2)
 			if forget {
-				s.Forget()
+				s.DropHistory()
 			}
 			lists := s.Counts().Lists
 			s.SetDown(false)
