--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -46,9 +46,9 @@
 	// Fleet is the part of the object API's rates that the whole fleet may use. A rate of 0 means
 	// no limit.
 	Fleet Rates
-	// Silence is the time after which a watch fails if it receives neither a change nor a
+	// WatchIdleTimeout is the time after which a watch fails if it receives neither a change nor a
 	// heartbeat; 0 means 3 s, which is three heartbeats.
-	Silence time.Duration
+	WatchIdleTimeout time.Duration
 }
 
 const (
@@ -74,8 +74,8 @@
 
 // NewClient returns a client of the object API.
 func NewClient(cfg Config) *Client {
-	if cfg.Silence == 0 {
-		cfg.Silence = defaultSilence
+	if cfg.WatchIdleTimeout == 0 {
+		cfg.WatchIdleTimeout = defaultSilence
 	}
 	if cfg.Fleet.Reads == 0 {
 		cfg.Fleet.Reads = noLimit
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -23,7 +23,7 @@
 	}
 	t.Cleanup(func() { _ = s.Close() })
 	return s, objectapi.NewClient(objectapi.Config{
-		Address: s.Addr(), Instance: "entry-1", Timeout: 300 * time.Millisecond, Silence: 200 * time.Millisecond,
+		Address: s.Addr(), Instance: "entry-1", Timeout: 300 * time.Millisecond, WatchIdleTimeout: 200 * time.Millisecond,
 	})
 }
 
--- a/objectapi/watch.go
+++ b/objectapi/watch.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return nil, fault.Wrap(err, fault.Unavailable, "check that the object API runs", "dial the object API")
 	}
-	w := &watch{conn: conn, idleTimeout: c.cfg.Silence, onClose: func() { c.addWatches(-1) }}
+	w := &watch{conn: conn, idleTimeout: c.cfg.WatchIdleTimeout, onClose: func() { c.addWatches(-1) }}
 	w.stop = context.AfterFunc(ctx, func() { _ = conn.Close() })
 	if err := w.start(c, k); err != nil {
 		w.stop()
