--- a/objectapi/budget.go
+++ b/objectapi/budget.go
@@ -55,8 +55,8 @@
 	b.updateRates()
 }
 
-// SetWaiting sets the number of watches that this instance has open.
-func (b *Budget) SetWaiting(n int) {
+// SetOpenWatches sets the number of watches that this instance has open.
+func (b *Budget) SetOpenWatches(n int) {
 	b.watches = max(n, 0)
 	b.updateRates()
 }
--- a/objectapi/budget_test.go
+++ b/objectapi/budget_test.go
@@ -18,7 +18,7 @@
 		b := NewBudget(Rates{Reads: 1000, Writes: 200})
 		b.SetInstances(instances)
 		b.reads.tokens = b.reads.burst
-		b.SetWaiting(rapid.IntRange(0, 5).Draw(t, "waiting"))
+		b.SetOpenWatches(rapid.IntRange(0, 5).Draw(t, "waiting"))
 		now, last, taken := start, start, 0
 		for range rapid.IntRange(1, 200).Draw(t, "calls") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
@@ -45,7 +45,7 @@
 func TestOpenWatchesReduceReadRate(t *testing.T) {
 	b := NewBudget(Rates{Reads: 80, Writes: 8})
 	b.SetInstances(8)
-	b.SetWaiting(4)
+	b.SetOpenWatches(4)
 	if got := b.reads.rate; got != 6 {
 		t.Fatalf("%v of 10 reads per second left with 4 open watches, want 6", got)
 	}
--- a/objectapi/watch.go
+++ b/objectapi/watch.go
@@ -47,7 +47,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.watches += delta
-	c.budget.SetWaiting(c.watches)
+	c.budget.SetOpenWatches(c.watches)
 }
 
 func (c *Client) openWatch(ctx context.Context, k call) (Watch, error) {
