--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -52,7 +52,7 @@
 }
 
 const (
-	defaultSilence = 3 * time.Second
+	defaultWatchIdleTimeout = 3 * time.Second
 	// noLimit is a rate that is never reached.
 	noLimit = 1e9
 )
@@ -75,7 +75,7 @@
 // NewClient returns a client of the object API.
 func NewClient(cfg Config) *Client {
 	if cfg.WatchIdleTimeout == 0 {
-		cfg.WatchIdleTimeout = defaultSilence
+		cfg.WatchIdleTimeout = defaultWatchIdleTimeout
 	}
 	if cfg.Fleet.Reads == 0 {
 		cfg.Fleet.Reads = noLimit
