--- a/hosted/change_test.go
+++ b/hosted/change_test.go
@@ -45,7 +45,7 @@
 	f.endpoint("e1", "orders", ok)
 	f.serve(1, nil)
 	f.store.SilenceOpen()
-	time.Sleep(platform.IdleBound)
+	time.Sleep(platform.MaxIdleTime)
 	began := time.Now()
 	f.serve(1, nil)
 	if took := time.Since(began); took > 1900*time.Millisecond {
@@ -106,7 +106,7 @@
 	if a := f.do(f.request("GET", "/stock/1", "")); a.status != 200 {
 		t.Errorf("status %d during the outage", a.status)
 	}
-	f.store.Forget()
+	f.store.DropHistory()
 	f.store.Refuse(0)
 	f.serve(2, nil)
 }
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -85,7 +85,7 @@
 			time.Sleep(time.Minute)
 			put(s, 2)
 			if compact {
-				s.Forget()
+				s.DropHistory()
 			}
 			lists := s.Counts().Lists
 			s.SetDown(false)
