--- a/instance/records.go
+++ b/instance/records.go
@@ -25,10 +25,10 @@
 	i.tellNow = make(chan struct{}, 1)
 	i.keeper = record.NewRegistry(clock.System{})
 	i.provider = record.NewProvider(record.ProviderConfig{
-		Store:  i.store,
+		Store:    i.store,
 		Registry: i.keeper,
-		Self:   i.name(),
-		Spread: i.spreadLists,
+		Self:     i.name(),
+		Spread:   i.spreadLists,
 		ReachableChanged: func() {
 			latest(i.tellNow, struct{}{})
 		},
