--- a/instance/crash_test.go
+++ b/instance/crash_test.go
@@ -17,9 +17,8 @@
 
 const crashTestKey = "crash-test-key"
 
-// crashRig is some instances before some engines that are away for a moment
-// after a crash.
-func crashRig(t *testing.T, instances, engines int) (*emulator.Emulator, []*Instance) {
+// startCrashTest starts instances and engines; an engine is down for 300 ms after a crash.
+func startCrashTest(t *testing.T, instances, engines int) (*emulator.Emulator, []*Instance) {
 	t.Helper()
 	pool := &recordspb.EndpointPool{BlockTokens: 64, CacheBlocks: 4096, Slots: 8, PrefillTokensPerSecond: 20000, LoadsAtOnce: 1,
 		SuspectAfterMs: 1000, ExpelAfterMs: 5000}
@@ -56,13 +55,12 @@
 	return client.Do(req)
 }
 
-// One request crashes every engine that runs it, and its caller sends it again
-// at the same instance. Two engines are what it may cost; the requests that
-// were in flight beside it, from all instances, finish elsewhere and are not
-// refused for it.
+// One request crashes every engine that runs it, and its caller resends it at once to the same
+// instance. It may crash two engines at most. The requests in flight beside it, from all
+// instances, have to finish elsewhere and must not be refused for it.
 func TestCrashCausingRequestAtOneInstance(t *testing.T) {
 	t.Parallel()
-	e, all := crashRig(t, 3, 5)
+	e, all := startCrashTest(t, 3, 5)
 	neighbours := make([]*http.Response, 0, 15)
 	for n := range cap(neighbours) {
 		resp, err := complete(t.Context(), all[n%len(all)], fmt.Sprint("neighbour ", n), 80)
@@ -82,7 +80,7 @@
 			t.Fatalf("status %d: %s", resp.StatusCode, body)
 		}
 		if n > 0 && resp.Header.Get("Retry-After") == "" {
-			t.Fatalf("no Retry-After, of which the body speaks: %s", body)
+			t.Fatalf("no Retry-After, which the body refers to: %s", body)
 		}
 	}
 	crashes := 0
@@ -93,15 +91,15 @@
 		t.Errorf("%d engines were lost", crashes)
 	}
 	for n, resp := range neighbours {
-		if got, want := wholeText(resp.Body), 80; got != want {
+		if got, want := countPieces(resp.Body), 80; got != want {
 			t.Errorf("neighbour %d: %d tokens, want %d", n, got, want)
 		}
 		_ = resp.Body.Close()
 	}
 }
 
-// wholeText counts the pieces of an answer; -1 if it has no proper end.
-func wholeText(body io.Reader) int {
+// countPieces returns the number of pieces of an answer; -1 if it has no proper end.
+func countPieces(body io.Reader) int {
 	pieces := 0
 	for lines := bufio.NewScanner(body); lines.Scan(); {
 		switch line := lines.Text(); {
@@ -116,11 +114,11 @@
 	return -1
 }
 
-// One request crashes every engine that runs it, and its caller sends it again
-// at another instance each time. Two engines are what it may cost; the requests
-// that were in flight beside it finish elsewhere, and are not refused for it.
+// One request crashes every engine that runs it, and its caller resends it to another instance
+// each time. It may crash two engines at most. The requests in flight beside it have to finish
+// elsewhere and must not be refused for it.
 func TestCrashCausingRequestCostsTwoEngines(t *testing.T) {
-	e, all := crashRig(t, 3, 5)
+	e, all := startCrashTest(t, 3, 5)
 	neighbours := make([]*http.Response, 0, 15)
 	for n := range cap(neighbours) {
 		resp, err := complete(t.Context(), all[n%len(all)], fmt.Sprint("neighbour ", n), 200)
@@ -148,7 +146,7 @@
 		t.Errorf("%d engines were lost", crashes)
 	}
 	for n, resp := range neighbours {
-		if got, want := wholeText(resp.Body), 200; got != want {
+		if got, want := countPieces(resp.Body), 200; got != want {
 			t.Errorf("neighbour %d: %d tokens, want %d", n, got, want)
 		}
 		_ = resp.Body.Close()
--- a/instance/describe.go
+++ b/instance/describe.go
@@ -15,16 +15,16 @@
 	"github.com/sardinedock/sardinedock/status"
 )
 
-// decisions finds what was decided by comparing what is told of a pool now
-// with what was told at the last look. One goroutine uses it.
-type decisions struct {
+// decisionTracker derives the decisions to report in a pool's status by comparing the pool's
+// state with the one at the previous call. It is not safe for concurrent use.
+type decisionTracker struct {
 	endpoints map[string]*fleetpb.EndpointState
 	behind    bool
 	known     bool
 }
 
-// describeFleet is the status of what belongs to no pool.
-func (i *Instance) describeFleet(*held) (status.Object, bool) {
+// describeFleet returns the status of everything that belongs to no pool.
+func (i *Instance) describeFleet(*leased) (status.Object, bool) {
 	s := i.keeper.Snapshot()
 	if s == nil {
 		return status.Object{}, false
@@ -41,7 +41,7 @@
 	return o, true
 }
 
-// instanceVersions lists the live instances and what is in force there.
+// instanceVersions lists the live instances and the version of the records in force at each.
 func (i *Instance) instanceVersions() []status.Instance {
 	var list []status.Instance
 	for _, m := range i.peers.node.View().Members {
@@ -55,10 +55,11 @@
 	return list
 }
 
-// describePool is the status of one pool.
-func (i *Instance) describePool(pool string, h *held) (status.Object, bool) {
+// describePool returns the status of one pool and adds the decisions since the previous call to
+// it.
+func (i *Instance) describePool(pool string, l *leased) (status.Object, bool) {
 	s := i.keeper.Snapshot()
-	progress, ok := h.rollout.Progress()
+	progress, ok := l.rollout.Progress()
 	if s == nil || !ok {
 		return status.Object{}, false
 	}
@@ -71,16 +72,16 @@
 	states := i.poolStates(s, pool)
 	for _, name := range sortedKeys(states) {
 		if st := states[name]; st.GetStatus() != fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE {
-			o.Endpoints = append(o.Endpoints, status.Endpoint{Name: name, Status: statusWord(st.GetStatus()), Reason: st.GetReason()})
+			o.Endpoints = append(o.Endpoints, status.Endpoint{Name: name, Status: statusName(st.GetStatus()), Reason: st.GetReason()})
 		}
 	}
-	for _, text := range h.seen.compare(states, progress) {
-		h.status.Decided(time.Now(), text)
+	for _, text := range l.decisions.compare(states, progress) {
+		l.status.Decided(time.Now(), text)
 	}
 	return o, true
 }
 
-// poolConditions picks the pool's record and those of its models.
+// poolConditions selects the conditions of the pool's record and of its models' records.
 func poolConditions(s *record.Snapshot, all []record.Condition, pool string) []record.Condition {
 	var list []record.Condition
 	for _, c := range all {
@@ -92,7 +93,7 @@
 	return list
 }
 
-// poolStates is what owners say of the pool's endpoints.
+// poolStates returns the states of the pool's endpoints as published by their owners.
 func (i *Instance) poolStates(s *record.Snapshot, pool string) map[string]*fleetpb.EndpointState {
 	all := i.peers.placer.EndpointStates()
 	p, _ := s.Pool(pool)
@@ -105,8 +106,8 @@
 	return states
 }
 
-// compare returns the decisions since the last look, in words.
-func (d *decisions) compare(states map[string]*fleetpb.EndpointState, p rollout.Progress) []string {
+// compare returns a text for each decision since the previous call.
+func (d *decisionTracker) compare(states map[string]*fleetpb.EndpointState, p rollout.Progress) []string {
 	var texts []string
 	for _, name := range sortedKeys(states) {
 		old, now := d.endpoints[name], states[name]
@@ -117,7 +118,7 @@
 			texts = append(texts, fmt.Sprintf("endpoint %s has restarted; what was known of its cache is dropped", name))
 		}
 		if now.GetStatus() != old.GetStatus() {
-			texts = append(texts, strings.TrimSuffix(fmt.Sprintf("endpoint %s is %s; %s", name, statusWord(now.GetStatus()), now.GetReason()), "; "))
+			texts = append(texts, strings.TrimSuffix(fmt.Sprintf("endpoint %s is %s; %s", name, statusName(now.GetStatus()), now.GetReason()), "; "))
 		}
 	}
 	behind := len(p.Behind) > 0
@@ -132,8 +133,8 @@
 	return texts
 }
 
-// statusWord is an endpoint's status in an operator's word.
-func statusWord(s fleetpb.EndpointStatus) string {
+// statusName returns an endpoint's status as shown to operators.
+func statusName(s fleetpb.EndpointStatus) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "ENDPOINT_STATUS_"))
 }
 
@@ -146,17 +147,17 @@
 	return keys
 }
 
-// refusedAfter is the number of crashes after which a request is refused.
-const refusedAfter = 2
+// refuseAfterCrashes is the number of crashes after which a request is refused.
+const refuseAfterCrashes = 2
 
-// noteFingerprint puts a request that is refused for its crashes into the
-// fleet's status, once.
-func (i *Instance) noteFingerprint(name string, value []byte) {
+// reportFingerprint adds a request that is refused because of its crashes to the fleet's status,
+// once per fingerprint.
+func (i *Instance) reportFingerprint(name string, value []byte) {
 	f := &fleetpb.FingerprintState{}
-	if proto.Unmarshal(value, f) != nil || f.GetCrashes() < refusedAfter || !i.pools.first(name) {
+	if proto.Unmarshal(value, f) != nil || f.GetCrashes() < refuseAfterCrashes || !i.leases.firstReport(name) {
 		return
 	}
 	endpoints := slices.Sorted(slices.Values(f.GetEndpoints()))
-	i.pools.decided(fmt.Sprintf("requests with fingerprint %s are refused; they ran at %d crashes, of %s",
+	i.leases.addDecision(fmt.Sprintf("requests with fingerprint %s are refused: they were in flight at %d crashes, of %s",
 		name, f.GetCrashes(), strings.Join(endpoints, ", ")))
 }
--- a/instance/describe_test.go
+++ b/instance/describe_test.go
@@ -12,9 +12,9 @@
 	return map[string]*fleetpb.EndpointState{"engine-1": {Status: status, Incarnation: incarnation, Reason: reason}}
 }
 
-// Endpoints fall silent, are given up and come back, and versions are rolled
-// out. Operators read each of these decisions once, in their words.
-func TestDecisionsAreToldOnce(t *testing.T) {
+// Endpoints become unresponsive, are expelled and come back, and versions are rolled out. Each
+// of these decisions is reported to operators once.
+func TestDecisionsAreReportedOnce(t *testing.T) {
 	const (
 		live    = fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE
 		expel   = fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED
@@ -22,7 +22,7 @@
 	)
 	done := rollout.Progress{Wanted: []string{"counter@2"}}
 	open := rollout.Progress{Wanted: []string{"counter@2"}, Behind: []string{"engine-1"}}
-	var d decisions
+	var d decisionTracker
 	for i, look := range []struct {
 		states   map[string]*fleetpb.EndpointState
 		progress rollout.Progress
--- a/instance/entry.go
+++ b/instance/entry.go
@@ -15,17 +15,18 @@
 	"github.com/sardinedock/sardinedock/outcome/claim"
 )
 
-// dialTimeout bounds the opening of a connection to an endpoint. Endpoints are
-// milliseconds away; a second means that the endpoint or the way is gone.
+// dialTimeout bounds the dial of an endpoint. Endpoints are milliseconds away; after a second
+// the endpoint or the network path to it is down.
 const dialTimeout = time.Second
 
-// callerProbes of TCP without an answer end a caller's connection.
-const callerProbes = 3
+// callerKeepAliveProbes is the number of unanswered TCP keep-alive probes after which a caller's
+// connection is closed.
+const callerKeepAliveProbes = 3
 
 func (i *Instance) provisionEntry() {
 	limits := i.settings.GetLimits()
-	silence := time.Duration(limits.GetSilenceMs()) * time.Millisecond
-	i.clients = endpoint.NewClients(dialTimeout, silence)
+	readTimeout := time.Duration(limits.GetSilenceMs()) * time.Millisecond
+	i.clients = endpoint.NewClients(dialTimeout, readTimeout)
 	i.claims = claim.Open(i.store, clock.System{})
 	i.admin.Register("claims", i.claims.Dump)
 	i.onKill = append(i.onKill, i.claims.Kill)
@@ -41,17 +42,19 @@
 	i.onKill = append(i.onKill, i.entry.Kill, i.clients.Close)
 }
 
+// startCallers starts serving callers. TCP keep-alive and TCP_USER_TIMEOUT detect callers that
+// are unreachable.
 func (i *Instance) startCallers() error {
 	bound := time.Duration(i.settings.GetLimits().GetWriteTimeoutMs()) * time.Millisecond
 	lc := net.ListenConfig{
 		Control:         sockstate.UserTimeout(bound),
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: bound, Interval: max(bound/callerProbes, time.Second), Count: callerProbes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: bound, Interval: max(bound/callerKeepAliveProbes, time.Second), Count: callerKeepAliveProbes},
 	}
 	ln, err := lc.Listen(context.Background(), "tcp", i.settings.GetListen().GetCallers())
 	if err != nil {
 		return fault.Wrap(err, fault.Invalid, "choose a free address for listen.callers", "listen for callers")
 	}
-	i.callers = newCutListener(ln)
+	i.callers = newTrackingListener(ln)
 	go func() { _ = i.entry.Serve(i.callers) }()
 	return nil
 }
--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -21,41 +21,42 @@
 )
 
 const (
-	// listEvery is how often the platform's list of instances is read. It lags
-	// anyway; it only has to join parts that lost each other for long.
-	listEvery = time.Minute
-	// pullWithin bounds the search for a peer's state at start.
-	pullWithin = 600 * time.Millisecond
-	// pullEvery is the time between two such searches while records are missing.
-	pullEvery = time.Second
-	// tellEvery is how often this instance tells what is in force here. Each
-	// member beyond tellFrom adds tellEachMember, so that an instance hears of
-	// one such change in two seconds whatever the fleet's size.
-	tellEvery      = 2 * time.Second
-	tellFrom       = 6
-	tellEachMember = 2 * time.Second
-	// dumpBound ends a state dump that a duty does not answer.
-	dumpBound = time.Second
-	// sweepEvery is how often idle connections to peers are looked at.
-	sweepEvery = 10 * time.Second
+	// listInterval is how often the platform's list of instances is read. The list lags behind
+	// anyway; it is only needed to rejoin partitions that have lost contact with each other for
+	// long.
+	listInterval = time.Minute
+	// pullTimeout bounds the request for a peer's state at start.
+	pullTimeout = 600 * time.Millisecond
+	// pullInterval is the time between two such requests while records are missing.
+	pullInterval = time.Second
+	// publishInterval is how often this instance publishes the version of its records to peers.
+	// Each member beyond publishIntervalMembers adds publishIntervalPerMember, so that an
+	// instance receives one such update per two seconds whatever the fleet's size.
+	publishInterval          = 2 * time.Second
+	publishIntervalMembers   = 6
+	publishIntervalPerMember = 2 * time.Second
+	// dumpTimeout bounds a state dump whose component does not answer.
+	dumpTimeout = time.Second
+	// sweepInterval is how often idle connections to peers are checked.
+	sweepInterval = 10 * time.Second
 )
 
-// peers is what joins an instance to the fleet.
+// peers holds the components that connect an instance to the fleet.
 type peers struct {
-	node      *fleet.Node
-	placer    *place.Fleet
-	duty      *place.OwnerServer
-	handOvers *place.HandOvers
-	kept      *kept.Keeper
-	client    *transport.Client
-	traffic   *transport.Traffic
-	listener  net.Listener
-	server    *transport.Server
+	node        *fleet.Node
+	placer      *place.Fleet
+	ownerServer *place.OwnerServer
+	handOvers   *place.HandOvers
+	kept        *kept.Keeper
+	client      *transport.Client
+	traffic     *transport.Traffic
+	listener    net.Listener
+	server      *transport.Server
 
 	views   chan *member.View
 	records chan *record.Snapshot
 	stop    context.CancelFunc
-	open    sync.WaitGroup
+	wg      sync.WaitGroup
 }
 
 // fleetServer serves the calls of peers.
@@ -84,16 +85,16 @@
 	return s.placer.HandOver(ctx, in)
 }
 
-// placer returns what places requests.
+// placer returns the component that places requests on endpoints.
 func (i *Instance) placer() place.Placer { return i.peers.placer }
 
-// Fleet returns the address that serves peers.
+// Fleet returns the address at which peers are served.
 func (i *Instance) Fleet() string { return i.peers.listener.Addr().String() }
 
-// Traffic counts what this instance exchanged with its peers.
+// Traffic returns the counters of the traffic with peers.
 func (i *Instance) Traffic() *transport.Traffic { return i.peers.traffic }
 
-// provisionFleet listens for peers and puts the duties of the fleet together.
+// provisionFleet listens for peers and creates the components of the fleet.
 func (i *Instance) provisionFleet() error {
 	keys, err := transport.LoadKeys(i.settings.GetFleetTls())
 	if err != nil {
@@ -117,15 +118,15 @@
 		_ = ln.Close()
 		return err
 	}
-	i.admin.Register("fleet", i.bounded(func(ctx context.Context) any { return p.node.Dump(ctx) }))
+	i.admin.Register("fleet", i.withDumpTimeout(func(ctx context.Context) any { return p.node.Dump(ctx) }))
 	i.admin.Register("kept", func() any { return p.kept.Dump() })
-	i.admin.Register("place", i.bounded(func(ctx context.Context) any { return p.placer.Dump(ctx) }))
+	i.admin.Register("place", i.withDumpTimeout(func(ctx context.Context) any { return p.placer.Dump(ctx) }))
 	return nil
 }
 
-// member describes this instance. Its incarnation is the time of its start.
-// Without a disk nothing else rises from start to start; where the clock went
-// back in between, peers that remember a higher one make the node raise it.
+// member describes this instance. Its incarnation is the time of its start: without a disk, no
+// other number increases from start to start. If the clock went back in between, peers remember
+// a higher incarnation and the node raises its own above it.
 func (i *Instance) member(ln net.Listener) member.Member {
 	address := i.settings.GetListen().GetAdvertise()
 	if address == "" {
@@ -139,23 +140,23 @@
 
 func (i *Instance) provisionPlacer(self member.Member) {
 	p := i.peers
-	p.duty = place.NewOwnerServer(place.OwnerServerConfig{
+	p.ownerServer = place.NewOwnerServer(place.OwnerServerConfig{
 		Self: self.Name, Clock: clock.System{}, FirstGrantID: self.Incarnation, HandOver: p.handOvers.Enqueue,
 		Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
 			p.placer.Lost(endpoint, incarnation, lost)
 		},
 	})
-	p.kept = i.newKept()
+	p.kept = i.newPrefixKeeper()
 	p.placer = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: i.settings.GetFleet(), Instance: self.Name, Incarnation: self.Incarnation},
-		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.duty, Kept: p.kept,
+		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.ownerServer, Kept: p.kept,
 		AskLeaving: func(ctx context.Context, address string) (bool, error) {
 			s, err := i.clients.Engine(address).State(ctx)
 			return s.Leaving, err
 		},
 		Publish: func(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error {
 			if key.Kind == fleetpb.ItemKind_ITEM_KIND_FINGERPRINT {
-				i.noteFingerprint(key.Name, value)
+				i.reportFingerprint(key.Name, value)
 			}
 			return p.node.PublishNext(ctx, key, value, ttl)
 		},
@@ -168,17 +169,17 @@
 		Fleet: i.settings.GetFleet(), Self: self, Seeds: i.settings.GetSeeds(), Bounds: member.DefaultBounds,
 		Client: p.client, Clock: clock.System{}, Seed: xxh3.HashString(self.Name) ^ self.Incarnation,
 		Complete:    i.keeper.Complete,
-		ViewChanged: func(v *member.View) { latest(p.views, v) },
-		Changed:     i.heard,
+		ViewChanged: func(v *member.View) { replaceLatest(p.views, v) },
+		Changed:     i.handleItems,
 	})
 }
 
-// heard takes items that peers told. It runs in the node's goroutine.
-func (i *Instance) heard(items []exchange.Item) {
+// handleItems is called with the items received from peers, in the node's goroutine.
+func (i *Instance) handleItems(items []exchange.Item) {
 	var records []record.Item
 	for _, it := range items {
 		if it.Key.Kind == fleetpb.ItemKind_ITEM_KIND_FINGERPRINT {
-			i.noteFingerprint(it.Key.Name, it.Value)
+			i.reportFingerprint(it.Key.Name, it.Value)
 		}
 		if it.Key.Kind != fleetpb.ItemKind_ITEM_KIND_RECORD {
 			continue
@@ -193,8 +194,8 @@
 	i.peers.placer.HandleItems(items)
 }
 
-// latest puts v into a channel of one place, in the place of what is there.
-func latest[T any](ch chan T, v T) {
+// replaceLatest sends v on a channel of capacity one, replacing a value that is still in it.
+func replaceLatest[T any](ch chan T, v T) {
 	for {
 		select {
 		case ch <- v:
@@ -208,14 +209,14 @@
 	}
 }
 
-// bounded makes a dump that waits for a duty one that ends.
-func (i *Instance) bounded(dump func(context.Context) any) func() any {
+// withDumpTimeout bounds a dump that waits for a component by dumpTimeout.
+func (i *Instance) withDumpTimeout(dump func(context.Context) any) func() any {
 	return func() any {
-		ctx, cancel := context.WithTimeout(context.Background(), dumpBound)
+		ctx, cancel := context.WithTimeout(context.Background(), dumpTimeout)
 		defer cancel()
 		return dump(ctx)
 	}
 }
 
-// Records returns the records in force here, or nil where there are none yet.
+// Records returns the records in force at this instance, or nil if there are none yet.
 func (i *Instance) Records() *record.Snapshot { return i.keeper.Snapshot() }
--- a/instance/fleet_run.go
+++ b/instance/fleet_run.go
@@ -11,69 +11,69 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// startFleet starts the duties of the fleet and fetches what a peer knows. It
-// returns after pullWithin at the latest, with or without.
+// startFleet starts the components of the fleet and pulls the state of a peer. It returns after
+// pullTimeout at the latest, whether or not a peer answered.
 func (i *Instance) startFleet(ctx context.Context) {
 	p := i.peers
 	run, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.open.Go(func() { p.server.Serve(run, p.listener) })
-	p.open.Go(func() { p.node.Run(run) })
-	p.open.Go(func() { p.duty.Run(run) })
-	p.open.Go(func() { p.placer.Run(run) })
-	p.open.Go(func() { p.kept.Run(run) })
-	p.open.Go(func() { p.handOvers.Run(run, p.placer) })
-	p.open.Go(func() { i.runRecordsOut(run) })
-	p.open.Go(func() { i.runList(run) })
-	p.open.Go(func() { i.runTell(run) })
+	p.wg.Go(func() { p.server.Serve(run, p.listener) })
+	p.wg.Go(func() { p.node.Run(run) })
+	p.wg.Go(func() { p.ownerServer.Run(run) })
+	p.wg.Go(func() { p.placer.Run(run) })
+	p.wg.Go(func() { p.kept.Run(run) })
+	p.wg.Go(func() { p.handOvers.Run(run, p.placer) })
+	p.wg.Go(func() { i.runRecordPublisher(run) })
+	p.wg.Go(func() { i.runInstanceList(run) })
+	p.wg.Go(func() { i.runStatePublisher(run) })
 	i.onKill = append(i.onKill, func() { p.stop() })
-	bounded, cancel := context.WithTimeout(ctx, pullWithin)
+	pullCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
-	if p.node.Pull(bounded, i.settings.GetSeeds()) {
+	if p.node.Pull(pullCtx, i.settings.GetSeeds()) {
 		i.keeper.SetComplete()
 		return
 	}
-	p.open.Go(func() { i.runPull(run) })
+	p.wg.Go(func() { i.runRecordPull(run) })
 }
 
-// runPull asks peers for all records until they are known.
+// runRecordPull asks peers for all records until the records are complete.
 //
-// Failure: all instances start while the object API is away, and this one asks before
-// any peer has all records. Those that it hears of later come one by one, and it can't
-// know that none is missing. It would refuse its callers, and leave the endpoints that it
-// owns unfollowed, until the object API is back.
-func (i *Instance) runPull(ctx context.Context) {
-	for clock.Sleep(ctx, pullEvery) == nil && !i.keeper.Complete() {
+// Without it, when all instances start while the object API is down and this one asks before any
+// peer has all records, it receives the records later one by one and can't know that none is
+// missing. It would refuse its callers, and not monitor the endpoints that it owns, until the
+// object API is back.
+func (i *Instance) runRecordPull(ctx context.Context) {
+	for clock.Sleep(ctx, pullInterval) == nil && !i.keeper.Complete() {
 		var addresses []string
 		for _, m := range i.peers.node.View().Members {
 			if m.Owns() {
 				addresses = append(addresses, m.Address)
 			}
 		}
-		bounded, cancel := context.WithTimeout(ctx, pullWithin)
-		if i.peers.node.Pull(bounded, addresses) {
+		pullCtx, cancel := context.WithTimeout(ctx, pullTimeout)
+		if i.peers.node.Pull(pullCtx, addresses) {
 			i.keeper.SetComplete()
 		}
 		cancel()
 	}
 }
 
-// startPlacing puts records and members in force for placing, and follows them
-// from then on.
+// startPlacing passes the current records and members to the placer and starts to pass on their
+// changes.
 func (i *Instance) startPlacing(ctx context.Context) {
 	p := i.peers
 	p.placer.SetView(ctx, p.node.View())
-	i.keeper.Subscribe(func(s *record.Snapshot) { latest(p.records, s) })
+	i.keeper.Subscribe(func(s *record.Snapshot) { replaceLatest(p.records, s) })
 	if s := i.keeper.Snapshot(); s != nil {
 		p.placer.SetRecords(ctx, s)
 	}
 	run, stop := context.WithCancel(context.Background())
 	before := p.stop
 	p.stop = func() { stop(); before() }
-	p.open.Go(func() { i.runPlacing(run) })
+	p.wg.Go(func() { i.runPlacing(run) })
 }
 
-// runPlacing hands changes of records and members to the placer.
+// runPlacing passes changes of records and members to the placer.
 func (i *Instance) runPlacing(ctx context.Context) {
 	p := i.peers
 	for {
@@ -90,7 +90,7 @@
 	}
 }
 
-// watchers lists the members as the choice of who watches records sees them.
+// watchers returns the live members in the form that the choice of record watchers takes.
 func watchers(v *member.View) []record.Member {
 	var list []record.Member
 	for _, m := range v.Members {
@@ -101,10 +101,10 @@
 	return list
 }
 
-// runRecordsOut tells peers the records that were new here. All items are put
-// into the exchange, which passes over those that it holds: what the ring of
-// changes gave up is told all the same.
-func (i *Instance) runRecordsOut(ctx context.Context) {
+// runRecordPublisher publishes records that are new at this instance to peers. It hands all
+// items to the exchange, which skips those that it holds, so that changes dropped by the ring of
+// changes are published all the same.
+func (i *Instance) runRecordPublisher(ctx context.Context) {
 	changes := i.keeper.Changes()
 	for {
 		select {
@@ -124,8 +124,8 @@
 	}
 }
 
-// runList reads the platform's list of instances now and then.
-func (i *Instance) runList(ctx context.Context) {
+// runInstanceList reads the platform's list of instances every listInterval.
+func (i *Instance) runInstanceList(ctx context.Context) {
 	for {
 		if list, err := i.store.Instances(ctx); err == nil {
 			var addresses []string
@@ -139,44 +139,46 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(listEvery):
+		case <-time.After(listInterval):
 		}
 	}
 }
 
-// runTell tells peers what is in force here and closes idle connections.
-func (i *Instance) runTell(ctx context.Context) {
+// runStatePublisher publishes the version of the records in force here and whether the object
+// API is reachable. It also closes idle connections to peers.
+func (i *Instance) runStatePublisher(ctx context.Context) {
 	swept := time.Now()
 	for {
-		every := max(tellEvery, time.Duration(len(i.peers.node.View().Owners)-tellFrom)*tellEachMember)
+		every := max(publishInterval, time.Duration(len(i.peers.node.View().Owners)-publishIntervalMembers)*publishIntervalPerMember)
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(every):
-		case <-i.tellNow:
+		case <-i.publishNow:
 		}
 		_ = i.peers.node.Tell(ctx, i.keeper.Version(), i.provider.StoreReachable())
-		if time.Since(swept) >= sweepEvery {
+		if time.Since(swept) >= sweepInterval {
 			swept = time.Now()
 			i.peers.client.Sweep()
 		}
 	}
 }
 
-// leaveFleet gives the endpoints that this instance owns to their next owners.
+// leaveFleet hands the endpoints that this instance owns over to their next owners.
 func (i *Instance) leaveFleet(ctx context.Context) {
 	if i.peers.node.Leave(ctx) != nil {
 		return
 	}
 	i.peers.placer.SetView(ctx, i.peers.node.View())
-	_ = i.peers.placer.Dump(ctx) // the owner's duty has worked on the view once this returns
+	_ = i.peers.placer.Dump(ctx) // returns after the owner server has processed the view
 	i.peers.handOvers.Wait(ctx)
 }
 
-// stopFleet says the last word and ends the duties.
+// stopFleet announces to peers that this instance has left and stops the components of the
+// fleet.
 func (i *Instance) stopFleet(ctx context.Context) {
 	_ = i.peers.node.Left(ctx)
 	i.peers.stop()
-	i.peers.open.Wait()
+	i.peers.wg.Wait()
 	i.peers.client.Close()
 }
--- a/instance/fleet_test.go
+++ b/instance/fleet_test.go
@@ -15,7 +15,7 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// startPeer starts one instance that knows the others as seeds.
+// startPeer starts one instance that has the others as seeds.
 func startPeer(tb testing.TB, objectAPI string, name string, seeds ...*Instance) *Instance {
 	tb.Helper()
 	i, err := newPeer(objectAPI, name, seeds)
@@ -39,8 +39,8 @@
 	return Start(context.Background(), s)
 }
 
-// nobody is an address where nothing listens.
-func nobody(tb testing.TB) string {
+// unusedAddr returns an address without a listener.
+func unusedAddr(tb testing.TB) string {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,9 +50,8 @@
 	return ln.Addr().String()
 }
 
-// An instance is replaced during an outage of the object API. It must serve its
-// first request with the records of its peers, and not wait for the outage to
-// end.
+// An instance is replaced during an outage of the object API. It must serve its first request
+// with the records of its peers and not wait for the end of the outage.
 func TestStartFromPeersWithTheObjectAPIDown(t *testing.T) {
 	store := startObjectAPI(t)
 	first := startPeer(t, store.Addr(), "entry-1")
@@ -64,11 +63,11 @@
 	}
 }
 
-// Half of the instances cannot reach the object API. An operator's change has
-// to come into force there too, told by the others.
-func TestChangeReachesInstancesWithoutTheObjectAPI(t *testing.T) {
+// Half of the instances cannot reach the object API. An operator's change has to come into force
+// there too, received from the others.
+func TestRecordChangeReachesInstancesWithoutObjectAPI(t *testing.T) {
 	store := startObjectAPI(t)
-	away := nobody(t)
+	away := unusedAddr(t)
 	var all []*Instance
 	for k := range 8 {
 		address := store.Addr()
@@ -82,8 +81,8 @@
 	awaitClass(all, 2)
 }
 
-// All instances are restarted at once, as after a bad release. None may wait
-// for a peer that is not there either.
+// All instances restart at once, as after a bad release. None may wait for a peer that is not
+// running either.
 func TestAllInstancesRestartAtOnce(t *testing.T) {
 	store := startObjectAPI(t)
 	var before []*Instance
@@ -118,16 +117,15 @@
 	}
 }
 
-// All instances are killed at once while the object API is away. One of them starts when
-// no peer has all records, and hears them later, one by one, from a peer that has. Its state
-// dump shows them with a newest version and none in force ("complete": false). It may not go
-// on like that for as long as the object API is away: it refuses all its callers, and the
-// endpoints that it should own are followed by nobody, so that one that leaves gets new work
-// for seconds.
-func TestInstanceThatStartedBeforeItsPeersTakesOverTheirRecords(t *testing.T) {
+// All instances are killed at once while the object API is down. One of them starts when no peer
+// has all records and receives them later, one by one, from a peer that has. Its state dump
+// shows them with a newest version and none in force ("complete": false). If that lasted as long
+// as the outage, it would refuse all its callers, and the endpoints that it should own would be
+// monitored by no instance, so that one that is leaving gets new work for seconds.
+func TestStartBeforePeersPullsRecordsLater(t *testing.T) {
 	store := startObjectAPI(t)
-	at := nobody(t)
-	early := startAt(t, nobody(t), "entry-1", "127.0.0.1:0", at)
+	at := unusedAddr(t)
+	early := startAt(t, unusedAddr(t), "entry-1", "127.0.0.1:0", at)
 	if status, _ := modelsStatus(t, early); status == fasthttp.StatusOK {
 		t.Fatal("the instance serves without records")
 	}
@@ -141,7 +139,7 @@
 	t.Errorf("no records in force %v after a peer has all of them: %+v", within, early.keeper.Dump())
 }
 
-// startAt starts an instance that peers reach at an address.
+// startAt starts an instance whose listener for peers has the given address.
 func startAt(tb testing.TB, objectAPI, name, at, seed string) *Instance {
 	tb.Helper()
 	s, faults := settings.Parse(fmt.Appendf(nil, "fleet: test\ninstance: %s\ndata_centre: accra-1\nplatform: {address: %q}\nseeds: [%q]\n"+
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,5 +1,5 @@
-// Package instance puts the duties of one entry instance together and runs
-// them from start to graceful shutdown.
+// Package instance assembles the components of one entry instance and runs them from start to
+// graceful shutdown.
 package instance
 
 import (
@@ -25,28 +25,27 @@
 	store    *objectapi.Client
 	keeper   *record.Keeper
 	provider *record.Provider
-	// tellNow wakes the duty that tells peers what is in force here.
-	tellNow chan struct{}
-	entry   *entry.Server
-	claims  *claim.Book
-	callers *cutListener
-	admin   *admin.Handler
-	adminLn net.Listener
-	peers   *peers
-	clients *endpoint.Clients
-	// following and pools are the duties towards endpoints.
-	following *following
-	pools     *poolDuties
-	// onKill ends what other duties listen on.
+	// publishNow triggers runStatePublisher before its interval is over.
+	publishNow chan struct{}
+	entry      *entry.Server
+	claims     *claim.Book
+	callers    *trackingListener
+	admin      *admin.Handler
+	adminLn    net.Listener
+	peers      *peers
+	clients    *endpoint.Clients
+	// monitorBridge and leases work on the endpoints.
+	monitorBridge *monitorBridge
+	leases        *leaseManager
+	// onKill holds the functions that Kill calls to stop components at once.
 	onKill []func()
 }
 
-// Start brings the duties up in the order in which they need each other and
-// begins to serve callers.
+// Start starts the components in the order of their dependencies and begins to serve callers.
 func Start(ctx context.Context, s *settingspb.Settings) (*Instance, error) {
 	i := &Instance{settings: s, admin: admin.NewHandler()}
 	i.provisionStore()
-	i.provisionPools()
+	i.provisionLeases()
 	if err := i.provisionFleet(); err != nil {
 		return nil, err
 	}
@@ -55,13 +54,13 @@
 	i.startRecords(ctx)
 	i.startPlacing(ctx)
 	i.startMonitor()
-	i.startPools()
+	i.startLeases()
 	if err := i.startAdmin(); err != nil {
-		i.endDuties(ctx)
+		i.stopComponents(ctx)
 		return nil, err
 	}
 	if err := i.startCallers(); err != nil {
-		i.endDuties(ctx)
+		i.stopComponents(ctx)
 		_ = i.adminLn.Close()
 		return nil, err
 	}
@@ -81,16 +80,16 @@
 	return nil
 }
 
-// Callers returns the address that serves callers.
+// Callers returns the address at which callers are served.
 func (i *Instance) Callers() string { return i.callers.Addr().String() }
 
-// Admin returns the address that serves operators.
+// Admin returns the address at which operators are served.
 func (i *Instance) Admin() string { return i.adminLn.Addr().String() }
 
-// Shutdown ends the instance gracefully. It says "not ready" first and goes on
-// serving for the time that the balancer needs to notice; then it stops
-// listening and waits for open requests, for the time that settings.shutdown
-// gives. The end of ctx ends both waits.
+// Shutdown stops the instance gracefully. It first reports "not ready" and goes on serving for
+// the notice period, in which the balancer detects this; then it stops listening and waits for
+// open requests, for the drain period. Both periods come from settings.shutdown. The end of ctx
+// ends both waits.
 func (i *Instance) Shutdown(ctx context.Context) error {
 	i.admin.SetReady(false)
 	i.entry.Drain()
@@ -106,23 +105,23 @@
 	return i.Stop(ctx)
 }
 
-// Stop ends the instance once its open requests are done, without notice.
-// Requests that are open at the end of ctx end with an error that says so.
+// Stop stops the instance once its open requests are complete, without a notice period. Requests
+// that are open at the end of ctx end with an error that says so.
 func (i *Instance) Stop(ctx context.Context) error {
 	i.admin.SetReady(false)
 	defer func() { _ = i.adminLn.Close() }()
-	defer i.endDuties(ctx)
+	defer i.stopComponents(ctx)
 	i.leaveFleet(ctx)
-	// What became of the last requests is recorded before the process ends.
+	// The outcomes of the last requests have to be recorded before the process exits.
 	defer i.claims.Close(ctx)
 	return i.entry.Shutdown(ctx)
 }
 
-// endDuties ends what runs beside the serving of callers. The leases go first,
-// so that others take them while the rest winds down.
-func (i *Instance) endDuties(ctx context.Context) {
-	i.pools.end(true)
-	i.following.end()
+// stopComponents stops the components other than the listener for callers. The leases are
+// released first, so that other instances acquire them while the rest shuts down.
+func (i *Instance) stopComponents(ctx context.Context) {
+	i.leases.stop(true)
+	i.monitorBridge.stop()
 	i.stopFleet(ctx)
 	i.provider.Stop()
 }
--- a/instance/kept.go
+++ b/instance/kept.go
@@ -8,8 +8,8 @@
 	"github.com/sardinedock/sardinedock/kept"
 )
 
-// newKept returns the duty that has shared prefixes kept in the KV store.
-func (i *Instance) newKept() *kept.Keeper {
+// newPrefixKeeper returns the component that has engines save shared prefixes to the KV store.
+func (i *Instance) newPrefixKeeper() *kept.Keeper {
 	return kept.NewKeeper(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return i.clients.Engine(address) },
--- a/instance/kill.go
+++ b/instance/kill.go
@@ -7,12 +7,11 @@
 	"syscall"
 )
 
-// Kill ends the instance as a crash does: its listeners and its callers'
-// connections are closed at once, nothing is drained and nobody is told. Requests
-// that are open send nothing any more.
+// Kill stops the instance as a crash does: its listeners and its callers' connections are closed
+// at once, nothing is drained and peers are not notified. Open requests send nothing more.
 func (i *Instance) Kill() {
 	i.admin.SetReady(false)
-	i.callers.cut()
+	i.callers.closeAll()
 	_ = i.adminLn.Close()
 	i.provider.Stop()
 	for _, end := range i.onKill {
@@ -20,8 +19,8 @@
 	}
 }
 
-// cutListener remembers its open connections, so that all can be closed.
-type cutListener struct {
+// trackingListener tracks its open connections, so that all can be closed.
+type trackingListener struct {
 	net.Listener
 
 	mu     sync.Mutex
@@ -29,17 +28,17 @@
 	conns  map[net.Conn]struct{}
 }
 
-func newCutListener(ln net.Listener) *cutListener {
-	return &cutListener{Listener: ln, conns: map[net.Conn]struct{}{}}
+func newTrackingListener(ln net.Listener) *trackingListener {
+	return &trackingListener{Listener: ln, conns: map[net.Conn]struct{}{}}
 }
 
 // Accept implements net.Listener.
-func (l *cutListener) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &cutConn{Conn: conn, listener: l}
+	c := &trackedConn{Conn: conn, listener: l}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
@@ -49,8 +48,8 @@
 	return c, nil
 }
 
-// cut closes the listener and every connection that it accepted.
-func (l *cutListener) cut() {
+// closeAll closes the listener and every connection that it accepted.
+func (l *trackingListener) closeAll() {
 	_ = l.Close()
 	l.mu.Lock()
 	l.closed = true
@@ -64,22 +63,22 @@
 	}
 }
 
-// cutConn leaves its listener's list when it is closed.
-type cutConn struct {
+// trackedConn removes itself from its listener when it is closed.
+type trackedConn struct {
 	net.Conn
-	listener *cutListener
+	listener *trackingListener
 }
 
 // Close implements net.Conn.
-func (c *cutConn) Close() error {
+func (c *trackedConn) Close() error {
 	c.listener.mu.Lock()
 	delete(c.listener.conns, c)
 	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// SyscallConn implements syscall.Conn, by which a caller that has gone is seen.
-func (c *cutConn) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn implements syscall.Conn, which is needed to detect that a caller has disconnected.
+func (c *trackedConn) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
@@ -87,8 +86,8 @@
 	return sc.SyscallConn()
 }
 
-// CloseWrite ends what is written and leaves the reading open.
-func (c *cutConn) CloseWrite() error {
+// CloseWrite closes the writing side and leaves the reading side open.
+func (c *trackedConn) CloseWrite() error {
 	cw, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok {
 		return errors.ErrUnsupported
--- a/instance/kill_test.go
+++ b/instance/kill_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// An instance dies in the middle of an answer. Its caller sees the connection
-// break, not an end that looks whole, and a new caller is refused.
-func TestKillCutsCallers(t *testing.T) {
+// An instance crashes in the middle of an answer. Its caller must see a broken connection, not a
+// regular end of the answer, and a new caller must be refused.
+func TestKillBreaksCallerConnections(t *testing.T) {
 	i := start(t)
 	conn, err := net.Dial("tcp", i.Callers())
 	if err != nil {
@@ -25,7 +25,7 @@
 	i.Kill()
 	for lines.Scan() {
 		if lines.Text() == "data: [DONE]" || lines.Text() == "0" {
-			t.Fatal("the answer of a killed instance ended as if whole")
+			t.Fatal("the answer of a killed instance ended as if it were complete")
 		}
 	}
 	if conn, err := net.Dial("tcp", i.Callers()); err == nil {
--- a/instance/leaving_test.go
+++ b/instance/leaving_test.go
@@ -11,19 +11,20 @@
 	"time"
 )
 
-// An instance is killed for good, and an engine that it owned says in the same moment that it
-// leaves. Nobody asks that engine for its state until the owner counts as dead, six seconds
-// later; meanwhile the others decide by what they were told before, and go on sending to it.
-// The operator takes it away when the time to leave is over, and its callers' answers break.
-func TestLeavingEngineOfAKilledOwnerGetsNoLateWork(t *testing.T) {
+// An instance is killed and does not come back, and an engine that it owned reports at the same
+// moment that it is leaving. The engine's state is not polled until the owner is declared dead,
+// six seconds later; meanwhile the other instances use the last published state and go on
+// sending to the engine. The operator removes it when its time to leave is over, and its
+// callers' answers break off.
+func TestLeavingEngineGetsNoWorkAfterOwnerIsKilled(t *testing.T) {
 	t.Parallel()
 	const (
-		// bound is how long after its word a leaving engine may get new work.
+		// bound is how long after its report a leaving engine may get new work.
 		bound = 3 * time.Second
-		// sendFor is longer than it takes until the owner counts as dead.
+		// sendFor is longer than it takes to declare the owner dead.
 		sendFor = 8 * time.Second
 	)
-	e, all := crashRig(t, 3, 2)
+	e, all := startCrashTest(t, 3, 2)
 	engine := e.Engines[0]
 	owns := func(i *Instance) bool { return slices.Contains(i.peers.placer.Owned(), engine.Name()) }
 	await(t, "one owner that all agree on", func() bool {
@@ -36,13 +37,13 @@
 	})
 	at := slices.IndexFunc(all, owns)
 	survivors := slices.Delete(slices.Clone(all), at, at+1)
-	ask := func(n int) { askOnce(t, survivors[n%len(survivors)], n) }
+	ask := func(n int) { sendRequest(t, survivors[n%len(survivors)], n) }
 	const warmUp = 40
 	for n := range warmUp {
 		ask(n)
 	}
 	if engine.Stats().Runs == 0 {
-		t.Fatal("the engine gets no work before it leaves")
+		t.Fatal("the engine got no work before it was leaving")
 	}
 	all[at].Kill()
 	engine.SetLeaving(true)
@@ -52,11 +53,11 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	if late := engine.Stats().LastStartAfterLeaving; late > bound {
-		t.Errorf("the engine got new work %v after it said that it leaves, allowed are %v", late, bound)
+		t.Errorf("the engine got new work %v after it reported that it is leaving, allowed are %v", late, bound)
 	}
 }
 
-// await waits for something that takes a moment on a busy machine.
+// await polls until ok returns true, which takes a moment on a busy machine.
 func await(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	const within = 10 * time.Second
@@ -68,15 +69,15 @@
 	t.Fatalf("not within %v: %s", within, what)
 }
 
-// An engine has said seconds ago that it leaves, and the operator's record does not say so. All
-// instances are started again, and callers send at once. An owner follows its engines only some
-// tenths of a second later and takes them for usable until then: the engine that leaves gets
-// work of the first callers, long after its time.
-func TestLeavingEngineGetsNoWorkOfAStartingFleet(t *testing.T) {
+// An engine reported seconds ago that it is leaving, and the operator's record does not say so.
+// All instances restart, and callers send at once. An owner has an engine's state only some
+// tenths of a second after its start; if it took the engine for usable until then, the leaving
+// engine would get work of the first callers, long after its time.
+func TestLeavingEngineGetsNoWorkAfterFleetRestart(t *testing.T) {
 	t.Parallel()
 	// left is longer than a leaving engine may get new work.
 	const left = 3200 * time.Millisecond
-	e, all := crashRig(t, 1, 2)
+	e, all := startCrashTest(t, 1, 2)
 	engine := e.Engines[0]
 	all[0].Kill()
 	engine.SetLeaving(true)
@@ -86,20 +87,20 @@
 	var wg sync.WaitGroup
 	for n := range requests {
 		wg.Go(func() {
-			if status := askOnce(t, started, n); status != http.StatusOK {
+			if status := sendRequest(t, started, n); status != http.StatusOK {
 				t.Errorf("status %d, want to be served by the other engine", status)
 			}
 		})
 	}
 	wg.Wait()
 	if late := engine.Stats().LastStartAfterLeaving; late > 0 {
-		t.Errorf("the engine got new work %v after it said that it leaves", late)
+		t.Errorf("the engine got new work %v after it reported that it is leaving", late)
 	}
 }
 
-// askOnce sends the n-th request and returns the status of its answer; 0 where none came.
-func askOnce(t *testing.T, i *Instance, n int) (status int) {
-	// Prompts that begin alike would all go to one engine.
+// sendRequest sends the n-th request and returns the status of its answer; 0 if there was none.
+func sendRequest(t *testing.T, i *Instance, n int) (status int) {
+	// Prompts with a common prefix would all go to one engine.
 	prompt := strings.Repeat(fmt.Sprint("valve ", n, " "), 100)
 	resp, err := complete(t.Context(), i, prompt, 1)
 	if err != nil {
--- a/instance/monitor.go
+++ b/instance/monitor.go
@@ -18,88 +18,88 @@
 )
 
 const (
-	// monitorRing bounds what endpoints showed and the owner has not taken yet.
-	monitorRing = 4096
-	// ownedEvery is how often the followed endpoints are compared with those
-	// that this instance owns.
-	ownedEvery = 100 * time.Millisecond
-	// cacheBatch bounds the cache events that go to the owner at once.
-	cacheBatch = 256
+	// monitorEventBuffer bounds the monitor's events that are not processed yet.
+	monitorEventBuffer = 4096
+	// ownedInterval is how often the monitored endpoints are compared with those that this
+	// instance owns.
+	ownedInterval = 100 * time.Millisecond
+	// maxCacheBatch bounds the cache events that are passed to the owner at once.
+	maxCacheBatch = 256
 )
 
-// following joins the monitor to the placer: it follows the endpoints that
-// this instance owns and hands on what they show.
-type following struct {
+// monitorBridge connects the monitor to the placer: it has the endpoints monitored that this
+// instance owns and passes the monitor's events on to the owner server and the peers.
+type monitorBridge struct {
 	instance *Instance
 	monitor  *monitor.Monitor
 	events   *ring.Ring[monitor.Event]
-	stop     context.CancelFunc
+	cancel   context.CancelFunc
 	done     sync.WaitGroup
 
-	// told is what was told of each endpoint last. States are told to all
-	// instances, so one that did not change is not told again.
-	told map[string]*fleetpb.EndpointState
+	// published is the state published last for each endpoint. States go to all instances, so an
+	// unchanged one is not published again.
+	published map[string]*fleetpb.EndpointState
 }
 
 func (i *Instance) startMonitor() {
-	f := &following{
-		instance: i,
-		events:   ring.New[monitor.Event]("monitor_events", monitorRing),
-		told:     map[string]*fleetpb.EndpointState{},
+	b := &monitorBridge{
+		instance:  i,
+		events:    ring.New[monitor.Event]("monitor_events", monitorEventBuffer),
+		published: map[string]*fleetpb.EndpointState{},
 	}
-	f.monitor = monitor.New(monitor.Config{
+	b.monitor = monitor.New(monitor.Config{
 		Dial:   func(addr string) endpoint.Observer { return i.clients.Engine(addr) },
-		Events: f.events,
+		Events: b.events,
 	})
-	i.admin.Register("monitor", func() any { return f.monitor.Dump() })
-	run, stop := context.WithCancel(context.Background())
-	f.stop = stop
-	f.done.Go(func() { f.run(run) })
-	i.following = f
-	i.onKill = append(i.onKill, f.end)
+	i.admin.Register("monitor", func() any { return b.monitor.Dump() })
+	run, cancel := context.WithCancel(context.Background())
+	b.cancel = cancel
+	b.done.Go(func() { b.run(run) })
+	i.monitorBridge = b
+	i.onKill = append(i.onKill, b.stop)
 }
 
-// end stops to follow. It may be called twice.
-func (f *following) end() {
-	f.stop()
-	f.done.Wait()
-	f.monitor.Stop()
+// stop stops the monitor. It may be called twice.
+func (b *monitorBridge) stop() {
+	b.cancel()
+	b.done.Wait()
+	b.monitor.Stop()
 }
 
-func (f *following) run(ctx context.Context) {
-	ticker := time.NewTicker(ownedEvery)
+func (b *monitorBridge) run(ctx context.Context) {
+	ticker := time.NewTicker(ownedInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			f.follow()
-		case e := <-f.events.C():
-			f.take(ctx, e)
+			b.updateTargets()
+		case e := <-b.events.C():
+			b.handleEvent(ctx, e)
 		}
 	}
 }
 
-// follow gives the monitor the endpoints that this instance owns now.
-func (f *following) follow() {
-	s := f.instance.keeper.Snapshot()
+// updateTargets passes the endpoints that this instance owns now to the monitor.
+func (b *monitorBridge) updateTargets() {
+	s := b.instance.keeper.Snapshot()
 	if s == nil {
 		return
 	}
 	owned := map[string]bool{}
-	for _, name := range f.instance.peers.placer.Owned() {
+	for _, name := range b.instance.peers.placer.Owned() {
 		owned[name] = true
 	}
-	for name := range f.told {
+	for name := range b.published {
 		if !owned[name] {
-			delete(f.told, name)
+			delete(b.published, name)
 		}
 	}
-	f.monitor.SetEndpoints(targets(s, owned))
+	b.monitor.SetEndpoints(targets(s, owned))
 }
 
-// targets finds the owned endpoints in the records.
+// targets returns the monitor's targets for the owned endpoints, read from the records.
 func targets(s *record.Snapshot, owned map[string]bool) []monitor.Target {
 	var list []monitor.Target
 	for _, name := range s.PoolNames() {
@@ -119,42 +119,42 @@
 	return list
 }
 
-func (f *following) take(ctx context.Context, e monitor.Event) {
-	duty := f.instance.peers.duty
+func (b *monitorBridge) handleEvent(ctx context.Context, e monitor.Event) {
+	ownerServer := b.instance.peers.ownerServer
 	switch e := e.(type) {
 	case monitor.StatusChanged:
-		f.tell(ctx, e)
+		b.publishStatus(ctx, e)
 	case monitor.LoadReported:
-		duty.Load(e.Endpoint, owner.LoadReport{
+		ownerServer.Load(e.Endpoint, owner.LoadReport{
 			Incarnation: e.Report.Incarnation, MeasuredAt: e.Report.MeasuredAt,
 			Running: e.Report.Running, Waiting: e.Report.Waiting,
 		})
 	case monitor.CacheChanged:
-		f.takeCache(ctx, e)
+		b.handleCacheEvents(ctx, e)
 	}
 }
 
-// takeCache hands a run of cache events of one endpoint on together: they come
-// in bursts, and the owner takes a batch in one turn.
-func (f *following) takeCache(ctx context.Context, first monitor.CacheChanged) {
+// handleCacheEvents passes consecutive cache events of one endpoint on as one batch: they come
+// in bursts, and the owner processes a batch at once.
+func (b *monitorBridge) handleCacheEvents(ctx context.Context, first monitor.CacheChanged) {
 	batch := []owner.CacheEvent{cacheEvent(first.Event)}
-	for len(batch) < cacheBatch {
+	for len(batch) < maxCacheBatch {
 		var next monitor.Event
 		select {
-		case next = <-f.events.C():
+		case next = <-b.events.C():
 		default:
-			f.instance.peers.duty.CacheEvents(first.Endpoint, batch)
+			b.instance.peers.ownerServer.CacheEvents(first.Endpoint, batch)
 			return
 		}
 		more, ok := next.(monitor.CacheChanged)
 		if !ok || more.Endpoint != first.Endpoint {
-			f.instance.peers.duty.CacheEvents(first.Endpoint, batch)
-			f.take(ctx, next)
+			b.instance.peers.ownerServer.CacheEvents(first.Endpoint, batch)
+			b.handleEvent(ctx, next)
 			return
 		}
 		batch = append(batch, cacheEvent(more.Event))
 	}
-	f.instance.peers.duty.CacheEvents(first.Endpoint, batch)
+	b.instance.peers.ownerServer.CacheEvents(first.Endpoint, batch)
 }
 
 func cacheEvent(e endpoint.CacheEvent) owner.CacheEvent {
@@ -173,15 +173,15 @@
 	return out
 }
 
-// tell shares a status that differs from the one told last.
-func (f *following) tell(ctx context.Context, e monitor.StatusChanged) {
+// publishStatus publishes an endpoint's state if it differs from the one published last.
+func (b *monitorBridge) publishStatus(ctx context.Context, e monitor.StatusChanged) {
 	s := &fleetpb.EndpointState{
 		Pool: e.Pool, Status: e.Status, Incarnation: e.Incarnation,
 		ModelVersions: e.ModelVersions, Reason: e.Reason,
 	}
-	if proto.Equal(s, f.told[e.Endpoint]) {
+	if proto.Equal(s, b.published[e.Endpoint]) {
 		return
 	}
-	f.told[e.Endpoint] = s
-	f.instance.peers.placer.PublishEndpointState(ctx, e.Endpoint, s)
+	b.published[e.Endpoint] = s
+	b.instance.peers.placer.PublishEndpointState(ctx, e.Endpoint, s)
 }
--- a/instance/openai_test.go
+++ b/instance/openai_test.go
@@ -17,7 +17,7 @@
 
 const testKey = "test-key"
 
-// start runs one instance before one engine.
+// start runs one instance with one engine.
 func start(t *testing.T) *instance.Instance {
 	t.Helper()
 	pool := &recordspb.EndpointPool{
@@ -48,7 +48,7 @@
 	return i
 }
 
-func TestOrdinaryClientStreams(t *testing.T) {
+func TestOpenAIClientStreams(t *testing.T) {
 	i := start(t)
 	client := openai.NewClient(option.WithAPIKey(testKey), option.WithBaseURL("http://"+i.Callers()+"/v1"))
 	stream := client.Chat.Completions.NewStreaming(context.Background(), openai.ChatCompletionNewParams{
--- a/instance/pools.go
+++ b/instance/pools.go
@@ -12,72 +12,73 @@
 )
 
 const (
-	// leaseCandidates is how many instances try for one lease. The second
-	// takes over where the first is lost; others would only cost reads.
+	// leaseCandidates is the number of instances that try to acquire one lease. The second takes
+	// over when the first fails; more would only cost reads of the object API.
 	leaseCandidates = 2
-	// poolsEvery is how often the duties are compared with the pools' records.
-	poolsEvery = time.Second
-	// fleetLease is the lease of the status that belongs to no pool.
+	// reconcileInterval is how often the running tasks are compared with the pools' records.
+	reconcileInterval = time.Second
+	// fleetLease is the lease for the status of everything that belongs to no pool.
 	fleetLease = "fleet"
 )
 
-// held is the duties that one lease goes with. rollout is nil for the fleet's.
-type held struct {
+// leased holds the tasks that the holder of one lease runs. rollout is nil for the fleet's
+// lease.
+type leased struct {
 	lease   *lease.Duty
 	rollout *rollout.Duty
 	status  *status.Writer
-	// preserver belongs to the fleet's lease only.
+	// preserver is set for the fleet's lease only.
 	preserver *record.Preserver
-	// seen is what the decisions are found by; see decisions.
-	seen decisions
+	// decisions finds the decisions to report in a pool's status.
+	decisions decisionTracker
 }
 
-// poolDuties runs the duties that have one holder: for each pool its rollout
-// and its status, and the status of the fleet.
-type poolDuties struct {
+// leaseManager runs the tasks that one instance at a time may run: the rollout and the status of
+// each pool, and the status of the fleet.
+type leaseManager struct {
 	instance *Instance
-	stop     context.CancelFunc
+	cancel   context.CancelFunc
 	done     sync.WaitGroup
 
-	mu   sync.Mutex
-	held map[string]*held
-	// noted are the fingerprints that were told of.
-	noted map[string]bool
+	mu     sync.Mutex
+	leased map[string]*leased
+	// reported holds the fingerprints that were reported in the fleet's status.
+	reported map[string]bool
 }
 
-// maxNoted bounds the fingerprints that are remembered as told. After that
-// many crashing requests operators have other means to see it.
-const maxNoted = 1024
+// maxReportedFingerprints bounds the fingerprints remembered as reported. With that many
+// crashing requests, operators have other means to notice them.
+const maxReportedFingerprints = 1024
 
-func (i *Instance) provisionPools() {
-	i.pools = &poolDuties{instance: i, held: map[string]*held{}, noted: map[string]bool{}}
-	i.admin.Register("leases", func() any { return i.pools.dump() })
+func (i *Instance) provisionLeases() {
+	i.leases = &leaseManager{instance: i, leased: map[string]*leased{}, reported: map[string]bool{}}
+	i.admin.Register("leases", func() any { return i.leases.dump() })
 }
 
-// first reports whether a fingerprint has not been told of yet.
-func (d *poolDuties) first(name string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.noted[name] || len(d.noted) >= maxNoted {
+// firstReport reports whether a fingerprint was not reported before, and marks it as reported.
+func (m *leaseManager) firstReport(name string) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.reported[name] || len(m.reported) >= maxReportedFingerprints {
 		return false
 	}
-	d.noted[name] = true
+	m.reported[name] = true
 	return true
 }
 
-func (i *Instance) startPools() {
-	d := i.pools
-	run, stop := context.WithCancel(context.Background())
-	d.stop = stop
-	d.done.Go(func() { d.run(run) })
-	i.onKill = append(i.onKill, func() { d.end(false) })
+func (i *Instance) startLeases() {
+	m := i.leases
+	run, cancel := context.WithCancel(context.Background())
+	m.cancel = cancel
+	m.done.Go(func() { m.run(run) })
+	i.onKill = append(i.onKill, func() { m.stop(false) })
 }
 
-func (d *poolDuties) run(ctx context.Context) {
-	ticker := time.NewTicker(poolsEvery)
+func (m *leaseManager) run(ctx context.Context) {
+	ticker := time.NewTicker(reconcileInterval)
 	defer ticker.Stop()
 	for {
-		d.reconcile()
+		m.reconcile()
 		select {
 		case <-ctx.Done():
 			return
@@ -86,133 +87,133 @@
 	}
 }
 
-// reconcile starts the duties of new pools and ends those of removed ones.
-func (d *poolDuties) reconcile() {
-	s := d.instance.keeper.Snapshot()
+// reconcile starts the tasks of new pools and stops those of removed ones.
+func (m *leaseManager) reconcile() {
+	s := m.instance.keeper.Snapshot()
 	if s == nil {
 		return
 	}
 	wanted := map[string]bool{fleetLease: true}
 	for _, pool := range s.PoolNames() {
 		wanted[status.PoolName(pool)] = true
-		d.ensure(status.PoolName(pool), pool)
+		m.ensure(status.PoolName(pool), pool)
 	}
-	d.ensure(fleetLease, "")
-	d.mu.Lock()
-	var gone []*held
-	for name, h := range d.held {
+	m.ensure(fleetLease, "")
+	m.mu.Lock()
+	var removed []*leased
+	for name, l := range m.leased {
 		if !wanted[name] {
-			gone = append(gone, h)
-			delete(d.held, name)
+			removed = append(removed, l)
+			delete(m.leased, name)
 		}
 	}
-	d.mu.Unlock()
-	for _, h := range gone {
-		h.end(true)
+	m.mu.Unlock()
+	for _, l := range removed {
+		l.stop(true)
 	}
 }
 
-// ensure starts the duties of a lease once.
-func (d *poolDuties) ensure(name, pool string) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.held[name] != nil {
+// ensure starts the tasks of a lease if they do not run yet.
+func (m *leaseManager) ensure(name, pool string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.leased[name] != nil {
 		return
 	}
-	i := d.instance
-	h := &held{}
-	h.lease = lease.NewDuty(lease.Config{
+	i := m.instance
+	l := &leased{}
+	l.lease = lease.NewDuty(lease.Config{
 		Store: i.store, Name: name, Self: i.name(),
 		Length: time.Duration(i.settings.GetPlatform().GetLeaseMs()) * time.Millisecond,
 		Candidate: func() bool {
 			return record.Chosen(watchers(i.peers.node.View()), i.name(), "lease/"+name, leaseCandidates)
 		},
 	})
-	describe := func() (status.Object, bool) { return i.describeFleet(h) }
+	describe := func() (status.Object, bool) { return i.describeFleet(l) }
 	if pool == "" {
-		h.preserver = record.NewPreserver(i.store, i.keeper, h.lease)
+		l.preserver = record.NewPreserver(i.store, i.keeper, l.lease)
 	} else {
-		h.rollout = rollout.NewDuty(rollout.Config{
-			Pool: pool, Lease: h.lease, Records: i.keeper.Snapshot,
+		l.rollout = rollout.NewDuty(rollout.Config{
+			Pool: pool, Lease: l.lease, Records: i.keeper.Snapshot,
 			Dial: func(addr string) rollout.Engine { return i.clients.Engine(addr) },
 		})
-		describe = func() (status.Object, bool) { return i.describePool(pool, h) }
+		describe = func() (status.Object, bool) { return i.describePool(pool, l) }
 	}
-	h.status = status.NewWriter(status.Config{Store: i.store, Name: name, Self: i.name(), Lease: h.lease, Describe: describe})
-	d.held[name] = h
-	h.start()
+	l.status = status.NewWriter(status.Config{Store: i.store, Name: name, Self: i.name(), Lease: l.lease, Describe: describe})
+	m.leased[name] = l
+	l.start()
 }
 
-func (h *held) start() {
-	h.lease.Start()
-	if h.rollout != nil {
-		h.rollout.Start()
+func (l *leased) start() {
+	l.lease.Start()
+	if l.rollout != nil {
+		l.rollout.Start()
 	}
-	if h.preserver != nil {
-		h.preserver.Start()
+	if l.preserver != nil {
+		l.preserver.Start()
 	}
-	h.status.Start()
+	l.status.Start()
 }
 
-// end stops the duties before the lease is released, so that this instance
-// gives no order once another one may hold it.
-func (h *held) end(release bool) {
-	if h.rollout != nil {
-		h.rollout.Stop()
+// stop stops the tasks before it releases the lease, so that this instance sends no order once
+// another one may hold the lease.
+func (l *leased) stop(release bool) {
+	if l.rollout != nil {
+		l.rollout.Stop()
 	}
-	if h.preserver != nil {
-		h.preserver.Stop()
+	if l.preserver != nil {
+		l.preserver.Stop()
 	}
-	h.status.Stop()
-	h.lease.Stop()
+	l.status.Stop()
+	l.lease.Stop()
 	if release {
-		h.lease.Release()
+		l.lease.Release()
 	}
 }
 
-// end stops all duties, at once and side by side.
-func (d *poolDuties) end(release bool) {
-	d.stop()
-	d.done.Wait()
-	d.mu.Lock()
-	list := d.held
-	d.held = map[string]*held{}
-	d.mu.Unlock()
+// stop stops all tasks, in parallel.
+func (m *leaseManager) stop(release bool) {
+	m.cancel()
+	m.done.Wait()
+	m.mu.Lock()
+	list := m.leased
+	m.leased = map[string]*leased{}
+	m.mu.Unlock()
 	var wg sync.WaitGroup
-	for _, h := range list {
-		wg.Go(func() { h.end(release) })
+	for _, l := range list {
+		wg.Go(func() { l.stop(release) })
 	}
 	wg.Wait()
 }
 
-// dump lists the leases that this instance knows.
-func (d *poolDuties) dump() []lease.Dump {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	list := make([]lease.Dump, 0, len(d.held))
-	for _, h := range d.held {
-		list = append(list, h.lease.Dump())
+// dump returns the state of the leases that the running tasks belong to.
+func (m *leaseManager) dump() []lease.Dump {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	list := make([]lease.Dump, 0, len(m.leased))
+	for _, l := range m.leased {
+		list = append(list, l.lease.Dump())
 	}
 	return list
 }
 
-// decided adds a decision that concerns the whole fleet to its status.
-func (d *poolDuties) decided(text string) {
-	d.mu.Lock()
-	h := d.held[fleetLease]
-	d.mu.Unlock()
-	if h != nil {
-		h.status.Decided(time.Now(), text)
+// addDecision adds a decision that concerns the whole fleet to the fleet's status.
+func (m *leaseManager) addDecision(text string) {
+	m.mu.Lock()
+	l := m.leased[fleetLease]
+	m.mu.Unlock()
+	if l != nil {
+		l.status.Decided(time.Now(), text)
 	}
 }
 
-// lease returns the fencing number of a lease that this instance holds.
-func (d *poolDuties) lease(name string) (fence uint64, held bool) {
-	d.mu.Lock()
-	h := d.held[name]
-	d.mu.Unlock()
-	if h == nil {
+// lease returns the fencing number of a lease; leased reports whether this instance holds it.
+func (m *leaseManager) lease(name string) (fence uint64, leased bool) {
+	m.mu.Lock()
+	l := m.leased[name]
+	m.mu.Unlock()
+	if l == nil {
 		return 0, false
 	}
-	return h.lease.Held()
+	return l.lease.Held()
 }
--- a/instance/records.go
+++ b/instance/records.go
@@ -9,10 +9,10 @@
 	"github.com/sardinedock/sardinedock/record"
 )
 
-// recordsWait bounds how long a start waits for the records. Without them
-// callers are refused, but the instance must come up: it takes records from
-// peers or from the object API whenever one of them answers.
-const recordsWait = 800 * time.Millisecond
+// recordsTimeout bounds how long a start waits for the records. Without them callers are
+// refused, but the instance must come up: it takes records from peers or from the object API as
+// soon as one of them answers.
+const recordsTimeout = 800 * time.Millisecond
 
 func (i *Instance) provisionStore() {
 	p := i.settings.GetPlatform()
@@ -22,15 +22,15 @@
 		Timeout:  time.Duration(p.GetTimeoutMs()) * time.Millisecond,
 		Fleet:    objectapi.Rates{Reads: float64(p.GetReadsPerSecond()), Writes: float64(p.GetWritesPerSecond())},
 	})
-	i.tellNow = make(chan struct{}, 1)
+	i.publishNow = make(chan struct{}, 1)
 	i.keeper = record.NewKeeper(clock.System{})
 	i.provider = record.NewProvider(record.ProviderConfig{
 		Store:  i.store,
 		Keeper: i.keeper,
 		Self:   i.name(),
-		Spread: i.spreadLists,
+		Spread: i.listSpread,
 		ReachableChanged: func() {
-			latest(i.tellNow, struct{}{})
+			replaceLatest(i.publishNow, struct{}{})
 		},
 	})
 	i.admin.Register("platform", func() any { return i.store.Dump() })
@@ -38,7 +38,7 @@
 	i.admin.Register("record_provider", func() any { return i.provider.Dump() })
 }
 
-// name is the instance's name in the fleet.
+// name returns the instance's name in the fleet.
 func (i *Instance) name() string {
 	if name := i.settings.GetInstance(); name != "" {
 		return name
@@ -49,9 +49,9 @@
 	return i.settings.GetListen().GetFleet()
 }
 
-// startRecords begins to follow the operators' records and waits a short time
-// for the first of them. It never fails: an object API that is down must not
-// keep an instance from serving by what its peers know.
+// startRecords starts to follow the operators' records and waits up to recordsTimeout for the
+// first of them. It never fails: an unreachable object API must not keep an instance from
+// serving with the records of its peers.
 func (i *Instance) startRecords(ctx context.Context) {
 	first := make(chan struct{})
 	known := false
@@ -63,7 +63,7 @@
 		}
 	})
 	i.provider.Start()
-	timer := time.NewTimer(recordsWait)
+	timer := time.NewTimer(recordsTimeout)
 	defer timer.Stop()
 	select {
 	case <-first:
@@ -72,9 +72,10 @@
 	}
 }
 
-// spreadLists asks the platform how many instances there are, so that a herd
-// of restarts shares the object API's rates before its members know each other.
-func (i *Instance) spreadLists(ctx context.Context) time.Duration {
+// listSpread returns the time over which the initial reads of the records are spread. It asks
+// the platform for the number of instances, so that instances that restart together share the
+// object API's rates before they know each other.
+func (i *Instance) listSpread(ctx context.Context) time.Duration {
 	list, err := i.store.Instances(ctx)
 	if err != nil || len(list) == 0 {
 		return 0
--- a/instance/records_test.go
+++ b/instance/records_test.go
@@ -17,8 +17,7 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// startFleet runs instances before one object API. The first is the others'
-// seed.
+// startFleet runs n instances with one object API. The first is the others' seed.
 func startFleet(tb testing.TB, store *emulator.Store, n int) []*Instance {
 	tb.Helper()
 	first := startInstance(tb, store, "entry-0", 10000)
@@ -38,7 +37,7 @@
 	return fleet
 }
 
-// startInstance runs an instance with a lease in milliseconds.
+// startInstance runs an instance whose leases have the given length in milliseconds.
 func startInstance(tb testing.TB, store *emulator.Store, name string, lease int, seeds ...string) *Instance {
 	tb.Helper()
 	text := fmt.Sprintf("fleet: test\ninstance: %s\ndata_centre: accra-1\nplatform: {address: %q, lease_ms: %d}\nseeds: [%s]\n"+
@@ -80,7 +79,7 @@
 	store.Set(string(kind), r.GetName(), value)
 }
 
-// setClass edits the record whose change the tests follow.
+// setClass writes the record whose change the tests follow.
 func setClass(tb testing.TB, store *emulator.Store, wait int64) {
 	tb.Helper()
 	class := &recordspb.RequestClass{MaxWaitMs: wait, TimeoutMs: 1000}
@@ -89,8 +88,8 @@
 	})
 }
 
-// awaitClass returns once the change is in force at all instances. A test that
-// waits for a change that never comes ends by the test binary's own timeout.
+// awaitClass returns once the change is in force at all instances. If it never is, the test ends
+// by the test binary's own timeout.
 func awaitClass(fleet []*Instance, wait int64) {
 	for _, i := range fleet {
 		seen := make(chan struct{})
@@ -117,9 +116,8 @@
 	return resp.StatusCode(), string(resp.Header.Peek("Retry-After"))
 }
 
-// The object API is away while instances start, and no peer can tell them the
-// records. They come up all the same, tell callers when to come back, and
-// serve as soon as the object API is there.
+// The object API is down while instances start, and no peer has the records. The instances come
+// up all the same, answer callers with Retry-After, and serve as soon as the object API is back.
 func TestStartWithTheObjectAPIDown(t *testing.T) {
 	t.Parallel()
 	store := startObjectAPI(t)
@@ -139,10 +137,9 @@
 	}
 }
 
-// An operator edits a record. It has to come into force at all instances, also
-// when the object API went away and came back in between, and a bad edit after
-// it must change nothing.
-func TestChangeIsInForceEverywhere(t *testing.T) {
+// An operator edits a record. The change has to come into force at all instances, also if the
+// object API was down in between, and an invalid edit must change nothing.
+func TestRecordChangeReachesAllInstances(t *testing.T) {
 	t.Parallel()
 	store := startObjectAPI(t)
 	fleet := startFleet(t, store, 8)
@@ -158,25 +155,25 @@
 	awaitClass(fleet, 4)
 }
 
-// settleTime is how long a fleet has run before it is measured.
-const settleTime = 10 * time.Second
+// settleDuration is how long a fleet runs before it is measured.
+const settleDuration = 10 * time.Second
 
-// BenchmarkChangeInForce measures the time from an operator's write to the
-// last of eight instances having it in force: with the object API in reach of
-// all, and from the moment on at which half of them are cut off from it.
+// BenchmarkChangeInForce measures the time from an operator's write until the last of eight
+// instances has it in force: with the object API reachable by all, and from the moment at which
+// half of them lose it.
 func BenchmarkChangeInForce(b *testing.B) {
 	for _, cut := range []int{0, 4} {
 		b.Run(fmt.Sprintf("cut=%d", cut), func(b *testing.B) {
 			store := startObjectAPI(b)
 			fleet := startFleet(b, store, 8)
 			awaitClass(fleet, 1)
-			awaitRest(store, fleet)
-			time.Sleep(settleTime)
+			awaitIdle(store, fleet)
+			time.Sleep(settleDuration)
 			var times []time.Duration
 			for b.Loop() {
 				store.SetFaults(emulator.StoreFaults{})
-				awaitRest(store, fleet)
-				store.SetFaults(emulator.StoreFaults{CutInstances: cutOff(cut, len(times))})
+				awaitIdle(store, fleet)
+				store.SetFaults(emulator.StoreFaults{CutInstances: cutInstances(cut, len(times))})
 				wait := int64(len(times) + 2)
 				start := time.Now()
 				setClass(b, store, wait)
@@ -191,8 +188,8 @@
 	}
 }
 
-// cutOff names n instances, others in each round.
-func cutOff(n, round int) []string {
+// cutInstances names n instances, different ones in each round.
+func cutInstances(n, round int) []string {
 	var names []string
 	for k := range n {
 		names = append(names, fmt.Sprintf("entry-%d", (round*3+k*(1+round%3*2))%8))
@@ -200,9 +197,9 @@
 	return names
 }
 
-// awaitRest returns once all instances know all, and that the object API
-// answers all, and only those watch that have to.
-func awaitRest(store *emulator.Store, fleet []*Instance) {
+// awaitIdle returns once every instance knows all others and knows that the object API is
+// reachable by all, and only the chosen instances have watches open.
+func awaitIdle(store *emulator.Store, fleet []*Instance) {
 	for _, i := range fleet {
 		for !allReachable(i, len(fleet)) {
 			time.Sleep(10 * time.Millisecond)
@@ -223,14 +220,14 @@
 	return reachable == n
 }
 
-// BenchmarkStoreCallsAtRest counts what eight instances ask of the object API
-// when nothing changes. Each round is ten seconds.
+// BenchmarkStoreCallsAtRest counts the calls of eight instances to the object API while nothing
+// changes. Each round takes ten seconds.
 func BenchmarkStoreCallsAtRest(b *testing.B) {
 	store := startObjectAPI(b)
 	fleet := startFleet(b, store, 8)
 	awaitClass(fleet, 1)
-	awaitRest(store, fleet)
-	time.Sleep(settleTime)
+	awaitIdle(store, fleet)
+	time.Sleep(settleDuration)
 	before, start := store.Counts(), time.Now()
 	for b.Loop() {
 		time.Sleep(10 * time.Second)
--- a/instance/rollout_test.go
+++ b/instance/rollout_test.go
@@ -26,7 +26,7 @@
 	}}
 }
 
-// startEngines runs the stand-ins of one pool whose weights load in 200 ms.
+// startEngines runs emulated engines of one pool whose weights load in 200 ms.
 func startEngines(tb testing.TB, n int, checksFencing bool) *emulator.Emulator {
 	tb.Helper()
 	pool := &recordspb.EndpointPool{
@@ -49,8 +49,8 @@
 	return e
 }
 
-// awaitState returns once the engine is as asked for. If it never is, the test
-// ends by the test binary's own timeout, like all that wait here.
+// awaitState returns once ok accepts the engine's state. If it never does, the test ends by the
+// test binary's own timeout, as with all waits in this file.
 func awaitState(engine *emulator.Engine, ok func(endpoint.State) bool) {
 	c := endpoint.NewClient(engine.Addr(), time.Second, time.Second)
 	defer c.Close()
@@ -73,11 +73,10 @@
 	}
 }
 
-// An operator names a new version of the weights, and the instance that rolls
-// it out is lost in the middle. Another goes on, all endpoints end at the new
-// version, and operators can read that. Then an order for the old version that
-// the lost instance had in its hands arrives after all.
-func TestRolloutOutlivesItsHolder(t *testing.T) {
+// An operator names a new version of the weights, and the instance that rolls it out crashes in
+// the middle. Another instance continues, all endpoints end at the new version, and the status
+// shows it. Then an order for the old version that the failed instance had sent arrives late.
+func TestRolloutContinuesAfterHolderFails(t *testing.T) {
 	t.Parallel()
 	for _, checks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("checks fencing %v", checks), func(t *testing.T) {
@@ -90,7 +89,7 @@
 			setRecord(t, e.Store, record.Models, modelRecord("2"))
 			awaitState(e.Engines[0], holds("2"))
 			holder, other := first, second
-			if _, held := second.pools.lease("pool.engines"); held {
+			if _, held := second.leases.lease("pool.engines"); held {
 				holder, other = second, first
 			}
 			holder.Kill()
@@ -113,11 +112,11 @@
 	}
 }
 
-// awaitHolder returns the fence of the pool's lease once one of them holds it.
+// awaitHolder returns the fence of the pool's lease once one of the instances holds it.
 func awaitHolder(fleet ...*Instance) uint64 {
 	for {
 		for _, i := range fleet {
-			if fence, held := i.pools.lease("pool.engines"); held {
+			if fence, held := i.leases.lease("pool.engines"); held {
 				return fence
 			}
 		}
@@ -141,9 +140,9 @@
 	}
 }
 
-// Callers go on asking while a new version is rolled out. Each of them must get
-// a whole answer, by the old or the new weights; nobody may be refused because
-// no endpoint, or not every endpoint, has the new version yet.
+// Callers send requests while a new version is rolled out. Each must get a whole answer, from
+// the old or the new weights; no caller may be refused because none or not every endpoint has
+// the new version yet.
 func TestCallersAreAnsweredDuringARollout(t *testing.T) {
 	t.Parallel()
 	e := startEngines(t, 4, true)
@@ -156,7 +155,7 @@
 	for c := range asked {
 		callers.Go(func() {
 			for ; !closed(done); asked[c]++ {
-				askCounter(t, i, fmt.Sprintf("caller %d request %d", c, asked[c]))
+				sendCompletion(t, i, fmt.Sprintf("caller %d request %d", c, asked[c]))
 			}
 		})
 	}
@@ -179,8 +178,8 @@
 	}
 }
 
-// askCounter asks once and compares the answer.
-func askCounter(t *testing.T, i *Instance, prompt string) {
+// sendCompletion sends one request and compares the answer with the expected one.
+func sendCompletion(t *testing.T, i *Instance, prompt string) {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
--- a/instance/shutdown_test.go
+++ b/instance/shutdown_test.go
@@ -10,9 +10,9 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// The balancer needs some seconds to see that an instance ends. Until then it
-// goes on sending, and a refused connection would be a request lost.
-func TestNoticeBeforeTheEnd(t *testing.T) {
+// The balancer needs some seconds to detect that an instance shuts down. Until then it goes on
+// sending, and a refused connection would be a lost request.
+func TestShutdownServesDuringNotice(t *testing.T) {
 	e, err := emulator.Start("127.0.0.1:0", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -33,18 +33,18 @@
 	for status(t, "http://"+i.Admin()+"/readyz") == http.StatusOK {
 	}
 	if got := status(t, "http://"+i.Callers()+"/v1/models"); got == 0 {
-		t.Fatal("callers are refused before the notice is over")
+		t.Fatal("callers are refused before the notice period is over")
 	}
 	cancel()
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
 	if got := status(t, "http://"+i.Callers()+"/v1/models"); got != 0 {
-		t.Fatalf("status %d after the end", got)
+		t.Fatalf("status %d after the shutdown", got)
 	}
 }
 
-// status returns the answer's status, 0 where nobody listens.
+// status returns the answer's status, 0 if the connection is refused.
 func status(t *testing.T, url string) int {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
