--- a/endpoint/client.go
+++ b/endpoint/client.go
@@ -12,26 +12,24 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// Client speaks the engine protocol over HTTP. It manages its connections
-// itself and uses fasthttp for the messages only: a client library's own
-// retries could run a request twice without the router knowing. Any goroutine
-// may use it.
+// Client implements Engine over HTTP. It manages its connections itself and uses fasthttp for
+// the messages only: the automatic retries of an HTTP client could run a request twice without
+// the router knowing. It is safe for concurrent use.
 type Client struct {
-	pool    pool
-	silence time.Duration
+	pool        pool
+	readTimeout time.Duration
 }
 
-// NewClient returns a client of the engine at addr. A connection that brings
-// nothing for the silence bound, while something is expected on it, is given
-// up as broken.
-func NewClient(addr string, dialTimeout, silence time.Duration) *Client {
-	return &Client{pool: pool{addr: addr, dialTimeout: dialTimeout, headerBytes: engineHeaderBytes}, silence: silence}
+// NewClient returns a client of the engine at addr. A connection on which nothing is received
+// for readTimeout, while a response is expected, is closed as broken.
+func NewClient(addr string, dialTimeout, readTimeout time.Duration) *Client {
+	return &Client{pool: pool{addr: addr, dialTimeout: dialTimeout, headerBytes: engineHeaderBytes}, readTimeout: readTimeout}
 }
 
 // Close closes the idle connections.
 func (c *Client) Close() { c.pool.closeIdle() }
 
-// request returns a request; path may carry a query.
+// request returns a request to the engine. path may have a query.
 func (c *Client) request(method, path string, body []byte) *fasthttp.Request {
 	req := &fasthttp.Request{}
 	req.Header.SetMethod(method)
@@ -44,42 +42,42 @@
 	return req
 }
 
-// Generate sends a request; see Generator.
+// Generate implements Generator.
 func (c *Client) Generate(ctx context.Context, r Request) (Stream, error) {
 	req := c.request(fasthttp.MethodPost, r.Path, r.Body)
 	req.Header.Set("X-Request-Id", r.ID)
 	return c.stream(ctx, req, r.Fresh)
 }
 
-// Resume goes on with a stream; see Generator.
+// Resume implements Generator.
 func (c *Client) Resume(ctx context.Context, id string, after int64) (Stream, error) {
 	req := c.request(fasthttp.MethodPost, streamPath(id)+"/resume", nil)
 	req.Header.Set("Last-Event-ID", id+"/"+strconv.FormatInt(after, 10))
 	return c.stream(ctx, req, true)
 }
 
-// Cancel ends the engine's work on a request; see Generator.
+// Cancel implements Generator.
 func (c *Client) Cancel(ctx context.Context, id string) error {
 	_, err := c.call(ctx, c.request(fasthttp.MethodDelete, streamPath(id), nil), false)
 	return err
 }
 
-// State reads the engine's own word on a new connection, so that it also tells
-// whether new connections work while an open one is silent.
+// State implements Observer. It uses a new connection, so that it also shows whether new
+// connections work while an open one is unresponsive.
 func (c *Client) State(ctx context.Context) (State, error) {
 	var s State
 	err := c.read(ctx, "/v1/state", true, &s)
 	return s, err
 }
 
-// Load reads the engine's load report.
+// Load implements Observer.
 func (c *Client) Load(ctx context.Context) (LoadReport, error) {
 	var l LoadReport
 	err := c.read(ctx, "/v1/load", false, &l)
 	return l, err
 }
 
-// Order tells the engine to change; see Controller.
+// Order implements Controller.
 func (c *Client) Order(ctx context.Context, o Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -89,17 +87,17 @@
 	return err
 }
 
-// Export keeps blocks; see Controller.
+// Export implements Controller.
 func (c *Client) Export(ctx context.Context, h KVHandle) (int, error) {
-	return c.keptCache(ctx, "/v1/kv/export", h)
+	return c.callKV(ctx, "/v1/kv/export", h)
 }
 
-// Import takes kept blocks in; see Controller.
+// Import implements Controller.
 func (c *Client) Import(ctx context.Context, h KVHandle) (int, error) {
-	return c.keptCache(ctx, "/v1/kv/import", h)
+	return c.callKV(ctx, "/v1/kv/import", h)
 }
 
-func (c *Client) keptCache(ctx context.Context, path string, h KVHandle) (int, error) {
+func (c *Client) callKV(ctx context.Context, path string, h KVHandle) (int, error) {
 	body, err := json.Marshal(h)
 	if err != nil {
 		return 0, fault.Wrap(err, fault.Internal, "report it", "encode a handle")
@@ -123,47 +121,47 @@
 	return fault.Wrap(json.Unmarshal(data, out), fault.Broken, "check the engine's version", "decode %s", path)
 }
 
-// call sends a request once and reads its whole answer.
+// call sends a request once and returns the whole body of the response.
 func (c *Client) call(ctx context.Context, req *fasthttp.Request, fresh bool) ([]byte, error) {
-	a, err := c.open(ctx, req, fresh)
+	resp, err := c.open(ctx, req, fresh)
 	if err != nil {
 		return nil, err
 	}
-	body, err := a.readAll()
+	body, err := resp.readAll()
 	if err != nil {
-		a.conn.drop()
+		resp.conn.drop()
 		return nil, err
 	}
-	a.finish(&c.pool)
+	resp.finish(&c.pool)
 	return body, nil
 }
 
-// open sends a request once and reads the head of the answer.
-func (c *Client) open(ctx context.Context, req *fasthttp.Request, fresh bool) (*answer, error) {
-	cn, err := c.pool.get(ctx, fresh, c.silence)
+// open sends a request once and reads the header of the response.
+func (c *Client) open(ctx context.Context, req *fasthttp.Request, fresh bool) (*response, error) {
+	cn, err := c.pool.get(ctx, fresh, c.readTimeout)
 	if err != nil {
 		return nil, err
 	}
-	a := &answer{conn: cn}
+	resp := &response{conn: cn}
 	if err = cn.send(req); err == nil {
-		err = a.readHeader(false)
+		err = resp.readHeader(false)
 	}
-	if err == nil && a.header.StatusCode() >= 300 {
-		err = a.statusError()
+	if err == nil && resp.header.StatusCode() >= 300 {
+		err = resp.statusError()
 	}
 	if err != nil {
 		cn.drop()
 		return nil, err
 	}
-	return a, nil
+	return resp, nil
 }
 
 func (c *Client) stream(ctx context.Context, req *fasthttp.Request, fresh bool) (Stream, error) {
-	a, err := c.open(ctx, req, fresh)
+	resp, err := c.open(ctx, req, fresh)
 	if err != nil {
 		return nil, err
 	}
-	return newStream(a, &c.pool), nil
+	return newStream(resp, &c.pool), nil
 }
 
 func streamPath(id string) string { return "/v1/streams/" + url.PathEscape(id) }
--- a/endpoint/client_test.go
+++ b/endpoint/client_test.go
@@ -19,19 +19,19 @@
 
 const (
 	dialTimeout = time.Second
-	silence     = 200 * time.Millisecond
+	readTimeout = 200 * time.Millisecond
 )
 
-// peer is an endpoint whose behaviour on each connection the test writes.
+// peer is an endpoint whose behaviour the test determines for each request.
 type peer struct {
 	ln    net.Listener
 	conns atomic.Int64
 	runs  atomic.Int64
 }
 
-// serve gives each request that was read whole to answer, until that returns
-// false, and then closes the connection.
-func serve(t *testing.T, answer func(n int64, w io.Writer) bool) *peer {
+// serve calls handle for each request that was read whole until it returns false, and then
+// closes the connection.
+func serve(t *testing.T, handle func(n int64, w io.Writer) bool) *peer {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,13 +46,13 @@
 				return
 			}
 			p.conns.Add(1)
-			go p.one(c, answer)
+			go p.serveConn(c, handle)
 		}
 	}()
 	return p
 }
 
-func (p *peer) one(c net.Conn, answer func(n int64, w io.Writer) bool) {
+func (p *peer) serveConn(c net.Conn, handle func(n int64, w io.Writer) bool) {
 	defer func() { _ = c.Close() }()
 	br := bufio.NewReader(c)
 	for {
@@ -60,14 +60,14 @@
 		if req.Read(br) != nil {
 			return
 		}
-		if !answer(p.runs.Add(1), c) {
+		if !handle(p.runs.Add(1), c) {
 			return
 		}
 	}
 }
 
 func (p *peer) client() *endpoint.Client {
-	return endpoint.NewClient(p.ln.Addr().String(), dialTimeout, silence)
+	return endpoint.NewClient(p.ln.Addr().String(), dialTimeout, readTimeout)
 }
 
 func reply(w io.Writer, status, body string) {
@@ -82,10 +82,9 @@
 	return c.Generate(context.Background(), endpoint.Request{ID: "r", Path: "/v1/completions", Body: []byte("{}")})
 }
 
-// The engine reads a request, starts it and drops the connection. An HTTP
-// library that repeats such a call on its own would run the request twice, and
-// a customer would find two shipments.
-func TestDroppedConnectionIsOneRun(t *testing.T) {
+// The engine reads a request, starts it and drops the connection. An HTTP client that retries
+// such a call on its own would run the request twice, and a customer would get two shipments.
+func TestDroppedConnectionIsNotRetried(t *testing.T) {
 	for _, reused := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reused=%v", reused), func(t *testing.T) {
 			warm := int64(0)
@@ -119,9 +118,8 @@
 	}
 }
 
-// The same for a plain service and every method that libraries take for safe
-// to repeat.
-func TestDroppedServiceCallIsOneRun(t *testing.T) {
+// The same for a plain service and every method that HTTP clients consider safe to retry.
+func TestDroppedServiceCallIsNotRetried(t *testing.T) {
 	for _, method := range []string{"GET", "PUT", "DELETE", "POST"} {
 		p := serve(t, func(int64, io.Writer) bool { return false })
 		s := endpoint.NewService(p.ln.Addr().String(), dialTimeout)
@@ -135,10 +133,9 @@
 	}
 }
 
-// What an error's kind says decides whether a caller reads "not run", so only
-// the engine's own word and a connection that never opened may give the kinds
-// that allow it.
-func TestKindsOfError(t *testing.T) {
+// The kind of an error decides whether a caller is answered "not run". Only the engine's own
+// not_started code and a connection that was never opened may give the kinds that allow this.
+func TestErrorKinds(t *testing.T) {
 	tests := []struct {
 		status, body string
 		want         fault.Kind
@@ -175,14 +172,14 @@
 	}
 }
 
-// An engine computes a long prompt and sends only heartbeats. That is life: a
-// router that gave it up would compute the prompt again elsewhere.
-func TestHeartbeatsAreLifeAndSilenceIsNot(t *testing.T) {
+// An engine computes a long prompt and sends only heartbeats. If these did not prevent the read
+// time-out, the router would have the prompt computed again elsewhere.
+func TestHeartbeatsPreventReadTimeout(t *testing.T) {
 	const beats = 6
 	p := serve(t, func(_ int64, w io.Writer) bool {
 		fmt.Fprint(w, streamHead)
 		for range beats {
-			time.Sleep(silence / 3)
+			time.Sleep(readTimeout / 3)
 			chunk(w, ": beat\n\n")
 		}
 		chunk(w, "id: r/0\ndata: {}\n\n")
@@ -202,14 +199,13 @@
 		t.Fatalf("incarnation %d, version %q", s.Incarnation(), s.ModelVersion())
 	}
 	if _, err := s.Next(); !fault.Is(err, fault.Broken) {
-		t.Fatalf("silence gave %v", err)
+		t.Fatalf("got %v after the read time-out, want broken", err)
 	}
 }
 
-// A finished stream leaves its connection to the next request, which saves the
-// opening of one; a request that must not be lost on a forgotten connection
-// always gets its own.
-func TestReuseAndFresh(t *testing.T) {
+// A finished stream leaves its connection to the next request, which saves a dial. A request
+// with Fresh, which must not be lost on a connection dropped on the way, always gets a new one.
+func TestConnectionReuse(t *testing.T) {
 	p := serve(t, func(_ int64, w io.Writer) bool {
 		fmt.Fprint(w, streamHead)
 		chunk(w, "id: r/0\ndata: {}\n\ndata: [DONE]\n\n")
@@ -235,9 +231,8 @@
 	}
 }
 
-// A stream is cut in the middle of an event. The half event must not reach the
-// caller as if it were whole.
-func TestCutStreamIsBroken(t *testing.T) {
+// A stream is cut in the middle of an event. The incomplete event must not reach the caller.
+func TestTruncatedStreamIsBroken(t *testing.T) {
 	p := serve(t, func(_ int64, w io.Writer) bool {
 		fmt.Fprint(w, streamHead)
 		chunk(w, "id: r/0\ndata: {}\n\nid: r/1\ndata: {\"te")
--- a/endpoint/clients.go
+++ b/endpoint/clients.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// maxClients bounds the addresses that clients are kept for. A fleet has some
-// hundreds of endpoints; replaced ones leave their address behind.
+// maxClients bounds the number of cached clients. A fleet has some hundreds of endpoints; the
+// clients of replaced ones stay in the cache.
 const maxClients = 4096
 
-// Clients keeps one client for each address, so that requests share its idle
-// connections. Any goroutine may use it.
+// Clients caches one client per address, so that requests share its idle connections. It is safe
+// for concurrent use.
 type Clients struct {
-	dialTimeout, silence time.Duration
+	dialTimeout, readTimeout time.Duration
 
 	mu       sync.Mutex
 	engines  map[string]*Client
 	services map[string]*Service
 }
 
-// NewClients returns an empty set; the bounds are those of each client.
-func NewClients(dialTimeout, silence time.Duration) *Clients {
+// NewClients returns an empty cache. The time-outs apply to each client.
+func NewClients(dialTimeout, readTimeout time.Duration) *Clients {
 	return &Clients{
 		dialTimeout: dialTimeout,
-		silence:     silence,
+		readTimeout: readTimeout,
 		engines:     map[string]*Client{},
 		services:    map[string]*Service{},
 	}
@@ -36,7 +36,7 @@
 	if e, ok := c.engines[addr]; ok {
 		return e
 	}
-	e := NewClient(addr, c.dialTimeout, c.silence)
+	e := NewClient(addr, c.dialTimeout, c.readTimeout)
 	if len(c.engines) >= maxClients {
 		return e
 	}
--- a/endpoint/conn.go
+++ b/endpoint/conn.go
@@ -15,71 +15,70 @@
 )
 
 const (
-	// idleBound is how long a connection may have been idle and still be used
-	// again. What stands between the two ends forgets idle connections; a
-	// second is far below the bounds that such boxes have.
-	idleBound = time.Second
-	// maxIdle bounds the idle connections to one endpoint.
-	maxIdle = 64
-	// keepAliveProbes without an answer, one a second, end a connection whose
-	// other end is gone or has forgotten it. A wait for a plain service's
-	// answer has no other sign of life.
+	// defaultIdleTimeout is how long a connection may have been idle and still be reused. NATs
+	// and firewalls on the way drop idle connections silently; a second is far below their
+	// time-outs.
+	defaultIdleTimeout = time.Second
+	// maxIdleConns bounds the idle connections to one endpoint.
+	maxIdleConns = 64
+	// keepAliveProbes is the number of unanswered probes, one per second, after which a
+	// connection is closed because its peer is unreachable or no longer knows it. While a plain
+	// service computes its answer, nothing else shows that the connection is alive.
 	keepAliveProbes = 3
-	// unconfirmedBound is how long what was sent may stay unconfirmed.
-	unconfirmedBound = 4 * time.Second
-	// engineHeaderBytes and serviceHeaderBytes bound the head of an answer.
-	// Each open stream holds a buffer of this size.
+	// unackedTimeout is how long sent data may stay unacknowledged.
+	unackedTimeout = 4 * time.Second
+	// engineHeaderBytes and serviceHeaderBytes bound the header of a response. Each open stream
+	// holds a buffer of this size.
 	engineHeaderBytes  = 4 << 10
 	serviceHeaderBytes = 16 << 10
 )
 
-// conn is one connection to an endpoint. One goroutine may use it.
+// conn is one connection to an endpoint. It is not safe for concurrent use.
 type conn struct {
 	net.Conn
 	br *bufio.Reader
-	// silence bounds each read; 0 leaves it to the context.
-	silence time.Duration
-	idleAt  time.Time
-	// keepIdle is how long the connection may stay idle.
-	keepIdle time.Duration
-	reused   bool
-	// written counts the bytes that the kernel took.
+	// readTimeout bounds each read; 0 leaves the bound to the context.
+	readTimeout time.Duration
+	idleAt      time.Time
+	// idleTimeout is how long the connection may stay idle and still be reused.
+	idleTimeout time.Duration
+	reused      bool
+	// written counts the bytes accepted by the kernel.
 	written int
-	// stop unties the connection from the context of its request.
+	// stop detaches the connection from the context of its request.
 	stop func() bool
 }
 
-// Read refreshes the bound before each read, so that every byte that comes,
-// a heartbeat's too, counts as life.
+// Read renews the deadline before each read, so that every byte received, also of a heartbeat,
+// shows that the connection is alive.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.silence > 0 {
-		if err := c.SetReadDeadline(time.Now().Add(c.silence)); err != nil {
+	if c.readTimeout > 0 {
+		if err := c.SetReadDeadline(time.Now().Add(c.readTimeout)); err != nil {
 			return 0, err
 		}
 	}
 	return c.Conn.Read(p)
 }
 
-// Write counts what left, so that an error can say whether anything did.
+// Write counts the bytes written, so that an error can state whether any were sent.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written += n
 	return n, err
 }
 
-// bind lets ctx end what blocks on the connection, by closing it.
+// bind closes the connection when ctx is done, which ends blocking calls on it.
 func (c *conn) bind(ctx context.Context) {
 	c.stop = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 }
 
-// Silent reports whether an error of a call is that nothing came for too long.
+// Silent reports whether err is a read time-out: nothing was received within the bound.
 func Silent(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// send writes one request. The error is of kind Unavailable only if no byte of
-// it left.
+// send writes one request. The error is of kind Unavailable only if no byte of it was sent.
 func (c *conn) send(req *fasthttp.Request) error {
 	c.written = 0
 	bw := bufio.NewWriter(c)
@@ -90,28 +89,28 @@
 	if err != nil && c.written == 0 {
 		return fault.Wrap(err, fault.Unavailable, "check that the endpoint runs", "send to endpoint")
 	}
-	return broken(err)
+	return brokenError(err)
 }
 
-// pool keeps idle connections to one endpoint. Any goroutine may use it.
+// pool keeps idle connections to one endpoint. It is safe for concurrent use.
 type pool struct {
 	addr        string
 	dialTimeout time.Duration
-	// headerBytes bounds the head of an answer.
+	// headerBytes bounds the header of a response.
 	headerBytes int
-	// keepIdle is how long a connection may have been idle and still be used
-	// again; 0 means idleBound.
-	keepIdle time.Duration
+	// idleTimeout is how long a connection may have been idle and still be reused; 0 means
+	// defaultIdleTimeout.
+	idleTimeout time.Duration
 
 	mu   sync.Mutex
 	idle []*conn
-	// pruning is set while a prune is due.
+	// pruning is set while a call of prune is scheduled.
 	pruning bool
 }
 
-// get returns a connection bound to ctx: an idle one, or a new one where none
-// is left or fresh is set. The error is of kind Unavailable.
-func (p *pool) get(ctx context.Context, fresh bool, silence time.Duration) (*conn, error) {
+// get returns a connection bound to ctx: an idle one, or a new one if there is none or fresh is
+// set. The error is of kind Unavailable.
+func (p *pool) get(ctx context.Context, fresh bool, readTimeout time.Duration) (*conn, error) {
 	c := p.takeIdle(fresh)
 	if c == nil {
 		var err error
@@ -119,7 +118,7 @@
 			return nil, err
 		}
 	}
-	c.silence = silence
+	c.readTimeout = readTimeout
 	c.bind(ctx)
 	return c, nil
 }
@@ -127,7 +126,7 @@
 func (p *pool) dial(ctx context.Context) (*conn, error) {
 	d := net.Dialer{
 		Timeout:         p.dialTimeout,
-		Control:         sockstate.UserTimeout(unconfirmedBound),
+		Control:         sockstate.UserTimeout(unackedTimeout),
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: time.Second, Count: keepAliveProbes},
 	}
 	nc, err := d.DialContext(ctx, "tcp", p.addr)
@@ -139,10 +138,9 @@
 	return c, nil
 }
 
-// takeIdle returns the connection used last that can still be used. An
-// endpoint that restarted has closed its connections; a request sent on one of
-// them would break, and nobody could say whether it ran. Asking the socket
-// shows the close.
+// takeIdle returns the most recently used connection that can be reused. An endpoint that
+// restarted has closed its connections; a request sent on one of them would fail without it
+// being known whether it ran. The state of the socket shows that the peer has closed it.
 func (p *pool) takeIdle(fresh bool) *conn {
 	if fresh {
 		return nil
@@ -152,7 +150,7 @@
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(c.idleAt) < c.keepIdle && sockstate.Of(c.Conn) == sockstate.Quiet {
+		if time.Since(c.idleAt) < c.idleTimeout && sockstate.Of(c.Conn) == sockstate.Quiet {
 			c.reused = true
 			return c
 		}
@@ -161,7 +159,7 @@
 	return nil
 }
 
-// put gives a connection back after a whole answer was read from it.
+// put returns a connection to the pool after a whole response was read from it.
 func (p *pool) put(c *conn) {
 	if !c.stop() || c.br.Buffered() > 0 {
 		_ = c.Conn.Close()
@@ -169,26 +167,26 @@
 	}
 	_ = c.SetReadDeadline(time.Time{})
 	c.idleAt = time.Now()
-	c.keepIdle = p.bound(c.keepIdle)
+	c.idleTimeout = p.idleLimit(c.idleTimeout)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle) >= maxIdle {
+	if len(p.idle) >= maxIdleConns {
 		_ = p.idle[0].Conn.Close()
 		p.idle = append(p.idle[:0], p.idle[1:]...)
 	}
 	p.idle = append(p.idle, c)
 	if !p.pruning {
 		p.pruning = true
-		time.AfterFunc(p.bound(0), p.prune)
+		time.AfterFunc(p.idleLimit(0), p.prune)
 	}
 }
 
-// bound is how long a connection stays usable whose endpoint closes it after
-// stated; 0 where the endpoint does not say.
-func (p *pool) bound(stated time.Duration) time.Duration {
-	own := p.keepIdle
+// idleLimit returns how long a connection can be reused whose endpoint states that it closes
+// idle connections after the given time; 0 means that the endpoint states none.
+func (p *pool) idleLimit(stated time.Duration) time.Duration {
+	own := p.idleTimeout
 	if own == 0 {
-		own = idleBound
+		own = defaultIdleTimeout
 	}
 	if stated > 0 {
 		return min(own, stated)
@@ -196,15 +194,14 @@
 	return own
 }
 
-// prune closes connections that were idle for too long to be used again. Kept
-// open, those to hundreds of endpoints would use up the file descriptors that
-// callers need.
+// prune closes connections that were idle for too long to be reused. Kept open, those to
+// hundreds of endpoints would use up the file descriptors needed for callers.
 func (p *pool) prune() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.idle[:0]
 	for _, c := range p.idle {
-		if time.Since(c.idleAt) < c.keepIdle {
+		if time.Since(c.idleAt) < c.idleTimeout {
 			kept = append(kept, c)
 			continue
 		}
@@ -213,11 +210,11 @@
 	p.idle = kept
 	p.pruning = len(p.idle) > 0
 	if p.pruning {
-		time.AfterFunc(max(p.bound(0)/4, p.bound(0)-time.Since(p.idle[0].idleAt)), p.prune)
+		time.AfterFunc(max(p.idleLimit(0)/4, p.idleLimit(0)-time.Since(p.idle[0].idleAt)), p.prune)
 	}
 }
 
-// drop closes a connection that can't be used again.
+// drop closes a connection that can't be reused.
 func (c *conn) drop() {
 	c.stop()
 	_ = c.Conn.Close()
--- a/endpoint/conn_test.go
+++ b/endpoint/conn_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardinedock/sardinedock/internal/sockstate"
 )
 
-// An endpoint restarts while a connection to it is idle. A request sent on
-// that connection would break with nobody able to say whether it ran.
+// An endpoint restarts while a connection to it is idle. A request sent on that connection would
+// fail without it being known whether it ran.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 }
 
-// An instance has spoken to many endpoints. Connections that are too old to be
-// used again must not use up its file descriptors.
+// An instance has connected to many endpoints. Connections that are too old to be reused must
+// not use up its file descriptors.
 func TestOldIdleConnectionsAreClosed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/endpoint/engine.go
+++ b/endpoint/engine.go
@@ -1,5 +1,5 @@
-// Package endpoint is the router's side of the protocols that endpoints
-// speak: model engines and plain services.
+// Package endpoint implements the client side of the protocols of endpoints: model engines and
+// plain services.
 package endpoint
 
 import (
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Request is one model request as it goes to an engine.
+// Request is one model request as sent to an engine.
 type Request struct {
 	// ID is the router's own id, unique over all instances and attempts.
 	ID string
@@ -15,34 +15,35 @@
 	Path string
 	// Body is the OpenAI-style JSON body, with the router's fields added.
 	Body []byte
-	// Fresh asks for a connection that was not used before, so that silence
-	// cannot come from a connection that something in between has forgotten.
+	// Fresh requires a connection that was not used before, so that a missing response can't be
+	// due to a connection that a NAT or firewall on the way has dropped.
 	Fresh bool
 }
 
-// Piece is one event of an answer's stream.
+// Piece is one event of a streamed answer.
 type Piece struct {
-	// ID and Index are those that the engine wrote on the piece.
+	// ID and Index are the request's id and the event's position in the stream, from the event's
+	// id field.
 	ID    string
 	Index int64
 	// Data is the JSON of the piece. It is valid until the next call of Next.
 	Data []byte
 }
 
-// Stream is an open answer. One goroutine may use it.
+// Stream is an open streamed answer. It is not safe for concurrent use.
 type Stream interface {
-	// Incarnation of the engine that answers.
+	// Incarnation returns the incarnation of the engine that answers.
 	Incarnation() uint64
-	// ModelVersion is the version of the weights that answer.
+	// ModelVersion returns the version of the weights that generate the answer.
 	ModelVersion() string
-	// Next blocks for the next piece. It returns io.EOF after the end mark and
-	// an error of kind fault.Broken for any other end.
+	// Next blocks until the next piece. It returns io.EOF after the [DONE] mark and an error of
+	// kind fault.Broken for any other end.
 	Next() (Piece, error)
-	// Close gives the connection up; the engine's work goes on until Cancel.
+	// Close releases the connection. The engine continues its work until Cancel.
 	Close()
 }
 
-// LoadReport is what an engine says of its load, some time ago.
+// LoadReport is an engine's load at the time MeasuredAt.
 type LoadReport struct {
 	Incarnation   uint64    `json:"incarnation"`
 	MeasuredAt    time.Time `json:"measured_at"`
@@ -52,7 +53,7 @@
 	FreeBlocks    int64     `json:"free_blocks"`
 }
 
-// CacheOp is what happened to cached blocks.
+// CacheOp is a change of the blocks cached by an engine.
 type CacheOp string
 
 // The operations of cache events.
@@ -60,13 +61,13 @@
 	CacheStore CacheOp = "store"
 	CacheEvict CacheOp = "evict"
 	CacheClear CacheOp = "clear"
-	// CacheHeartbeat is no change: the engine lives and has nothing to tell.
-	// Such an event has no Seq.
+	// CacheHeartbeat reports no change: the engine is alive and has no event to send. Such an
+	// event has no Seq.
 	CacheHeartbeat CacheOp = "heartbeat"
 )
 
-// CacheEvent is one event of an engine's cache. Events come late; a step of
-// more than one in Seq is a gap.
+// CacheEvent is one event of an engine's cache. Events arrive with a delay; an increment of Seq
+// by more than one is a gap.
 type CacheEvent struct {
 	Seq         uint64   `json:"seq"`
 	Incarnation uint64   `json:"incarnation"`
@@ -74,14 +75,14 @@
 	Blocks      []string `json:"blocks"`
 }
 
-// ModelState is one model that an engine holds.
+// ModelState is one model that an engine has loaded.
 type ModelState struct {
 	Model    string   `json:"model"`
 	Version  string   `json:"version"`
 	Adapters []string `json:"adapters,omitempty"`
 }
 
-// State is what an engine says of itself.
+// State is an engine's state as reported by itself.
 type State struct {
 	Endpoint    string       `json:"endpoint"`
 	Incarnation uint64       `json:"incarnation"`
@@ -95,7 +96,7 @@
 	Slots       int          `json:"slots"`
 }
 
-// OrderKind is what an order asks an engine to do.
+// OrderKind is the change that an order requests.
 type OrderKind string
 
 // The kinds of order.
@@ -106,8 +107,8 @@
 	OrderSetRole     OrderKind = "set_role"
 )
 
-// Order asks an engine to change. Orders state a wanted end, so that one may
-// be sent twice.
+// Order requests a change of an engine. It states the desired end state, so that it may be sent
+// twice.
 type Order struct {
 	// Fence is the fencing number of the lease that the sender holds.
 	Fence   uint64    `json:"fence"`
@@ -118,8 +119,7 @@
 	Role    string    `json:"role,omitempty"`
 }
 
-// KVHandle names kept KV cache. It is refused on any difference in
-// organisation, model or version.
+// KVHandle names saved KV cache. An engine refuses it if organisation, model or version differ.
 type KVHandle struct {
 	Handle string   `json:"handle"`
 	Salt   string   `json:"salt"`
@@ -128,45 +128,44 @@
 
 // CacheEvents is an open stream of cache events.
 type CacheEvents interface {
-	// Incarnation of the engine that answers; 0 if it did not say.
+	// Incarnation returns the incarnation of the engine that answers; 0 if it sent none.
 	Incarnation() uint64
-	// Next blocks for the next event or heartbeat; an error of kind
-	// fault.Broken means that the connection ended or went silent.
+	// Next blocks until the next event or heartbeat. An error of kind fault.Broken means that
+	// the connection ended or timed out.
 	Next() (CacheEvent, error)
 	Close()
 }
 
-// Generator runs requests on an engine. All methods may be called by any
-// goroutine.
+// Generator runs requests on an engine. Its methods are safe for concurrent use.
 type Generator interface {
-	// Generate sends a request. An error of kind fault.Overloaded says that
-	// the engine refused the request and did not start it; one of kind
-	// fault.Unavailable that no byte of the request was sent. After any other
-	// error the request may have run.
+	// Generate sends a request. An error of kind fault.Overloaded means that the engine refused
+	// the request and did not start it; one of kind fault.Unavailable that no byte of the
+	// request was sent. After any other error the request may have run.
 	Generate(ctx context.Context, r Request) (Stream, error)
-	// Resume goes on with a stream after the piece of the given index, on a
-	// new connection. fault.NotFound: the engine does not know the stream.
+	// Resume continues a stream after the piece with the given index, on a new connection. An
+	// error of kind fault.NotFound means that the engine does not know the stream.
 	Resume(ctx context.Context, id string, after int64) (Stream, error)
-	// Cancel ends the engine's work on a request.
+	// Cancel stops the engine's work on a request.
 	Cancel(ctx context.Context, id string) error
 }
 
-// Observer reads what an engine says of itself.
+// Observer reads an engine's own reports.
 type Observer interface {
-	// State and Load read the engine's own word.
+	// State returns the engine's state and Load its load report.
 	State(ctx context.Context) (State, error)
 	Load(ctx context.Context) (LoadReport, error)
-	// Events follows the cache from the event after seq. The engine is asked
-	// for a heartbeat at least so often; it may send fewer.
+	// Events streams the cache events that follow the event with sequence number after.
+	// heartbeat is the interval requested from the engine; it may send heartbeats less often.
 	Events(ctx context.Context, after uint64, heartbeat time.Duration) (CacheEvents, error)
 }
 
-// Controller changes an engine.
+// Controller sends orders to an engine and has it save and restore KV cache.
 type Controller interface {
-	// Order tells the engine to change; fault.StaleFence if it refused.
+	// Order sends an order. An error of kind fault.StaleFence means that the engine rejected its
+	// fencing number.
 	Order(ctx context.Context, o Order) error
-	// Export keeps blocks, Import takes kept blocks in; both return the number
-	// of blocks concerned.
+	// Export saves blocks and Import loads saved blocks; both return the number of blocks
+	// concerned.
 	Export(ctx context.Context, h KVHandle) (int, error)
 	Import(ctx context.Context, h KVHandle) (int, error)
 }
--- a/endpoint/fuzz_test.go
+++ b/endpoint/fuzz_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// An engine gone wrong, or something between, may send anything. The reader
-// must end, hold a bounded line, and take only a written end mark for an end.
+// A faulty engine or proxy may send any bytes. The reader must terminate, buffer a line of
+// bounded length, and report the end of the stream only for a [DONE] mark in the input.
 func FuzzEventReader(f *testing.F) {
 	f.Add([]byte("id: r/0\ndata: {}\n\ndata: [DONE]\n\n"))
 	f.Add([]byte(": beat\r\n\r\nid: r/-1\r\ndata: a\r\ndata: b\r\n\r\n"))
--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -12,33 +12,32 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// writeAside is the size above which a request is written by a goroutine of its
-// own: an endpoint may answer before it has read a long body, and the answer
-// would otherwise not be seen before the endpoint had read the rest.
-const writeAside = 16 << 10
-
-// staleShare is the part of the time after which an endpoint says that it
-// closes an idle connection, during which the connection is used again. The rest
-// is room for a request that crosses the close on the way.
-const staleShare = 0.7
-
-// Relay passes requests on to one endpoint as they are. Any goroutine may use
-// it.
+// asyncWriteBytes is the size above which a request is written by a separate goroutine: an
+// endpoint may answer before it has read a long body, and the answer would otherwise not be read
+// until the endpoint had read the rest.
+const asyncWriteBytes = 16 << 10
+
+// idleReuseShare is the share of an endpoint's stated keep-alive time-out within which an idle
+// connection is reused. The rest is a margin for a request that is on its way while the endpoint
+// closes the connection.
+const idleReuseShare = 0.7
+
+// Relay forwards requests to one endpoint unchanged. It is safe for concurrent use.
 type Relay struct {
 	pool pool
 }
 
-// NewRelay returns a relay to the endpoint at addr. Connections are kept for
-// keepIdle, or for less where the endpoint says so.
-func NewRelay(addr string, dialTimeout, keepIdle time.Duration) *Relay {
-	return &Relay{pool: pool{addr: addr, dialTimeout: dialTimeout, headerBytes: serviceHeaderBytes, keepIdle: keepIdle}}
+// NewRelay returns a relay to the endpoint at addr. Idle connections are reused for idleTimeout,
+// or for less if the endpoint states a shorter keep-alive time-out.
+func NewRelay(addr string, dialTimeout, idleTimeout time.Duration) *Relay {
+	return &Relay{pool: pool{addr: addr, dialTimeout: dialTimeout, headerBytes: serviceHeaderBytes, idleTimeout: idleTimeout}}
 }
 
 // Close closes the idle connections.
 func (r *Relay) Close() { r.pool.closeIdle() }
 
-// Reach reports whether a new connection to the endpoint can be made. It is kept for
-// the next request.
+// Reach dials the endpoint and reports whether that succeeds. The connection is kept for the
+// next request.
 func (r *Relay) Reach(ctx context.Context) error {
 	cn, err := r.pool.get(ctx, true, 0)
 	if err != nil {
@@ -48,50 +47,50 @@
 	return nil
 }
 
-// Outgoing is one request as it goes over the wire.
+// Outgoing is one request as sent on the wire.
 type Outgoing struct {
-	// Head ends with the empty line.
+	// Head is the request line and header, with the empty line that ends them.
 	Head, Body []byte
-	// Accept tells whether an answer belongs to the request. An endpoint may
-	// write a second answer to an earlier request late, where the answer to
-	// this one is due; such answers are read and thrown away.
+	// Accept reports whether a response belongs to the request. An endpoint may write a second
+	// response to an earlier request late, where the response to this one is due; responses that
+	// are not accepted are read and discarded.
 	Accept func(*fasthttp.ResponseHeader) bool
-	// Fresh asks for a connection that was not used before.
+	// Fresh requires a connection that was not used before.
 	Fresh bool
-	// Bodiless says that an answer has no body, whatever its head says.
+	// Bodiless states that the response has no body, whatever its header says.
 	Bodiless bool
 }
 
-// Incoming is the answer to an Outgoing. One goroutine may use it, and has to
-// call Finish or Drop once.
+// Incoming is the response to an Outgoing. It is not safe for concurrent use. Finish or Drop has
+// to be called once.
 type Incoming struct {
-	answer  answer
-	pool    *pool
-	written chan error
+	response response
+	pool     *pool
+	written  chan error
 }
 
-// maxForeign bounds the answers to other requests that are thrown away before
-// the connection is given up.
-const maxForeign = 3
+// maxSkipped bounds the responses to other requests that are discarded before the connection is
+// closed.
+const maxSkipped = 3
 
-// Open sends the request once and reads the head of its answer. An error of
-// kind fault.Unavailable says that nothing was sent; after any other error the
-// request may have run. ctx also bounds the reading of the body.
+// Open sends the request once and reads the header of its response. An error of kind
+// fault.Unavailable means that nothing was sent; after any other error the request may have run.
+// ctx also bounds the reading of the body.
 func (r *Relay) Open(ctx context.Context, o Outgoing) (*Incoming, error) {
 	cn, err := r.pool.get(ctx, o.Fresh, 0)
 	if err != nil {
 		return nil, err
 	}
-	in := &Incoming{answer: answer{conn: cn}, pool: &r.pool}
+	in := &Incoming{response: response{conn: cn}, pool: &r.pool}
 	if err := in.send(o); err != nil {
 		cn.drop()
 		return nil, err
 	}
-	for range maxForeign {
-		if err = in.answer.readHeader(o.Bodiless); err != nil {
+	for range maxSkipped {
+		if err = in.response.readHeader(o.Bodiless); err != nil {
 			break
 		}
-		if o.Accept == nil || o.Accept(&in.answer.header) {
+		if o.Accept == nil || o.Accept(&in.response.header) {
 			return in, nil
 		}
 		if err = in.skip(); err != nil {
@@ -103,12 +102,12 @@
 	return nil, err
 }
 
-// send writes the request. A long one is written on while the answer is read.
+// send writes the request. A long one is written in the background while the response is read.
 func (in *Incoming) send(o Outgoing) error {
-	c := in.answer.conn
+	c := in.response.conn
 	c.written = 0
 	data := append(o.Head, o.Body...)
-	if len(data) > writeAside {
+	if len(data) > asyncWriteBytes {
 		in.written = make(chan error, 1)
 		go func() {
 			_, err := c.Conn.Write(data)
@@ -120,46 +119,46 @@
 	if err != nil && c.written == 0 {
 		return fault.Wrap(err, fault.Unavailable, "check that the endpoint runs", "send to endpoint")
 	}
-	return broken(err)
+	return brokenError(err)
 }
 
-// skip reads an answer that belongs to another request to its end.
+// skip reads a response to another request to its end.
 func (in *Incoming) skip() error {
-	if in.answer.identity {
+	if in.response.identity {
 		return fault.New(fault.Broken, "look at the endpoint's log", "an answer to another request has no end")
 	}
-	if _, err := in.answer.readAll(); err != nil {
+	if _, err := in.response.readAll(); err != nil {
 		return err
 	}
-	if !in.answer.readTail() {
+	if !in.response.readTail() {
 		return fault.New(fault.Broken, "look at the endpoint's log", "an answer to another request has no end")
 	}
-	in.answer.chunked = false
+	in.response.chunked = false
 	return nil
 }
 
-// Header returns the answer's head, which is valid until Finish or Drop.
-func (in *Incoming) Header() *fasthttp.ResponseHeader { return &in.answer.header }
+// Header returns the header of the response. It is valid until Finish or Drop.
+func (in *Incoming) Header() *fasthttp.ResponseHeader { return &in.response.header }
 
-// Body reads the answer; one that is cut short ends with an error.
-func (in *Incoming) Body() io.Reader { return in.answer.body }
+// Body returns a reader of the body. A truncated body ends with an error.
+func (in *Incoming) Body() io.Reader { return in.response.body }
 
-// ReadAll reads the rest of the answer; one cut short is an error.
-func (in *Incoming) ReadAll() ([]byte, error) { return in.answer.readAll() }
+// ReadAll reads the rest of the body. A truncated body is an error.
+func (in *Incoming) ReadAll() ([]byte, error) { return in.response.readAll() }
 
-// Finish gives the connection back. The body must have been read to its end.
+// Finish returns the connection to the pool. The body must have been read to its end.
 func (in *Incoming) Finish() {
-	if !in.wholeRequestWritten() {
-		// The endpoint still waits for the rest of this request's body; the
-		// next request's bytes would be taken for it.
+	if !in.requestWritten() {
+		// The endpoint still expects the rest of this request's body and would take the next
+		// request's bytes for it.
 		in.Drop()
 		return
 	}
-	in.answer.conn.keepIdle = statedIdle(&in.answer.header)
-	in.answer.finish(in.pool)
+	in.response.conn.idleTimeout = keepAliveTimeout(&in.response.header)
+	in.response.finish(in.pool)
 }
 
-func (in *Incoming) wholeRequestWritten() bool {
+func (in *Incoming) requestWritten() bool {
 	if in.written == nil {
 		return true
 	}
@@ -171,19 +170,19 @@
 	}
 }
 
-// Drop closes the connection, which tells the endpoint to stop.
-func (in *Incoming) Drop() { in.answer.conn.drop() }
+// Drop closes the connection, by which the endpoint knows that it can stop.
+func (in *Incoming) Drop() { in.response.conn.drop() }
 
-// statedIdle reads how long the endpoint keeps an idle connection; 0 where it
-// does not say.
-func statedIdle(h *fasthttp.ResponseHeader) time.Duration {
+// keepAliveTimeout returns how long to reuse an idle connection according to the response's
+// Keep-Alive header; 0 if the header states no time-out.
+func keepAliveTimeout(h *fasthttp.ResponseHeader) time.Duration {
 	for part := range bytes.SplitSeq(h.Peek("Keep-Alive"), []byte(",")) {
 		name, value, _ := bytes.Cut(bytes.TrimSpace(part), []byte("="))
 		if !bytes.EqualFold(name, []byte("timeout")) {
 			continue
 		}
 		if s, err := strconv.Atoi(string(value)); err == nil && s > 0 {
-			return time.Duration(float64(s) * staleShare * float64(time.Second))
+			return time.Duration(float64(s) * idleReuseShare * float64(time.Second))
 		}
 	}
 	return 0
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -10,30 +10,29 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// ServiceRequest is one call of a plain service.
+// ServiceRequest is one call to a plain service.
 type ServiceRequest struct {
-	// Method and URI, path and query, as the service sees them.
+	// Method and URI (path and query) as sent to the service.
 	Method, URI string
-	// Header is the caller's; what belongs to one connection only, and the
-	// caller's key, are left out on the way.
+	// Header is the caller's header. Hop-by-hop fields and the caller's key are not forwarded.
 	Header *fasthttp.RequestHeader
 	// ID is sent as X-Request-Id.
 	ID   string
 	Body []byte
-	// Fresh asks for a connection that was not used before.
+	// Fresh requires a connection that was not used before.
 	Fresh bool
-	// ReusedSilence bounds the wait for each part of the answer on a
-	// connection that was used before; Silent tells its error.
+	// ReusedSilence bounds each read of the response on a connection that was used before.
+	// Silent recognises the resulting error.
 	ReusedSilence time.Duration
 }
 
-// ServiceAnswer is the whole answer of a plain service, whatever its status.
+// ServiceAnswer is the whole response of a plain service, whatever its status.
 type ServiceAnswer struct {
 	Header fasthttp.ResponseHeader
 	Body   []byte
 }
 
-// Service calls one endpoint of a plain service. Any goroutine may use it.
+// Service calls one endpoint of a plain service. It is safe for concurrent use.
 type Service struct {
 	pool pool
 }
@@ -46,37 +45,37 @@
 // Close closes the idle connections.
 func (s *Service) Close() { s.pool.closeIdle() }
 
-// Do sends the call exactly once and reads its whole answer; ctx bounds it. An
-// error of kind fault.Unavailable says that no byte of the call left. After
-// any other error it may have run. An answer with an error status is no error:
-// it is the service's own word.
+// Do sends the call exactly once and reads the whole response, bounded by ctx. An error of kind
+// fault.Unavailable means that no byte of the call was sent. After any other error it may have
+// run. A response with an error status is returned without an error, since the service itself
+// answered.
 func (s *Service) Do(ctx context.Context, r ServiceRequest) (*ServiceAnswer, error) {
 	cn, err := s.pool.get(ctx, r.Fresh, 0)
 	if err != nil {
 		return nil, err
 	}
 	if cn.reused {
-		cn.silence = r.ReusedSilence
+		cn.readTimeout = r.ReusedSilence
 	}
-	a := &answer{conn: cn}
+	resp := &response{conn: cn}
 	if err = cn.send(s.request(r)); err == nil {
-		err = a.readHeader(r.Method == fasthttp.MethodHead)
+		err = resp.readHeader(r.Method == fasthttp.MethodHead)
 	}
 	var body []byte
 	if err == nil {
-		body, err = a.readAll()
+		body, err = resp.readAll()
 	}
 	if err != nil {
 		cn.drop()
 		return nil, serviceFault(ctx, err)
 	}
 	out := &ServiceAnswer{Body: body}
-	a.header.CopyTo(&out.Header)
-	a.finish(&s.pool)
+	resp.header.CopyTo(&out.Header)
+	resp.finish(&s.pool)
 	return out, nil
 }
 
-// serviceFault tells an expired request from a broken connection.
+// serviceFault distinguishes an expired request from a broken connection.
 func serviceFault(ctx context.Context, err error) error {
 	if ctx.Err() != nil && !fault.Is(err, fault.Unavailable) {
 		return fault.Wrap(err, fault.Unknown, "ask with the same Idempotency-Key what became of it", "no answer in time")
@@ -101,15 +100,14 @@
 	return req
 }
 
-// connectionHeader reports whether a header is between the caller and the
-// router only.
+// connectionHeader reports whether a header field is between the caller and the router only.
 func connectionHeader(name string) bool {
 	name = strings.ToLower(name)
 	return HopHeader(name) || name == "authorization" || name == "x-request-id"
 }
 
-// HopHeader reports whether a header, in lower case, belongs to one connection only
-// and is not passed on.
+// HopHeader reports whether name, in lower case, is a hop-by-hop header field, which is not
+// forwarded.
 func HopHeader(name string) bool {
 	switch name {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer",
@@ -119,8 +117,8 @@
 	return false
 }
 
-// CopyHeader copies the answer's header to the caller's, without what belongs
-// to one connection only.
+// CopyHeader copies the response's status and header to the caller's response, without
+// hop-by-hop fields.
 func (a *ServiceAnswer) CopyHeader(to *fasthttp.ResponseHeader) {
 	for name, value := range a.Header.All() {
 		if key := string(name); !connectionHeader(key) {
--- a/endpoint/sse.go
+++ b/endpoint/sse.go
@@ -9,14 +9,14 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// maxLineBytes bounds one line of an event stream, so that an endpoint gone
-// wrong cannot make the router hold an endless line.
+// maxLineBytes bounds one line of an event stream, so that a faulty endpoint cannot make the
+// router buffer an endless line.
 const maxLineBytes = 1 << 20
 
 var endMark = []byte("[DONE]")
 
-// eventReader reads server-sent events as the HTML standard defines them, so
-// far as engines use them: the fields id and data, and comments.
+// eventReader reads server-sent events as defined by the HTML standard, as far as engines use
+// them: the fields id and data, and comments.
 type eventReader struct {
 	r     *bufio.Reader
 	lines lineReader
@@ -29,7 +29,7 @@
 	line []byte
 }
 
-// next returns the next event, or io.EOF after the end mark.
+// next returns the next event, or io.EOF after the [DONE] mark.
 func (e *eventReader) next() (Piece, error) {
 	var p Piece
 	e.data = e.data[:0]
@@ -73,8 +73,8 @@
 	}
 }
 
-// splitEventID reads an id of the form request/index. A malformed one gives
-// index -1, which no stream expects.
+// splitEventID parses an id of the form request/index. A malformed one gives index -1, which no
+// stream expects.
 func splitEventID(value []byte) (string, int64) {
 	cut := bytes.LastIndexByte(value, '/')
 	if cut < 0 {
@@ -87,7 +87,7 @@
 	return string(value[:cut]), n
 }
 
-// next returns the next line without its end, valid until the next call.
+// next returns the next line without its line break. It is valid until the next call.
 func (l *lineReader) next() ([]byte, error) {
 	l.line = l.line[:0]
 	for {
--- a/endpoint/stream.go
+++ b/endpoint/stream.go
@@ -13,30 +13,30 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// tailWait is how long the close of a finished stream waits for the end of the
-// body, so that its connection can be used again.
-const tailWait = 20 * time.Millisecond
+// tailTimeout bounds the wait for the end of the body when a finished stream is closed, so that
+// its connection can be reused.
+const tailTimeout = 20 * time.Millisecond
 
 // httpStream reads server-sent events from one connection.
 type httpStream struct {
-	answer *answer
-	pool   *pool
-	event  eventReader
-	ended  bool
+	response *response
+	pool     *pool
+	event    eventReader
+	ended    bool
 }
 
-func newStream(a *answer, p *pool) *httpStream {
-	return &httpStream{answer: a, pool: p, event: eventReader{r: bufio.NewReader(a.body)}}
+func newStream(resp *response, p *pool) *httpStream {
+	return &httpStream{response: resp, pool: p, event: eventReader{r: bufio.NewReader(resp.body)}}
 }
 
 // Incarnation implements Stream.
 func (s *httpStream) Incarnation() uint64 {
-	return s.answer.incarnation()
+	return s.response.incarnation()
 }
 
 // ModelVersion implements Stream.
 func (s *httpStream) ModelVersion() string {
-	return string(s.answer.header.Peek("X-Model-Version"))
+	return string(s.response.header.Peek("X-Model-Version"))
 }
 
 // Next implements Stream.
@@ -47,7 +47,7 @@
 		return Piece{}, io.EOF
 	}
 	if err != nil {
-		return Piece{}, broken(err)
+		return Piece{}, brokenError(err)
 	}
 	return p, nil
 }
@@ -55,30 +55,30 @@
 // Close implements Stream.
 func (s *httpStream) Close() {
 	if !s.ended {
-		s.answer.conn.drop()
+		s.response.conn.drop()
 		return
 	}
-	s.answer.conn.silence = tailWait
+	s.response.conn.readTimeout = tailTimeout
 	if rest, err := io.Copy(io.Discard, io.LimitReader(s.event.r, maxLineBytes)); err != nil || rest == maxLineBytes {
-		s.answer.conn.drop()
+		s.response.conn.drop()
 		return
 	}
-	s.answer.finish(s.pool)
+	s.response.finish(s.pool)
 }
 
-// Events follows the engine's cache; see Observer. The stream counts as broken
-// when it brings neither an event nor a heartbeat for the silence bound.
+// Events implements Observer. The stream is broken if neither an event nor a heartbeat is
+// received within the client's read time-out.
 func (c *Client) Events(ctx context.Context, after uint64, heartbeat time.Duration) (CacheEvents, error) {
 	path := "/v1/cache/events?after=" + strconv.FormatUint(after, 10) +
 		"&heartbeat_ms=" + strconv.FormatInt(heartbeat.Milliseconds(), 10)
-	a, err := c.open(ctx, c.request(fasthttp.MethodGet, path, nil), true)
+	resp, err := c.open(ctx, c.request(fasthttp.MethodGet, path, nil), true)
 	if err != nil {
 		return nil, err
 	}
 	return &cacheEvents{
-		conn:        a.conn,
-		lines:       lineReader{r: bufio.NewReader(a.body)},
-		incarnation: a.incarnation(),
+		conn:        resp.conn,
+		lines:       lineReader{r: bufio.NewReader(resp.body)},
+		incarnation: resp.incarnation(),
 	}, nil
 }
 
@@ -96,7 +96,7 @@
 func (c *cacheEvents) Next() (CacheEvent, error) {
 	line, err := c.lines.next()
 	if err != nil {
-		return CacheEvent{}, broken(err)
+		return CacheEvent{}, brokenError(err)
 	}
 	if len(line) == 0 {
 		return CacheEvent{Incarnation: c.incarnation, Op: CacheHeartbeat}, nil
