--- a/status/object.go
+++ b/status/object.go
@@ -1,5 +1,6 @@
-// Package status tells operators in their own words what is in force and what
-// is not, in one object for each pool and one for the fleet.
+// Package status writes status objects for operators, one for each pool and one for the fleet.
+// They show which records are in force, which are not and why, the state of endpoints and
+// rollouts, and the decisions that the system made.
 package status
 
 import (
@@ -20,66 +21,66 @@
 // Kind is the kind of the status objects.
 const Kind = "status"
 
-// FleetName is the name of the object that tells of what belongs to no pool.
+// FleetName is the name of the object for everything that belongs to no pool.
 const FleetName = "fleet"
 
-// PoolName is the name of a pool's object.
+// PoolName returns the name of a pool's object.
 func PoolName(pool string) string { return "pool." + pool }
 
 const (
-	// maxRecords bounds the records that an object tells of by name, so that
-	// it stays far below the largest value. Faulty ones come first.
+	// maxRecords bounds the records listed in an object, so that it stays far below the size
+	// limit of a value. Faulty ones are listed first.
 	maxRecords = 200
-	// maxDecisions bounds the decisions that are kept.
+	// maxDecisions bounds the decisions in an object.
 	maxDecisions = 50
-	// maxInstances bounds the instances that are named as behind.
+	// maxInstances bounds the instances listed as behind.
 	maxInstances = 50
 )
 
-// Object is what a status object holds, as JSON.
+// Object is the content of a status object, encoded as JSON.
 type Object struct {
-	// WrittenBy and WrittenAt are the writer and its clock.
+	// WrittenBy and WrittenAt are the name of the instance that wrote the object and the time by
+	// its clock.
 	WrittenBy string    `json:"written_by"`
 	WrittenAt time.Time `json:"written_at"`
-	// Version is the highest version of a record that the writer knows.
+	// Version is the highest version of a record known to the writer.
 	Version uint64 `json:"version"`
-	// Records in force, refused or faulty. Omitted counts the good ones left
-	// out.
+	// Records are in force, refused or faulty. Omitted counts further records without a fault.
 	Records []record.Condition `json:"records"`
 	Omitted int                `json:"omitted,omitempty"`
-	// Behind are instances that have not got Version.
+	// Behind are the instances whose version is below Version.
 	Behind []Instance `json:"behind,omitempty"`
 	// Instances is the number of live instances.
 	Instances int `json:"instances"`
-	// Endpoints that are not live.
+	// Endpoints are those that are not live.
 	Endpoints []Endpoint `json:"endpoints,omitempty"`
 	// Rollout is nil in the fleet's object.
 	Rollout *rollout.Progress `json:"rollout,omitempty"`
-	// Decisions are the newest last.
+	// Decisions are in order of time, the newest last.
 	Decisions []Decision `json:"decisions,omitempty"`
 }
 
-// Instance is an instance and the records that are in force there.
+// Instance is an instance and the version of the records in force there.
 type Instance struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// Endpoint is an endpoint and why it is treated as it is.
+// Endpoint is an endpoint, its status and the reason for it.
 type Endpoint struct {
 	Name   string `json:"name"`
 	Status string `json:"status"`
 	Reason string `json:"reason,omitempty"`
 }
 
-// Decision is something that the system decided by itself.
+// Decision is an automatic decision of the system.
 type Decision struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
-// SetRecords puts in the records that an object tells of: all that are refused
-// or warned of, and the newest of the others.
+// SetRecords sets Records and Omitted: all records that are refused or have warnings, and the
+// newest of the others, up to maxRecords.
 func (o *Object) SetRecords(list []record.Condition) {
 	sort.SliceStable(list, func(i, j int) bool {
 		a, b := faulty(list[i]), faulty(list[j])
@@ -94,7 +95,7 @@
 
 func faulty(c record.Condition) bool { return c.Refused != "" || len(c.Warnings) > 0 }
 
-// SetInstances puts in which of the live instances are behind.
+// SetInstances sets Instances and Behind from the live instances. Version has to be set before.
 func (o *Object) SetInstances(list []Instance) {
 	o.Instances = len(list)
 	for _, i := range list {
@@ -104,7 +105,8 @@
 	}
 }
 
-// same reports whether nothing changed that is worth a write.
+// same reports whether the objects differ only in what is not worth a write: the time and the
+// decisions.
 func (o Object) same(other Object) bool {
 	return o.comparable() == other.comparable()
 }
@@ -138,17 +140,17 @@
 	return list, nil
 }
 
-// Named is a status object and its name.
+// Named is a status object with its name.
 type Named struct {
 	Name   string `json:"name"`
 	Object Object `json:"status"`
 }
 
-// WriteText prints an object for operators. now is the reader's time.
+// WriteText writes the object as text for operators. now is the reader's time.
 func (n Named) WriteText(w io.Writer, now time.Time) error {
 	var b strings.Builder
 	o := n.Object
-	fmt.Fprintf(&b, "%s: records up to version %d, %d instances; told by %s %s\n", n.Name, o.Version, o.Instances, o.WrittenBy, ago(now, o.WrittenAt))
+	fmt.Fprintf(&b, "%s: records up to version %d, %d instances; written by %s %s\n", n.Name, o.Version, o.Instances, o.WrittenBy, ago(now, o.WrittenAt))
 	for _, c := range o.Records {
 		writeRecord(&b, now, c)
 	}
@@ -198,7 +200,7 @@
 	b.WriteString("\n")
 }
 
-// ago says a time in the reader's terms; the writer's clock may be apart.
+// ago formats a time relative to the reader's clock, which may differ from the writer's.
 func ago(now, at time.Time) string {
 	if at.IsZero() {
 		return "an unknown time"
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -31,7 +31,7 @@
 	return 1, l.held
 }
 
-// describer tells a version that tests change.
+// describer returns a status whose version tests change.
 type describer struct {
 	mu      sync.Mutex
 	version uint64
@@ -65,8 +65,8 @@
 	return list[0].Object
 }
 
-// Something changes all the time. The writes of an object stay bounded, or the
-// status of many pools would use up the object API's rate.
+// The status changes all the time. The writes of an object must stay bounded, or the status of
+// many pools would use up the object API's rate.
 func TestWritesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -87,8 +87,8 @@
 	})
 }
 
-// The writer is lost and another instance goes on. Operators still read what
-// the first one decided, and an instance without the lease writes nothing.
+// The writer fails and another instance takes over. Operators must still see what the first one
+// decided, and an instance without the lease must write nothing.
 func TestNextHolderKeepsTheDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -115,8 +115,8 @@
 	})
 }
 
-// The object API is away, and the reply to the first write after it is lost.
-// What was decided meanwhile must reach operators in the end, and only once.
+// The object API is down, and the reply to the first write after the outage is lost. A decision
+// made meanwhile must reach operators, and only once.
 func TestLostReplyAndOutageLoseNoDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	for _, want := range []string{
-		"fleet: records up to version 9, 2 instances; told by entry-0 0s ago",
+		"fleet: records up to version 9, 2 instances; written by entry-0 0s ago",
 		"pools/counters: version 3 in force since 1m0s ago; version 8 refused: pool.slots: found 0",
 		"classes/sort: version 9 in force since 1m0s ago",
 		"instance entry-1 is at version 7",
@@ -165,8 +165,8 @@
 	}
 }
 
-// A fleet has over a thousand records. Its object must stay far below the
-// largest value, and the faulty ones must be in it.
+// A fleet has over a thousand records. Its object must stay far below the size limit of a value
+// and must list the faulty ones.
 func TestObjectStaysSmall(t *testing.T) {
 	var list []record.Condition
 	for i := range 5000 {
--- a/status/writer.go
+++ b/status/writer.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// lookEvery is how often the holder compares what it would write with what
-	// stands there: a change is told within that time.
-	lookEvery = 2 * time.Second
-	// leastPause bounds the writes of one object, however much changes.
-	leastPause = 5 * time.Second
-	// refreshEvery is how often an object is written without a change, so that
-	// operators see that somebody still tells.
-	refreshEvery = time.Minute
-	// writeTimeout bounds one look.
+	// checkInterval is how often the lease holder compares the current status with the written
+	// one: a change is published within that time.
+	checkInterval = 2 * time.Second
+	// minWriteInterval bounds the rate of writes of one object, whatever the rate of changes.
+	minWriteInterval = 5 * time.Second
+	// refreshInterval is how often an object is written without a change, so that operators see
+	// that its writer is alive.
+	refreshInterval = time.Minute
+	// writeTimeout bounds the calls to the object API of one check.
 	writeTimeout = 5 * time.Second
 )
 
@@ -32,63 +32,63 @@
 	writeFails  = metrics.GetOrCreateCounter("sardinedock_status_write_failures_total")
 )
 
-// Lease says whether this instance writes the object.
+// Lease decides whether this instance writes the object.
 type Lease interface {
 	Held() (fence uint64, ok bool)
 }
 
-// Config is what a Writer needs.
+// Config configures a Writer.
 type Config struct {
 	Store objectapi.Store
-	// Name of the object.
+	// Name is the name of the object.
 	Name string
 	// Self is this instance's name.
 	Self  string
 	Lease Lease
-	// Describe returns what is to be told now, without writer, time and
-	// decisions; ok is false while nothing can be told. It must not block.
+	// Describe returns the current status, without writer, time and decisions; ok is false while
+	// there is no status yet. It must not block.
 	Describe func() (o Object, ok bool)
 }
 
-// Writer keeps one status object while this instance holds its lease. One
-// goroutine does the work; Decided may be called by any.
+// Writer writes one status object while this instance holds its lease. Decided is safe for
+// concurrent use.
 type Writer struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
 
-	known   bool
-	version objectapi.Version
-	stands  Object
-	wrote   time.Time
+	loaded    bool
+	version   objectapi.Version
+	written   Object
+	lastWrite time.Time
 
 	mu        sync.Mutex
 	decisions []Decision
 }
 
-// NewWriter returns a writer that does nothing before Start.
+// NewWriter returns a writer. It is idle until Start.
 func NewWriter(cfg Config) *Writer { return &Writer{cfg: cfg} }
 
-// Start begins to write while the lease is held.
+// Start starts a goroutine that writes the object while the lease is held.
 func (w *Writer) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
 	w.cancel = cancel
 	w.done.Go(func() {
 		for ctx.Err() == nil {
-			w.look(ctx)
-			_ = clock.Sleep(ctx, lookEvery)
+			w.check(ctx)
+			_ = clock.Sleep(ctx, checkInterval)
 		}
 	})
 }
 
-// Stop ends the writer and waits for its goroutine.
+// Stop stops the writer and waits for its goroutine.
 func (w *Writer) Stop() {
 	w.cancel()
 	w.done.Wait()
 }
 
-// Decided adds a decision to the object. Only the holder of the lease tells it;
-// a full list gives up the oldest.
+// Decided adds a decision to the object. It is written only if this instance holds the lease.
+// When there are more than maxDecisions, the oldest are dropped.
 func (w *Writer) Decided(at time.Time, text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -106,12 +106,12 @@
 	return list
 }
 
-// look writes the object if this instance has to and something is to be told.
-func (w *Writer) look(ctx context.Context) {
+// check writes the object if this instance holds the lease and a write is due.
+func (w *Writer) check(ctx context.Context) {
 	if _, held := w.cfg.Lease.Held(); !held {
-		// The holder tells; what was decided here in the meantime is its to
-		// see as well.
-		w.known = false
+		// The lease holder reports the decisions; those made here meanwhile are known to it as
+		// well.
+		w.loaded = false
 		w.takeDecisions()
 		return
 	}
@@ -121,7 +121,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	if !w.known && !w.read(ctx) {
+	if !w.loaded && !w.read(ctx) {
 		return
 	}
 	o.WrittenBy = w.cfg.Self
@@ -130,39 +130,39 @@
 	}
 }
 
-// read takes over what the former holder has written.
+// read loads the object that the previous holder of the lease has written.
 func (w *Writer) read(ctx context.Context) bool {
 	obj, err := w.cfg.Store.Get(ctx, Kind, w.cfg.Name)
 	if err != nil && !fault.Is(err, fault.NotFound) {
 		writeFails.Inc()
 		return false
 	}
-	w.version, w.stands = obj.Version, Object{}
+	w.version, w.written = obj.Version, Object{}
 	if len(obj.Value) > 0 {
-		// An object that cannot be read is written anew.
-		_ = json.Unmarshal(obj.Value, &w.stands)
+		// An object that cannot be decoded is overwritten.
+		_ = json.Unmarshal(obj.Value, &w.written)
 	}
-	w.known = true
+	w.loaded = true
 	return true
 }
 
 // due reports whether the object has to be written now.
 func (w *Writer) due(o Object) bool {
-	since := time.Since(w.wrote)
-	if since < leastPause {
+	since := time.Since(w.lastWrite)
+	if since < minWriteInterval {
 		return false
 	}
 	w.mu.Lock()
 	decided := len(w.decisions) > 0
 	w.mu.Unlock()
-	return decided || since >= refreshEvery || !o.same(w.stands)
+	return decided || since >= refreshInterval || !o.same(w.written)
 }
 
 func (w *Writer) write(ctx context.Context, o Object) {
-	fresh := w.takeDecisions()
-	o.Decisions = joinDecisions(w.stands.Decisions, fresh)
+	added := w.takeDecisions()
+	o.Decisions = joinDecisions(w.written.Decisions, added)
 	o.WrittenAt = time.Now()
-	w.wrote = o.WrittenAt
+	w.lastWrite = o.WrittenAt
 	value, err := json.Marshal(o)
 	if err != nil {
 		writeFails.Inc()
@@ -171,24 +171,24 @@
 	writesTotal.Inc()
 	version, err := w.cfg.Store.Put(ctx, objectapi.Object{Kind: Kind, Name: w.cfg.Name, Value: value}, w.version)
 	if err != nil {
-		// Another holder may have written, or the reply was lost: the next look
-		// reads what stands there. The decisions are told then.
+		// Another holder may have written, or the reply was lost: the next check reads the
+		// object again and writes the decisions then.
 		writeFails.Inc()
-		w.known = false
-		for _, d := range fresh {
+		w.loaded = false
+		for _, d := range added {
 			w.Decided(d.At, d.Text)
 		}
 		return
 	}
-	w.version, w.stands = version, o
+	w.version, w.written = version, o
 }
 
-// joinDecisions appends those that do not stand there yet: after a lost reply
-// the decisions that were told are among the fresh ones again.
-func joinDecisions(stand, fresh []Decision) []Decision {
-	list := slices.Clone(stand)
-	for _, d := range fresh {
-		known := slices.ContainsFunc(stand, func(s Decision) bool { return s.At.Equal(d.At) && s.Text == d.Text })
+// joinDecisions appends the decisions that are not in the written object yet: after a lost
+// reply, decisions that were written are among the new ones again.
+func joinDecisions(written, added []Decision) []Decision {
+	list := slices.Clone(written)
+	for _, d := range added {
+		known := slices.ContainsFunc(written, func(s Decision) bool { return s.At.Equal(d.At) && s.Text == d.Text })
 		if !known {
 			list = append(list, d)
 		}
