--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin serves health, metrics and the state dump of a process, on a
-// listener apart from the callers'.
+// Package admin serves health checks, metrics and the state dump of a process, on a listener
+// separate from the callers'.
 package admin
 
 import (
@@ -13,43 +13,43 @@
 	"github.com/sardinedock/sardinedock/invariant"
 )
 
-// DumpFunc returns a duty's state as a value that encodes to JSON. It may be
-// called by any goroutine, must not block for long and must hold no secrets.
+// DumpFunc returns the state of a component as a value that encodes to JSON. It must be safe for
+// concurrent use, return quickly and leave out secrets.
 type DumpFunc func() any
 
-// Handler answers /livez, /readyz, /metrics and /debug/state.
+// Handler serves /livez, /readyz, /metrics and /debug/state.
 type Handler struct {
 	ready atomic.Bool
 
 	mu       sync.Mutex
 	dumps    map[string]DumpFunc
-	required []condition
+	required []requirement
 }
 
-// condition has to hold for the process to be ready.
-type condition struct {
+// requirement is a named condition that must hold for the process to be ready.
+type requirement struct {
 	name  string
 	holds func() bool
 }
 
-// NewHandler returns a handler that is not ready yet.
+// NewHandler returns a handler that reports "not ready" until SetReady.
 func NewHandler() *Handler {
 	return &Handler{dumps: map[string]DumpFunc{}}
 }
 
-// SetReady says whether the balancer may send callers here.
+// SetReady sets whether the balancer may send callers to this process.
 func (h *Handler) SetReady(ready bool) { h.ready.Store(ready) }
 
-// Require makes readiness depend on a condition too. The function may be called
-// by any goroutine and must not block.
+// Require makes readiness also depend on a condition. holds must be safe for concurrent use and
+// must not block.
 func (h *Handler) Require(name string, holds func() bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.required = append(h.required, condition{name, holds})
+	h.required = append(h.required, requirement{name, holds})
 }
 
-// missing names the first condition that does not hold.
-func (h *Handler) missing() string {
+// unmet returns the name of the first requirement that does not hold, or "".
+func (h *Handler) unmet() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, c := range h.required {
@@ -60,14 +60,14 @@
 	return ""
 }
 
-// Register adds a duty's state to the dump.
-func (h *Handler) Register(duty string, dump DumpFunc) {
+// Register adds the state of a component to the dump.
+func (h *Handler) Register(component string, dump DumpFunc) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.dumps[duty] = dump
+	h.dumps[component] = dump
 }
 
-// Serve answers one request.
+// Serve handles one request.
 func (h *Handler) Serve(ctx *fasthttp.RequestCtx) {
 	switch string(ctx.Path()) {
 	case "/livez":
@@ -89,7 +89,7 @@
 		ctx.Error("not ready: starting or ending\n", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	if name := h.missing(); name != "" {
+	if name := h.unmet(); name != "" {
 		ctx.Error("not ready: no "+name+" yet\n", fasthttp.StatusServiceUnavailable)
 		return
 	}
@@ -106,7 +106,7 @@
 	ctx.SetBody(data)
 }
 
-// dump is the whole state of a process.
+// dump is the state of the whole process.
 type dump struct {
 	Ready      bool                  `json:"ready"`
 	Violations []invariant.Violation `json:"invariant_violations"`
@@ -116,13 +116,13 @@
 func (h *Handler) collect() dump {
 	h.mu.Lock()
 	dumps := make(map[string]DumpFunc, len(h.dumps))
-	for duty, fn := range h.dumps {
-		dumps[duty] = fn
+	for component, fn := range h.dumps {
+		dumps[component] = fn
 	}
 	h.mu.Unlock()
 	d := dump{Ready: h.ready.Load(), Violations: invariant.Violations(), Duties: map[string]any{}}
-	for duty, fn := range dumps {
-		d.Duties[duty] = fn()
+	for component, fn := range dumps {
+		d.Duties[component] = fn()
 	}
 	return d
 }
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -15,7 +15,7 @@
 	return ctx.Response.StatusCode(), string(ctx.Response.Body())
 }
 
-func TestReadyFollowsSetReady(t *testing.T) {
+func TestReadyzFollowsSetReady(t *testing.T) {
 	h := NewHandler()
 	if status, _ := get(h, "/readyz"); status != fasthttp.StatusServiceUnavailable {
 		t.Errorf("before SetReady: status %d", status)
@@ -29,23 +29,23 @@
 	}
 }
 
-// The object API and all peers are away at the start. A balancer that was told
-// "ready" would send callers to an instance that knows no key and no model.
-func TestNotReadyWhileARequirementIsMissing(t *testing.T) {
+// The object API and all peers are unreachable at the start. If the instance reported "ready", a
+// balancer would send callers to it although it has no keys and no models.
+func TestNotReadyWhileRequirementIsUnmet(t *testing.T) {
 	h := NewHandler()
 	h.SetReady(true)
-	there := false
-	h.Require("records", func() bool { return there })
+	loaded := false
+	h.Require("records", func() bool { return loaded })
 	if status, body := get(h, "/readyz"); status != fasthttp.StatusServiceUnavailable || !strings.Contains(body, "no records yet") {
 		t.Errorf("status %d, body %q", status, body)
 	}
-	there = true
+	loaded = true
 	if status, _ := get(h, "/readyz"); status != fasthttp.StatusOK {
-		t.Errorf("status %d with all there", status)
+		t.Errorf("status %d with the requirement met", status)
 	}
 }
 
-func TestStateHoldsEveryDuty(t *testing.T) {
+func TestStateDumpHoldsEveryComponent(t *testing.T) {
 	h := NewHandler()
 	h.Register("sample", func() any { return []int{1, 2} })
 	_, body := get(h, "/debug/state")
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestUnknownPathNamesTheKnownOnes(t *testing.T) {
+func TestUnknownPathListsValidPaths(t *testing.T) {
 	status, body := get(NewHandler(), "/state")
 	if status != fasthttp.StatusNotFound || !strings.Contains(body, "/debug/state") {
 		t.Errorf("status %d, body %q", status, body)
--- a/endpoint/fuzz_test.go
+++ b/endpoint/fuzz_test.go
@@ -18,7 +18,7 @@
 		for {
 			p, err := e.next()
 			if err == io.EOF && !bytes.Contains(input, endMark) {
-				t.Fatal("an end without an end mark")
+				t.Fatal("the stream ended without a [DONE] mark")
 			}
 			if err != nil {
 				return
@@ -39,7 +39,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		e, err := parseCacheEvent(line)
 		if err == nil && e.Op != CacheStore && e.Op != CacheEvict && e.Op != CacheClear {
-			t.Fatalf("operation %q was taken", e.Op)
+			t.Fatalf("operation %q was accepted", e.Op)
 		}
 	})
 }
--- a/instance/describe_test.go
+++ b/instance/describe_test.go
@@ -23,7 +23,7 @@
 	done := rollout.Progress{Wanted: []string{"counter@2"}}
 	open := rollout.Progress{Wanted: []string{"counter@2"}, Behind: []string{"engine-1"}}
 	var d decisionTracker
-	for i, look := range []struct {
+	for i, step := range []struct {
 		states   map[string]*fleetpb.EndpointState
 		progress rollout.Progress
 		want     []string
@@ -39,8 +39,8 @@
 		}},
 		{engineState(live, 2, ""), done, []string{"rollout of counter@2 is done"}},
 	} {
-		if got := d.compare(look.states, look.progress); !slices.Equal(got, look.want) {
-			t.Errorf("look %d: got %q, want %q", i, got, look.want)
+		if got := d.compare(step.states, step.progress); !slices.Equal(got, step.want) {
+			t.Errorf("step %d: got %q, want %q", i, got, step.want)
 		}
 	}
 }
--- a/instance/rollout_test.go
+++ b/instance/rollout_test.go
@@ -151,20 +151,20 @@
 	setRecord(t, e.Store, record.Models, modelRecord("2"))
 	done := make(chan struct{})
 	var callers sync.WaitGroup
-	asked := make([]int, 4)
-	for c := range asked {
+	sent := make([]int, 4)
+	for c := range sent {
 		callers.Go(func() {
-			for ; !closed(done); asked[c]++ {
-				sendCompletion(t, i, fmt.Sprintf("caller %d request %d", c, asked[c]))
+			for ; !closed(done); sent[c]++ {
+				sendCompletion(t, i, fmt.Sprintf("caller %d request %d", c, sent[c]))
 			}
 		})
 	}
 	awaitVersion(e, "2")
 	close(done)
 	callers.Wait()
-	for c, n := range asked {
+	for c, n := range sent {
 		if n == 0 {
-			t.Errorf("caller %d asked nothing during the rollout", c)
+			t.Errorf("caller %d sent no request during the rollout", c)
 		}
 	}
 }
--- a/logline/logline.go
+++ b/logline/logline.go
@@ -1,7 +1,7 @@
-// Package logline writes structured log lines without ever holding up the
-// goroutine that logs: lines go through a bounded ring to one writer. When the
-// ring is full, or more lines come than the rate allows, lines are dropped and
-// counted, and the next line that is written tells how many.
+// Package logline writes structured log lines without blocking the goroutine that logs: lines go
+// through a bounded buffer to one writer goroutine. If the buffer is full or the rate limit is
+// exceeded, lines are dropped and counted, and the next line written has their number in the
+// field dropped_before.
 package logline
 
 import (
@@ -16,14 +16,13 @@
 )
 
 const (
-	// ringSize bounds the lines that wait for a slow reader of the output.
-	ringSize = 4096
-	// linesPerSecond bounds what is written; burst may come at once. Warnings
-	// and errors are not counted against it.
+	// bufferLines bounds the lines that wait while the output is slow.
+	bufferLines = 4096
+	// linesPerSecond and burst limit the rate of lines. Warnings and errors are exempt.
 	linesPerSecond = 400
 	burst          = 1200
-	// flushEvery is how long lines are gathered for one write.
-	flushEvery = 100 * time.Millisecond
+	// flushInterval is how long lines are collected for one write.
+	flushInterval = 100 * time.Millisecond
 )
 
 var (
@@ -35,7 +34,7 @@
 type Handler struct {
 	instance string
 	lines    chan []byte
-	// closed tells the writer to end, done that it has.
+	// closed is closed to stop the writer goroutine; done is closed when it has returned.
 	closed, done chan struct{}
 	closing      sync.Once
 
@@ -47,14 +46,14 @@
 
 // New returns a handler that writes to out until Close.
 func New(out io.Writer, instance string) *Handler {
-	h := &Handler{instance: instance, lines: make(chan []byte, ringSize), closed: make(chan struct{}), done: make(chan struct{}), tokens: burst, last: time.Now()}
+	h := &Handler{instance: instance, lines: make(chan []byte, bufferLines), closed: make(chan struct{}), done: make(chan struct{}), tokens: burst, last: time.Now()}
 	go h.write(out)
 	return h
 }
 
 // HandleLog implements log.Handler. It does not block.
 func (h *Handler) HandleLog(e *log.Entry) error {
-	dropped, ok := h.admit(e)
+	dropped, ok := h.allow(e)
 	if !ok {
 		return nil
 	}
@@ -76,15 +75,15 @@
 	select {
 	case h.lines <- append(data, '\n'):
 	default:
-		// The line would have told of those dropped before it.
-		h.drop(dropped + 1)
+		// The line would have carried the count of those dropped before it.
+		h.addDropped(dropped + 1)
 	}
 	return nil
 }
 
-// admit takes a line out of the rate. It returns how many were dropped since
-// the last one that was admitted.
-func (h *Handler) admit(e *log.Entry) (dropped int, ok bool) {
+// allow applies the rate limit to a line. If ok, dropped is the number of lines dropped since
+// the last allowed one.
+func (h *Handler) allow(e *log.Entry) (dropped int, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
@@ -102,22 +101,22 @@
 	return dropped, true
 }
 
-func (h *Handler) drop(n int) {
+func (h *Handler) addDropped(n int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.dropped += n
 	droppedTotal.Inc()
 }
 
-// write gathers lines and writes them.
+// write collects lines and writes them to out until the handler is closed.
 func (h *Handler) write(out io.Writer) {
 	defer close(h.done)
 	w := bufio.NewWriterSize(out, 64<<10)
 	for {
 		select {
 		case line := <-h.lines:
-			h.put(w, line)
-			h.gather(w)
+			h.writeLine(w, line)
+			h.collect(w)
 			_ = w.Flush()
 		case <-h.closed:
 			h.drain(w)
@@ -127,14 +126,14 @@
 	}
 }
 
-// gather adds the lines that come within flushEvery.
-func (h *Handler) gather(w *bufio.Writer) {
-	timer := time.NewTimer(flushEvery)
+// collect adds the lines that arrive within flushInterval.
+func (h *Handler) collect(w *bufio.Writer) {
+	timer := time.NewTimer(flushInterval)
 	defer timer.Stop()
 	for {
 		select {
 		case line := <-h.lines:
-			h.put(w, line)
+			h.writeLine(w, line)
 		case <-timer.C:
 			return
 		case <-h.closed:
@@ -143,25 +142,25 @@
 	}
 }
 
-// drain adds the lines that wait.
+// drain adds the lines that are in the buffer.
 func (h *Handler) drain(w *bufio.Writer) {
 	for {
 		select {
 		case line := <-h.lines:
-			h.put(w, line)
+			h.writeLine(w, line)
 		default:
 			return
 		}
 	}
 }
 
-func (h *Handler) put(w *bufio.Writer, line []byte) {
+func (h *Handler) writeLine(w *bufio.Writer, line []byte) {
 	writtenTotal.Inc()
 	_, _ = w.Write(line)
 }
 
-// Close writes what waits, for a second at the most. Lines that are logged afterwards are
-// thrown away: requests and duties may outlast it by a moment.
+// Close writes the buffered lines, waiting at most a second. Lines logged afterwards are
+// discarded: requests and background tasks may still log for a moment.
 func (h *Handler) Close() {
 	h.closing.Do(func() { close(h.closed) })
 	select {
--- a/logline/logline_test.go
+++ b/logline/logline_test.go
@@ -12,21 +12,21 @@
 	"github.com/apex/log"
 )
 
-// stuck is an output whose reader stands still until it is let go.
-type stuck struct {
+// blockedWriter is an output that blocks until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
 	buf     bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.buf.Write(p)
 }
 
-func (s *stuck) lines(t *testing.T) []map[string]any {
+func (s *blockedWriter) lines(t *testing.T) []map[string]any {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,20 +41,19 @@
 	return list
 }
 
-// Whoever collects the logs stops reading. A router that waits for it stops serving;
-// one that drops lines without a word leaves the on-call engineer with a gap that
-// does not show.
-func TestStuckReaderHoldsNobodyUp(t *testing.T) {
+// The log collector stops reading. If logging blocked, the router would stop serving; if lines
+// were dropped without a count, the on-call engineer would not see that lines are missing.
+func TestBlockedOutputDoesNotBlockLogging(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		h := New(out, "one")
 		logger := &log.Logger{Handler: h, Level: log.InfoLevel}
-		began := time.Now()
-		for range 3 * ringSize {
+		start := time.Now()
+		for range 3 * bufferLines {
 			logger.Warn("endpoint gone")
 		}
-		if took := time.Since(began); took > 0 {
-			t.Errorf("logging waited for %v", took)
+		if took := time.Since(start); took > 0 {
+			t.Errorf("logging blocked for %v", took)
 		}
 		close(out.release)
 		time.Sleep(time.Second)
@@ -62,17 +61,17 @@
 		h.Close()
 		lines := out.lines(t)
 		last := lines[len(lines)-1]
-		if n, _ := last["dropped_before"].(float64); int(n)+len(lines)-1 != 3*ringSize {
-			t.Errorf("%d lines written and %v told as dropped, of %d", len(lines), last["dropped_before"], 3*ringSize)
+		if n, _ := last["dropped_before"].(float64); int(n)+len(lines)-1 != 3*bufferLines {
+			t.Errorf("%d lines written and %v reported as dropped, of %d", len(lines), last["dropped_before"], 3*bufferLines)
 		}
 	})
 }
 
-// A burst of requests writes more lines than anybody reads. The volume is bounded,
-// and warnings come through all the same.
-func TestVolumeIsBoundedButForWarnings(t *testing.T) {
+// A burst of requests logs more lines than can be read. The rate must be limited, but warnings
+// must be written all the same.
+func TestRateLimitExemptsWarnings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{release: make(chan struct{})}
+		out := &blockedWriter{release: make(chan struct{})}
 		close(out.release)
 		h := New(out, "one")
 		logger := &log.Logger{Handler: h, Level: log.InfoLevel}
@@ -94,10 +93,10 @@
 	})
 }
 
-// A process ends while a request that was cut, or a duty, still writes its line. Were that
-// to panic, callers' last answers would break off, and on-call would find a stack trace
-// where the reason for the end should be.
-func TestLineAfterTheCloseIsThrownAway(t *testing.T) {
+// A process ends while a cancelled request or a background task still logs a line. If that
+// panicked, callers' last answers would break off, and on-call would find a stack trace in place
+// of the reason for the end.
+func TestLineAfterCloseIsDiscarded(t *testing.T) {
 	var out bytes.Buffer
 	h := New(&out, "one")
 	logger := &log.Logger{Handler: h, Level: log.InfoLevel}
@@ -114,11 +113,12 @@
 	h.Close()
 	wg.Wait()
 	if !strings.Contains(out.String(), `"stopped"`) {
-		t.Errorf("the line before the close is lost: %q", out.String())
+		t.Errorf("the line logged before Close is lost: %q", out.String())
 	}
 }
 
-// The cost of one line, for the page on what a request costs.
+// BenchmarkLine measures the cost of one line, which is part of the documented cost of a
+// request.
 func BenchmarkLine(b *testing.B) {
 	h := New(&bytes.Buffer{}, "one")
 	logger := &log.Logger{Handler: h, Level: log.InfoLevel}
--- a/logline/logtest/logtest.go
+++ b/logline/logtest/logtest.go
@@ -1,4 +1,4 @@
-// Package logtest records log lines, for tests of what on-call finds.
+// Package logtest records log lines, for tests of the lines that on-call relies on.
 package logtest
 
 import (
@@ -10,46 +10,46 @@
 	"github.com/apex/log/handlers/discard"
 )
 
-// current hands lines to the test that records them. It is installed once, before any
-// goroutine logs: those of an instance that an earlier test has killed may still do so
-// while the next test begins to record.
-var current = &switcher{to: discard.New()}
+// installed redirects lines to the test that records them. It is set as the handler once, before
+// any goroutine logs: goroutines of an instance that an earlier test has killed may still log
+// while the next test starts to record.
+var installed = &redirectHandler{target: discard.New()}
 
-func init() { log.SetHandler(current) }
+func init() { log.SetHandler(installed) }
 
-// switcher is a log handler whose target can be replaced while lines are written.
-type switcher struct {
-	mu sync.RWMutex
-	to log.Handler
+// redirectHandler is a log handler whose target can be replaced while lines are logged.
+type redirectHandler struct {
+	mu     sync.RWMutex
+	target log.Handler
 }
 
 // HandleLog implements log.Handler.
-func (s *switcher) HandleLog(e *log.Entry) error {
+func (s *redirectHandler) HandleLog(e *log.Entry) error {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	return s.to.HandleLog(e)
+	return s.target.HandleLog(e)
 }
 
-// Handle has lines handled by h until the test ends. Later ones are thrown away.
+// Handle has lines handled by h until the test ends. Later ones are discarded.
 func Handle(tb testing.TB, h log.Handler) {
 	tb.Helper()
-	current.set(h)
-	tb.Cleanup(func() { current.set(discard.New()) })
+	installed.set(h)
+	tb.Cleanup(func() { installed.set(discard.New()) })
 }
 
-func (s *switcher) set(h log.Handler) {
+func (s *redirectHandler) set(h log.Handler) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.to = h
+	s.target = h
 }
 
-// Recorder keeps the lines of a test.
+// Recorder records the lines of a test.
 type Recorder struct {
 	mu    sync.Mutex
 	lines []log.Entry
 }
 
-// Record has all lines recorded until the test ends. Later ones are thrown away.
+// Record records all lines until the test ends. Later ones are discarded.
 func Record(tb testing.TB) *Recorder {
 	tb.Helper()
 	r := &Recorder{}
@@ -72,7 +72,7 @@
 	return slices.Clone(r.lines)
 }
 
-// Lines returns the fields of the lines that tell of an event, in order.
+// Lines returns the fields of the lines with the given event, in order.
 func (r *Recorder) Lines(event string) []log.Fields {
 	var list []log.Fields
 	for _, e := range r.All() {
@@ -83,7 +83,7 @@
 	return list
 }
 
-// Any reports whether a line that tells of an event has fields that are asked for.
+// Any reports whether ok accepts the fields of a line with the given event.
 func (r *Recorder) Any(event string, ok func(log.Fields) bool) bool {
 	return slices.ContainsFunc(r.Lines(event), ok)
 }
--- a/settings/hosted_test.go
+++ b/settings/hosted_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// filled is what the platform puts into the template of the settings.
-var filled = map[string]string{
+// templateValues are the values that the platform substitutes in the settings template.
+var templateValues = map[string]string{
 	"nodeName|json": `"front-tema-hall-1"`, "zone|json": `"tema-hall"`, "provider.address|json": `"10.200.1.7:8784"`,
 	"listen.front|json": `"10.1.0.30:8782"`, "listen.ready|json": `"10.1.0.30:8789"`, "ip": "10.1.0.30",
 	"internalPorts.0": "7340", "internalPorts.1": "7355", "bounds.graceS": "8", "bounds.leaseMs": "3000",
@@ -16,15 +16,15 @@
 	"heartbeatMs": "1200", "limits.linkMbps": "1000.0",
 }
 
-// The template names a field that the settings do not have, or leaves one out. The
-// platform fills it in at every start, and no instance comes up.
+// If the template names a field that the settings do not have, or leaves out a required one, no
+// instance comes up: the platform fills the template in at every start.
 func TestDeployedTemplateIsValid(t *testing.T) {
 	template, err := os.ReadFile("../deploy/settings.yaml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := regexp.MustCompile(`\{\{(.*?)\}\}`).ReplaceAllStringFunc(string(template), func(m string) string {
-		value, ok := filled[strings.Trim(m, "{}")]
+		value, ok := templateValues[strings.Trim(m, "{}")]
 		if !ok {
 			t.Errorf("%s is not filled in", m)
 		}
@@ -39,8 +39,8 @@
 	}
 }
 
-// An operator mistypes a field. The message names the line and what to write.
-func TestHostedFaultsNameTheirRemedy(t *testing.T) {
+// An operator enters an invalid value. The message has to name the field and what to write.
+func TestHostedFaultsNameRemedy(t *testing.T) {
 	_, faults := ParseHosted([]byte("instance: a\ndata_centre: d\nstore: somewhere\nlisten: {callers: \"127.0.0.1:1\", ready: \"127.0.0.1:2\", gossip: \"127.0.0.1:3\", metrics: \"127.0.0.1:4\"}\nbounds: {lease_ms: 1}\n"))
 	text := Lines("f", faults)
 	for _, want := range []string{"store: found somewhere; write the store as IP:port", "bounds.lease_ms: found 1; write a value that satisfies min=500"} {
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -10,33 +10,33 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// Load reads and checks the file. An error of kind fault.Invalid lists every
-// fault of the file, one a line.
+// Load reads and validates the file. An error of kind fault.Invalid lists every fault of the
+// file, one per line.
 func Load(path string) (*settingspb.Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, "name a file that can be read", "read the settings")
+		return nil, fault.Wrap(err, fault.Invalid, "give the path of a readable file", "read the settings file")
 	}
 	s, faults := Parse(data)
 	if len(faults) > 0 {
-		return nil, fault.New(fault.Invalid, "mend the lines named above", "%s", Lines(path, faults))
+		return nil, fault.New(fault.Invalid, "fix the lines named above", "%s", Lines(path, faults))
 	}
 	return s, nil
 }
 
-// oneDocument is the remedy for a file of none or several documents.
-const oneDocument = "write one document of settings"
+// singleDocumentRemedy is the remedy for a file with no document or more than one.
+const singleDocumentRemedy = "write one document of settings"
 
-// Parse reads settings, fills in the defaults and returns what is wrong.
+// Parse decodes settings, applies the defaults and returns the faults found.
 func Parse(data []byte) (*settingspb.Settings, []yamlpb.Fault) {
-	s, faults := yamlpb.DecodeOne(data, func() *settingspb.Settings { return &settingspb.Settings{} }, oneDocument)
+	s, faults := yamlpb.DecodeOne(data, func() *settingspb.Settings { return &settingspb.Settings{} }, singleDocumentRemedy)
 	if s == nil {
 		return nil, faults
 	}
 	return s, append(faults, checkTLS(s.GetFleetTls())...)
 }
 
-// checkTLS refuses half a TLS configuration: it would run without checks that
+// checkTLS rejects an incomplete TLS configuration: the instance would run without checks that
 // the operator believes to be on.
 func checkTLS(t *settingspb.Tls) []yamlpb.Fault {
 	set := 0
@@ -55,7 +55,7 @@
 	}}
 }
 
-// Lines formats faults one a line, each headed by the file's name.
+// Lines formats faults, one per line, each prefixed with the file's name.
 func Lines(path string, faults []yamlpb.Fault) string {
 	lines := make([]string, 0, len(faults))
 	for _, f := range faults {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,14 +9,14 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-const smallest = `
+const minimal = `
 fleet: accra
 data_centre: accra-1
 platform: {address: "127.0.0.1:8090"}
 `
 
-func TestDefaultsFillIn(t *testing.T) {
-	s, faults := Parse([]byte(smallest))
+func TestDefaultsApply(t *testing.T) {
+	s, faults := Parse([]byte(minimal))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -28,10 +28,10 @@
 	}
 }
 
-// An explicit zero is a value, not a field left out: an operator who writes
-// notice_ms: 0 in a test fleet must not get three seconds.
-func TestWrittenZeroIsKept(t *testing.T) {
-	s, faults := Parse([]byte(smallest + "shutdown: {notice_ms: 0}\n"))
+// An explicit zero is a value, not a missing field: an operator who writes notice_ms: 0 for a
+// test fleet must not get the default of three seconds.
+func TestExplicitZeroIsKept(t *testing.T) {
+	s, faults := Parse([]byte(minimal + "shutdown: {notice_ms: 0}\n"))
 	if len(faults) > 0 {
 		t.Fatal(faults)
 	}
@@ -46,12 +46,12 @@
 		text string
 		want string
 	}{
-		{"unknown field", smallest + "colour: red\n", `line 5: colour: unknown field "colour"; use one of: fleet`},
-		{"wrong type", smallest + "seeds: 7\n", "line 5: seeds: found Integer; write a list"},
-		{"name in place of an IP", smallest + "seeds: [\"entry.example:1\"]\n", "seeds: found [entry.example:1]; write each seed as IP:port"},
-		{"out of range", smallest + "limits: {silence_ms: 1}\n", "limits.silence_ms: found 1; write a value that satisfies min=50,max=600000 (in ms)"},
-		{"fraction for a whole number", smallest + "limits: {silence_ms: 1.5}\n", `limits.silence_ms: found "1.5"; write a whole number`},
-		{"half of TLS", smallest + "fleet_tls: {cert_file: a.pem}\n", "fleet_tls: only some of cert_file, key_file and ca_file are set; set all three"},
+		{"unknown field", minimal + "colour: red\n", `line 5: colour: unknown field "colour"; use one of: fleet`},
+		{"wrong type", minimal + "seeds: 7\n", "line 5: seeds: found Integer; write a list"},
+		{"name in place of an IP", minimal + "seeds: [\"entry.example:1\"]\n", "seeds: found [entry.example:1]; write each seed as IP:port"},
+		{"out of range", minimal + "limits: {silence_ms: 1}\n", "limits.silence_ms: found 1; write a value that satisfies min=50,max=600000 (in ms)"},
+		{"fraction for a whole number", minimal + "limits: {silence_ms: 1.5}\n", `limits.silence_ms: found "1.5"; write a whole number`},
+		{"half of TLS", minimal + "fleet_tls: {cert_file: a.pem}\n", "fleet_tls: only some of cert_file, key_file and ca_file are set; set all three"},
 		{"no YAML", "fleet: [", "write valid YAML"},
 		{"nothing", "", "the file does not hold exactly one document"},
 	}
@@ -83,7 +83,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(smallest))
+	f.Add([]byte(minimal))
 	f.Add([]byte("seeds: [1, {a: b}]\nlisten: []"))
 	f.Add([]byte("a: &x {b: *x}"))
 	f.Add([]byte("fleet: !!binary x\nlisten: {? {a: b} : c}"))
