--- a/endpoint/conn.go
+++ b/endpoint/conn.go
@@ -72,8 +72,8 @@
 	c.stop = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 }
 
-// Silent reports whether err is a read time-out: nothing was received within the bound.
-func Silent(err error) bool {
+// IsTimeout reports whether err is a read time-out: nothing was received within the bound.
+func IsTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
 }
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -22,7 +22,7 @@
 	// Fresh requires a connection that was not used before.
 	Fresh bool
 	// ReusedSilence bounds each read of the response on a connection that was used before.
-	// Silent recognises the resulting error.
+	// IsTimeout recognises the resulting error.
 	ReusedSilence time.Duration
 }
 
--- a/entry/recover.go
+++ b/entry/recover.go
@@ -113,7 +113,7 @@
 // endpoints go on to the next one. A silent connection may never have brought
 // the request.
 func (a *answer) maybeDied(cause error) bool {
-	return a.run.incarnation == 0 && !endpoint.Silent(cause)
+	return a.run.incarnation == 0 && !endpoint.IsTimeout(cause)
 }
 
 // alive asks the engine for its state on a new connection.
--- a/entry/service.go
+++ b/entry/service.go
@@ -157,7 +157,7 @@
 func (c *serviceCall) sendTo(address string) (*endpoint.ServiceAnswer, error) {
 	service := c.srv.cfg.DialService(address)
 	a, err := c.sendOnce(service, c.request)
-	if err == nil || !endpoint.Silent(err) || !c.goesOn(err) {
+	if err == nil || !endpoint.IsTimeout(err) || !c.goesOn(err) {
 		return a, err
 	}
 	fresh := c.request
