--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -21,9 +21,9 @@
 	Body []byte
 	// Fresh requires a connection that was not used before.
 	Fresh bool
-	// ReusedSilence bounds each read of the response on a connection that was used before.
+	// ReusedReadTimeout bounds each read of the response on a connection that was used before.
 	// IsTimeout recognises the resulting error.
-	ReusedSilence time.Duration
+	ReusedReadTimeout time.Duration
 }
 
 // ServiceAnswer is the whole response of a plain service, whatever its status.
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if cn.reused {
-		cn.readTimeout = r.ReusedSilence
+		cn.readTimeout = r.ReusedReadTimeout
 	}
 	resp := &response{conn: cn}
 	if err = cn.send(s.request(r)); err == nil {
--- a/entry/service.go
+++ b/entry/service.go
@@ -57,7 +57,7 @@
 		Body:   ctx.PostBody(),
 		Fresh:  once,
 		// Only what may run twice may be given up on silence alone.
-		ReusedSilence: s.silence(),
+		ReusedReadTimeout: s.silence(),
 	}
 	c.ticket = s.newTicket(c.account, key, claim.Request{
 		Key:     claim.NewKey(organisation, key),
