--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -36,9 +36,9 @@
 // Close closes the idle connections.
 func (r *Relay) Close() { r.pool.closeIdle() }
 
-// Reach dials the endpoint and reports whether that succeeds. The connection is kept for the
+// Probe dials the endpoint and reports whether that succeeds. The connection is kept for the
 // next request.
-func (r *Relay) Reach(ctx context.Context) error {
+func (r *Relay) Probe(ctx context.Context) error {
 	cn, err := r.pool.get(ctx, true, 0)
 	if err != nil {
 		return err
--- a/gateway/silence.go
+++ b/gateway/silence.go
@@ -143,7 +143,7 @@
 // and what may run elsewhere is broken off here.
 func (s *Server) look(ctx context.Context, a *attempt) {
 	e := a.place.Endpoint
-	err := s.cfg.Relay(e.Address).Reach(ctx)
+	err := s.cfg.Relay(e.Address).Probe(ctx)
 	now := time.Now()
 	attempts := s.silence.looked(e.ID, now)
 	if err == nil || ctx.Err() != nil {
