--- a/instance/describe.go
+++ b/instance/describe.go
@@ -76,7 +76,7 @@
 		}
 	}
 	for _, text := range l.decisions.compare(states, progress) {
-		l.status.Decided(time.Now(), text)
+		l.status.AddDecision(time.Now(), text)
 	}
 	return o, true
 }
--- a/instance/pools.go
+++ b/instance/pools.go
@@ -203,7 +203,7 @@
 	l := m.leased[fleetLease]
 	m.mu.Unlock()
 	if l != nil {
-		l.status.Decided(time.Now(), text)
+		l.status.AddDecision(time.Now(), text)
 	}
 }
 
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -97,7 +97,7 @@
 		defer a.Stop()
 		b, d := startWriter(s, "entry-1", second)
 		defer b.Stop()
-		a.Decided(time.Now(), "expelled engine-3")
+		a.AddDecision(time.Now(), "expelled engine-3")
 		time.Sleep(10 * time.Second)
 		if got := read(t, s); got.WrittenBy != "entry-0" || len(got.Decisions) != 1 {
 			t.Fatalf("got %+v", got)
@@ -106,7 +106,7 @@
 		second.set(true)
 		d.set(2)
 		time.Sleep(time.Second)
-		b.Decided(time.Now(), "expelled engine-4")
+		b.AddDecision(time.Now(), "expelled engine-4")
 		time.Sleep(10 * time.Second)
 		got := read(t, s)
 		if got.WrittenBy != "entry-1" || got.Version != 2 || len(got.Decisions) != 2 {
@@ -124,7 +124,7 @@
 		defer w.Stop()
 		time.Sleep(10 * time.Second)
 		s.SetDown(true)
-		w.Decided(time.Now(), "expelled engine-3")
+		w.AddDecision(time.Now(), "expelled engine-3")
 		d.set(2)
 		time.Sleep(time.Minute)
 		s.LoseReplies(1)
--- a/status/writer.go
+++ b/status/writer.go
@@ -50,7 +50,7 @@
 	Describe func() (o Object, ok bool)
 }
 
-// Writer writes one status object while this instance holds its lease. Decided is safe for
+// Writer writes one status object while this instance holds its lease. AddDecision is safe for
 // concurrent use.
 type Writer struct {
 	cfg    Config
@@ -87,9 +87,9 @@
 	w.done.Wait()
 }
 
-// Decided adds a decision to the object. It is written only if this instance holds the lease.
+// AddDecision adds a decision to the object. It is written only if this instance holds the lease.
 // When there are more than maxDecisions, the oldest are dropped.
-func (w *Writer) Decided(at time.Time, text string) {
+func (w *Writer) AddDecision(at time.Time, text string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.decisions = append(w.decisions, Decision{At: at, Text: text})
@@ -176,7 +176,7 @@
 		writeFails.Inc()
 		w.loaded = false
 		for _, d := range added {
-			w.Decided(d.At, d.Text)
+			w.AddDecision(d.At, d.Text)
 		}
 		return
 	}
