--- a/instance/describe_test.go
+++ b/instance/describe_test.go
@@ -12,9 +12,9 @@
 	return map[string]*fleetpb.EndpointState{"engine-1": {Status: status, Incarnation: incarnation, Reason: reason}}
 }
 
-// Endpoints fall silent, are given up and come back, and versions are rolled
-// out. Operators read each of these decisions once, in their words.
-func TestDecisionsAreToldOnce(t *testing.T) {
+// Endpoints become unresponsive, are expelled and come back, and versions are rolled out. Each
+// of these decisions is reported to operators once.
+func TestDecisionsAreReportedOnce(t *testing.T) {
 	const (
 		live    = fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE
 		expel   = fleetpb.EndpointStatus_ENDPOINT_STATUS_EXPELLED
@@ -22,8 +22,8 @@
 	)
 	done := rollout.Progress{Wanted: []string{"counter@2"}}
 	open := rollout.Progress{Wanted: []string{"counter@2"}, Behind: []string{"engine-1"}}
-	var d decisions
-	for i, look := range []struct {
+	var d decisionTracker
+	for i, step := range []struct {
 		states   map[string]*fleetpb.EndpointState
 		progress rollout.Progress
 		want     []string
@@ -39,8 +39,8 @@
 		}},
 		{engineState(live, 2, ""), done, []string{"rollout of counter@2 is done"}},
 	} {
-		if got := d.compare(look.states, look.progress); !slices.Equal(got, look.want) {
-			t.Errorf("look %d: got %q, want %q", i, got, look.want)
+		if got := d.compare(step.states, step.progress); !slices.Equal(got, step.want) {
+			t.Errorf("step %d: got %q, want %q", i, got, step.want)
 		}
 	}
 }
--- a/status/status_test.go
+++ b/status/status_test.go
@@ -31,7 +31,7 @@
 	return 1, l.held
 }
 
-// describer tells a version that tests change.
+// describer returns a status whose version tests change.
 type describer struct {
 	mu      sync.Mutex
 	version uint64
@@ -65,8 +65,8 @@
 	return list[0].Object
 }
 
-// Something changes all the time. The writes of an object stay bounded, or the
-// status of many pools would use up the object API's rate.
+// The status changes all the time. The writes of an object must stay bounded, or the status of
+// many pools would use up the object API's rate.
 func TestWritesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -87,8 +87,8 @@
 	})
 }
 
-// The writer is lost and another instance goes on. Operators still read what
-// the first one decided, and an instance without the lease writes nothing.
+// The writer fails and another instance takes over. Operators must still see what the first one
+// decided, and an instance without the lease must write nothing.
 func TestNextHolderKeepsTheDecisions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -97,7 +97,7 @@
 		defer a.Stop()
 		b, d := startWriter(s, "entry-1", second)
 		defer b.Stop()
-		a.Decided(time.Now(), "expelled engine-3")
+		a.AddDecision(time.Now(), "expelled engine-3")
 		time.Sleep(10 * time.Second)
 		if got := read(t, s); got.WrittenBy != "entry-0" || len(got.Decisions) != 1 {
 			t.Fatalf("got %+v", got)
@@ -106,7 +106,7 @@
 		second.set(true)
 		d.set(2)
 		time.Sleep(time.Second)
-		b.Decided(time.Now(), "expelled engine-4")
+		b.AddDecision(time.Now(), "expelled engine-4")
 		time.Sleep(10 * time.Second)
 		got := read(t, s)
 		if got.WrittenBy != "entry-1" || got.Version != 2 || len(got.Decisions) != 2 {
@@ -115,8 +115,8 @@
 	})
 }
 
-// The object API is away, and the reply to the first write after it is lost.
-// What was decided meanwhile must reach operators in the end, and only once.
+// The object API is down, and the reply to the first write after the outage is lost. A decision
+// made meanwhile must reach operators, and only once.
 func TestLostReplyAndOutageLoseNoDecision(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
@@ -124,7 +124,7 @@
 		defer w.Stop()
 		time.Sleep(10 * time.Second)
 		s.SetDown(true)
-		w.Decided(time.Now(), "expelled engine-3")
+		w.AddDecision(time.Now(), "expelled engine-3")
 		d.set(2)
 		time.Sleep(time.Minute)
 		s.LoseReplies(1)
@@ -165,8 +165,8 @@
 	}
 }
 
-// A fleet has over a thousand records. Its object must stay far below the
-// largest value, and the faulty ones must be in it.
+// A fleet has over a thousand records. Its object must stay far below the size limit of a value
+// and must list the faulty ones.
 func TestObjectStaysSmall(t *testing.T) {
 	var list []record.Condition
 	for i := range 5000 {
