--- a/fleet/exchange/compare.go
+++ b/fleet/exchange/compare.go
@@ -6,11 +6,11 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// maxSummaries bounds the summaries of one compare; what does not fit is found
-// by a later one.
+// maxSummaries limits the summaries of one compare; a later compare finds the
+// differences that do not fit.
 const maxSummaries = 400
 
-// BucketSums returns the sums of all buckets, for a peer to compare.
+// BucketSums returns the checksums of all buckets, for a peer to compare.
 func (s *Store) BucketSums() []uint64 {
 	sums := make([]uint64, Buckets)
 	for i := range s.buckets {
@@ -19,10 +19,11 @@
 	return sums
 }
 
-// Differing returns summaries of this store's lasting items in the buckets
-// whose sums differ, and the buckets that they cover, counted from 1. It
-// begins at the bucket that start selects, so that a store that differs
-// everywhere gets to all buckets in time.
+// Differing returns summaries of the items without a TTL in the buckets whose
+// checksums differ from sums, and the numbers of these buckets, counted from 1.
+// It begins at bucket start: with a different start each time, two stores that
+// differ everywhere get to compare all buckets, although one compare is limited
+// to about maxSummaries.
 func (s *Store) Differing(sums []uint64, start int) ([]*fleetpb.Summary, []uint32) {
 	if len(sums) != Buckets {
 		return nil, nil
@@ -37,9 +38,9 @@
 		if len(list) >= maxSummaries {
 			break
 		}
-		for _, h := range s.buckets[at].keys {
-			if h.TTL == 0 {
-				list = append(list, h.summary())
+		for _, e := range s.buckets[at].keys {
+			if e.TTL == 0 {
+				list = append(list, e.summary())
 			}
 		}
 		covered = append(covered, uint32(at+1))
@@ -47,17 +48,18 @@
 	return list, covered
 }
 
-// Recent adds summaries of the latest changes to the bundle.
+// Recent adds summaries of the latest changes of items without a TTL to the
+// bundle.
 func (s *Store) Recent(b *Bundle) {
-	for _, h := range s.recent {
-		if !h.gone {
-			b.Summaries = append(b.Summaries, h.summary())
+	for _, e := range s.recent {
+		if !e.removed {
+			b.Summaries = append(b.Summaries, e.summary())
 		}
 	}
 }
 
-// Missing adds to the bundle the lasting items of the covered buckets that the
-// peer's summaries do not name.
+// Missing adds to the bundle the items without a TTL that are in the covered
+// buckets, counted from 1, and not among the peer's summaries.
 func (s *Store) Missing(b *Bundle, covered []uint32, summaries []*fleetpb.Summary, now time.Time) {
 	named := make(map[Key]bool, len(summaries))
 	for _, sum := range summaries {
@@ -67,25 +69,26 @@
 		if number == 0 || number > Buckets {
 			continue
 		}
-		for k, h := range s.buckets[number-1].keys {
-			if h.TTL == 0 && !named[k] {
-				b.Items = append(b.Items, h.message(now))
+		for k, e := range s.buckets[number-1].keys {
+			if e.TTL == 0 && !named[k] {
+				b.Items = append(b.Items, e.message(now))
 			}
 		}
 	}
 }
 
-// Page returns all items of the buckets from the given one on, counted from 1,
-// up to about maxBytes, and the bucket to go on with, or 0 after the last.
+// Page returns the items of whole buckets, beginning with bucket from, counted
+// from 1, until they reach about maxBytes. It also returns the bucket that the
+// next page begins with, or 0 after the last one.
 func (s *Store) Page(from uint32, maxBytes int, now time.Time) ([]*fleetpb.Item, uint32) {
 	var items []*fleetpb.Item
 	for at := from; at >= 1 && at <= Buckets; at++ {
 		if maxBytes <= 0 {
 			return items, at
 		}
-		for _, h := range s.buckets[at-1].keys {
-			items = append(items, h.message(now))
-			maxBytes -= overheadBytes + len(h.Key.Name) + len(h.Value)
+		for _, e := range s.buckets[at-1].keys {
+			items = append(items, e.message(now))
+			maxBytes -= overheadBytes + len(e.Key.Name) + len(e.Value)
 		}
 	}
 	return items, 0
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -7,15 +7,15 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// Bundle is what one message carries of the shared state.
+// Bundle is the part of the shared state that one message carries.
 type Bundle struct {
 	Items     []*fleetpb.Item
 	Summaries []*fleetpb.Summary
 	Want      []*fleetpb.ItemKey
 
-	// told are the changes behind Items, and after them those behind
-	// Summaries, for Known.
-	toldItems, toldSummaries []*held
+	// itemEntries and summaryEntries are the pending changes that Items and
+	// Summaries begin with. Known counts sends that a peer did not need.
+	itemEntries, summaryEntries []*entry
 }
 
 // Empty reports whether there is nothing to send.
@@ -36,31 +36,33 @@
 	return n
 }
 
-// lowFrom is the size of a fleet from which on use by organisation and minor
-// changes are told with the regular calls only: each instance makes them all the
-// time, and pushes for each would cost more than a lag of seconds does.
-const lowFrom = 16
+// maxLowPriorityPushFleet is the largest fleet in which low-priority changes
+// trigger pushes. These are use by organisation and minor changes. In a larger
+// fleet they go out with heartbeats only: each instance makes them all the time,
+// and a push for each would cost more than a delay of seconds does.
+const maxLowPriorityPushFleet = 16
 
-// uselessBound is after how many peers that knew a change already it is not
-// told any more. It ends most changes at a third of the sends that SendLimit
-// allows; what it misses is found by the compare.
-const uselessBound = 3
+// maxRedundant is the number of sends of one change to peers that already had it,
+// after which the change is not sent any more. Most changes end at a third of the
+// sends that SendLimit allows; instances left out are found by the compare.
+const maxRedundant = 3
 
-// overheadBytes is what an item needs on the wire beside name and value.
+// overheadBytes estimates the size of an item on the wire without its name and
+// value.
 const overheadBytes = 32
 
-// SendLimit is how often a change is sent by each instance of a fleet of n.
-// Each transmission reaches a random peer, so a few times the logarithm of n
-// reach all but a handful, which the compare finds.
+// SendLimit returns how often each instance sends a change in a fleet of n. Each
+// send goes to a random peer, so that a few times log n sends reach all but a
+// handful of instances; the compare finds these.
 func SendLimit(n int) int {
 	return min(maxSends, 2+bits.Len(uint(max(n, 1)))*3/2)
 }
 
-// HasHot reports whether a change is still to be sent in a fleet of n.
+// HasHot reports whether there is a pending change to push in a fleet of n.
 func (s *Store) HasHot(n int) bool {
 	for i := range SendLimit(n) {
-		for _, h := range s.hot[i] {
-			if h.waits(i) && (n <= lowFrom || !h.low) {
+		for _, e := range s.pending[i] {
+			if e.isPending(i) && (n <= maxLowPriorityPushFleet || !e.lowPriority) {
 				return true
 			}
 		}
@@ -68,117 +70,120 @@
 	return false
 }
 
-// waits reports whether an entry of the hot list is still to be sent.
-func (h *held) waits(sends int) bool {
-	return !h.gone && h.sends == sends && h.useless < uselessBound
+// isPending reports whether an entry in the queue of entries sent that often is
+// still to be sent.
+func (e *entry) isPending(sends int) bool {
+	return !e.removed && e.sends == sends && e.redundant < maxRedundant
 }
 
-// Next appends to the bundle the changes that were sent least often, up to the
-// number of bytes, and counts them as sent to the peer in a fleet of n. A
-// change is not sent back to the peer that told it.
+// Next adds the pending changes that were sent least often to the bundle, up to
+// about maxBytes, and counts them as sent to the peer, in a fleet of n. A change
+// is not sent back to the peer that it came from.
 //
-// It is made for a burst of changes, such as a lost rack: the newest changes
-// overtake those that most peers have already, and the bound keeps the cost of
-// each message fixed, whatever the fleet's size.
+// The order and the limit are made for a burst of changes, such as the loss of a
+// rack: the newest changes overtake those that most peers already have, and the
+// size of a message does not depend on the fleet's size.
 func (s *Store) Next(b *Bundle, peer string, n, maxBytes int, now time.Time) {
 	limit := SendLimit(n)
 	left := s.next(b, peer, limit, maxBytes, false, now)
 	s.next(b, peer, limit, left, true, now)
 }
 
-// next appends the changes that are low or not, and returns the bytes left.
-func (s *Store) next(b *Bundle, peer string, limit, maxBytes int, low bool, now time.Time) int {
-	var sent []*held
+// next adds the pending changes of one priority and returns the bytes left.
+func (s *Store) next(b *Bundle, peer string, limit, maxBytes int, lowPriority bool, now time.Time) int {
+	var sent []*entry
 	for i := 0; i < limit && maxBytes > 0; i++ {
-		queue := s.hot[i]
+		queue := s.pending[i]
 		kept := queue[:0]
-		for _, h := range queue {
+		for _, e := range queue {
 			switch {
-			case !h.waits(i):
-			case h.low != low || maxBytes <= 0:
-				kept = append(kept, h)
+			case !e.isPending(i):
+			case e.lowPriority != lowPriority || maxBytes <= 0:
+				kept = append(kept, e)
 			default:
-				if h.source != peer || peer == "" {
-					maxBytes -= s.send(b, h, now)
+				if e.source != peer || peer == "" {
+					maxBytes -= s.send(b, e, now)
 				}
-				sent = append(sent, h)
+				sent = append(sent, e)
 			}
 		}
 		clear(queue[len(kept):])
-		s.hot[i] = kept
+		s.pending[i] = kept
 	}
-	for _, h := range sent {
-		h.sends++
-		if h.sends < limit {
-			s.hot[h.sends] = append(s.hot[h.sends], h)
+	for _, e := range sent {
+		e.sends++
+		if e.sends < limit {
+			s.pending[e.sends] = append(s.pending[e.sends], e)
 		}
 	}
 	return maxBytes
 }
 
-// Known takes what a peer says it knew already of the items and summaries that
-// the bundle told it.
+// Known counts as redundant the changes of the bundle that the peer already had.
+// indexes count the items first and then the summaries, as returned by Stale.
 func (b *Bundle) Known(indexes []uint32) {
 	for _, index := range indexes {
 		i := int(index)
-		if i < len(b.toldItems) {
-			b.toldItems[i].useless++
+		if i < len(b.itemEntries) {
+			b.itemEntries[i].redundant++
 		}
-		if i -= len(b.Items); i >= 0 && i < len(b.toldSummaries) {
-			b.toldSummaries[i].useless++
+		if i -= len(b.Items); i >= 0 && i < len(b.summaryEntries) {
+			b.summaryEntries[i].redundant++
 		}
 	}
 }
 
-// Agreed is called when a peer of a fleet of n turned out to hold the same: all
-// changes count as sent to it. Without it, an instance that starts with a few
-// thousand items would tell each of them to peers that have had them for long.
+// Agreed counts all pending changes without a TTL as sent to a peer. It is called
+// when the peer, in a fleet of n, has the same root checksum. Without it, an
+// instance that starts with a few thousand items would send each of them to peers
+// that already have them.
 func (s *Store) Agreed(n int) {
 	limit := SendLimit(n)
 	for i := limit - 1; i >= 0; i-- {
-		queue := s.hot[i]
-		s.hot[i] = nil
-		for _, h := range queue {
-			if !h.waits(i) {
+		queue := s.pending[i]
+		s.pending[i] = nil
+		for _, e := range queue {
+			if !e.isPending(i) {
 				continue
 			}
-			if h.TTL > 0 {
-				s.hot[i] = append(s.hot[i], h)
+			if e.TTL > 0 {
+				s.pending[i] = append(s.pending[i], e)
 				continue
 			}
-			if h.sends++; h.sends < limit {
-				s.hot[h.sends] = append(s.hot[h.sends], h)
+			if e.sends++; e.sends < limit {
+				s.pending[e.sends] = append(s.pending[e.sends], e)
 			}
 		}
 	}
 }
 
-// send adds the item, or its summary where it is large, and returns its bytes.
-func (s *Store) send(b *Bundle, h *held, now time.Time) int {
-	if len(h.Value) > inlineBytes {
-		b.Summaries = append(b.Summaries, h.summary())
-		b.toldSummaries = append(b.toldSummaries, h)
-		return overheadBytes + len(h.Key.Name)
+// send adds the item, or its summary if the value is too large to send without a
+// request, to the bundle and returns the estimated size in bytes.
+func (s *Store) send(b *Bundle, e *entry, now time.Time) int {
+	if len(e.Value) > maxInlineBytes {
+		b.Summaries = append(b.Summaries, e.summary())
+		b.summaryEntries = append(b.summaryEntries, e)
+		return overheadBytes + len(e.Key.Name)
 	}
-	b.Items = append(b.Items, h.message(now))
-	b.toldItems = append(b.toldItems, h)
-	return overheadBytes + len(h.Key.Name) + len(h.Value)
+	b.Items = append(b.Items, e.message(now))
+	b.itemEntries = append(b.itemEntries, e)
+	return overheadBytes + len(e.Key.Name) + len(e.Value)
 }
 
-func (h *held) summary() *fleetpb.Summary {
-	return &fleetpb.Summary{Key: h.Key.message(), Epoch: h.Epoch, Version: h.Version}
+func (e *entry) summary() *fleetpb.Summary {
+	return &fleetpb.Summary{Key: e.Key.message(), Epoch: e.Epoch, Version: e.Version}
 }
 
-func (h *held) message(now time.Time) *fleetpb.Item {
-	m := &fleetpb.Item{Key: h.Key.message(), Epoch: h.Epoch, Version: h.Version, Value: h.Value}
-	if !h.expires.IsZero() {
-		m.TtlMs = max(1, h.expires.Sub(now).Milliseconds())
+func (e *entry) message(now time.Time) *fleetpb.Item {
+	m := &fleetpb.Item{Key: e.Key.message(), Epoch: e.Epoch, Version: e.Version, Value: e.Value}
+	if !e.expires.IsZero() {
+		m.TtlMs = max(1, e.expires.Sub(now).Milliseconds())
 	}
 	return m
 }
 
 // Take merges the items of a message from the peer and returns those that were
-// new here.
+// newer than the ones in the store.
 func (s *Store) Take(items []*fleetpb.Item, peer string, now time.Time) []Item {
 	var changed []Item
 	for _, m := range items {
@@ -196,62 +201,65 @@
 	return changed
 }
 
-// Correct adds to the bundle what is held in a newer version than the peer's
-// items. Without it a peer would keep, and show in every compare, a state that
-// was replaced by one with a TTL, such as a dead member's.
+// Correct adds to the bundle the items of which this store has a newer version
+// than the peer sent. Without it a peer would keep, and report as a difference in
+// every compare, an item that was replaced by one with a TTL, such as the state of
+// a dead member.
 func (s *Store) Correct(b *Bundle, items []*fleetpb.Item, now time.Time) {
 	for _, m := range items {
-		h := s.items[keyOf(m.GetKey())]
-		if h != nil && less(m.GetEpoch(), m.GetVersion(), h.Epoch, h.Version) {
-			b.Items = append(b.Items, h.message(now))
+		e := s.items[keyOf(m.GetKey())]
+		if e != nil && less(m.GetEpoch(), m.GetVersion(), e.Epoch, e.Version) {
+			b.Items = append(b.Items, e.message(now))
 		}
 	}
 }
 
-// Stale lists the indexes of the items, and after them of the summaries, that
-// would tell this store nothing new.
+// Stale returns the indexes of the received items and summaries that are not newer
+// than the store's. Indexes of summaries follow those of items.
 func (s *Store) Stale(items []*fleetpb.Item, summaries []*fleetpb.Summary) (known []uint32) {
 	for i, m := range items {
-		h := s.items[keyOf(m.GetKey())]
-		if h != nil && !less(h.Epoch, h.Version, m.GetEpoch(), m.GetVersion()) {
+		e := s.items[keyOf(m.GetKey())]
+		if e != nil && !less(e.Epoch, e.Version, m.GetEpoch(), m.GetVersion()) {
 			known = append(known, uint32(i))
 		}
 	}
 	for i, m := range summaries {
-		h := s.items[keyOf(m.GetKey())]
-		if h != nil && !less(h.Epoch, h.Version, m.GetEpoch(), m.GetVersion()) {
+		e := s.items[keyOf(m.GetKey())]
+		if e != nil && !less(e.Epoch, e.Version, m.GetEpoch(), m.GetVersion()) {
 			known = append(known, uint32(len(items)+i))
 		}
 	}
 	return known
 }
 
-// Adopt merges all that a peer holds into the store of a starting instance. The
-// peer's peers have it, so it is not told on.
+// Adopt merges a page of a peer's full state into the store of a starting
+// instance. It does not propagate the items, as the rest of the fleet has them.
 func (s *Store) Adopt(items []*fleetpb.Item, peer string, now time.Time) []Item {
-	s.quiet = true
-	defer func() { s.quiet = false }()
+	s.skipPropagation = true
+	defer func() { s.skipPropagation = false }()
 	return s.Take(items, peer, now)
 }
 
-// Answer adds to the bundle what the peer has asked for or, by its summaries,
-// holds in an older version, and asks for what it holds in a newer one.
+// Answer adds to the bundle the items that the peer requested and those that it
+// has in an older version according to its summaries. It requests the items that
+// the peer has in a newer version.
 func (s *Store) Answer(b *Bundle, want []*fleetpb.ItemKey, summaries []*fleetpb.Summary, now time.Time) {
 	for _, k := range want {
-		if h := s.items[keyOf(k)]; h != nil {
-			b.Items = append(b.Items, h.message(now))
+		if e := s.items[keyOf(k)]; e != nil {
+			b.Items = append(b.Items, e.message(now))
 		}
 	}
 	for _, sum := range summaries {
-		h := s.items[keyOf(sum.GetKey())]
-		if h == nil || less(h.Epoch, h.Version, sum.GetEpoch(), sum.GetVersion()) {
+		e := s.items[keyOf(sum.GetKey())]
+		if e == nil || less(e.Epoch, e.Version, sum.GetEpoch(), sum.GetVersion()) {
 			b.Want = append(b.Want, sum.GetKey())
-		} else if less(sum.GetEpoch(), sum.GetVersion(), h.Epoch, h.Version) {
-			b.Items = append(b.Items, h.message(now))
+		} else if less(sum.GetEpoch(), sum.GetVersion(), e.Epoch, e.Version) {
+			b.Items = append(b.Items, e.message(now))
 		}
 	}
 }
 
+// less reports whether the version of A is older than that of B.
 func less(epochA, versionA, epochB, versionB uint64) bool {
 	return epochA < epochB || epochA == epochB && versionA < versionB
 }
--- a/fleet/exchange/store.go
+++ b/fleet/exchange/store.go
@@ -10,24 +10,25 @@
 )
 
 const (
-	// Buckets is the number of groups that a full compare looks at. Eight
-	// bytes each make 2 KB, and at 4,000 items a differing group costs 16
-	// summaries.
+	// Buckets is the number of groups of items whose checksums a full compare
+	// exchanges. At 8 bytes each they take 2 KB, and with 4,000 items each
+	// differing bucket costs 16 summaries.
 	Buckets = 256
-	// maxItems bounds what peers can make an instance hold; the target has
-	// about 4,000.
+	// maxItems limits how many items peers can make an instance store. A fleet
+	// of the target size has about 4,000.
 	maxItems = 1 << 16
-	// maxNameBytes bounds a key.
+	// maxNameBytes limits the name in a key.
 	maxNameBytes = 512
-	// inlineBytes is the largest value that is sent unasked. Larger ones are
-	// announced by their version, and each instance fetches them once instead
-	// of getting a copy from each peer.
-	inlineBytes = 256
-	// recentChanges is how many of the latest changes two instances show each
-	// other when their sums differ, before they compare everything: the change
-	// that one of them missed is nearly always among them.
+	// maxInlineBytes is the largest value that is sent without a request for
+	// it. For a larger one only the version is sent, and each instance fetches
+	// the value once instead of receiving a copy from every peer.
+	maxInlineBytes = 256
+	// recentChanges is how many of its latest changes an instance sends
+	// summaries of when its root checksum differs from a peer's. The change
+	// that one of them missed is nearly always among these, so that most
+	// differences need no full compare.
 	recentChanges = 8
-	// maxSends bounds the transmissions of one change whatever the fleet.
+	// maxSends limits how often one change is sent, whatever the fleet's size.
 	maxSends = 24
 )
 
@@ -35,83 +36,86 @@
 
 // Store holds the items of one instance.
 type Store struct {
-	items   map[Key]*held
+	items   map[Key]*entry
 	buckets [Buckets]bucket
 	root    uint64
-	// hot holds the items that are still to be told, by how often they were
-	// sent. An entry whose item moved on is skipped when met.
-	hot   [maxSends][]*held
-	minor func(old, changed Item) bool
-	// recent are the latest lasting changes, the newest last.
-	recent []*held
-	// quiet is set while items are taken that need not be told on.
-	quiet bool
+	// pending are the queues of entries still to be sent to peers, indexed by
+	// how often an entry was sent. Entries that were replaced or removed stay in
+	// a queue until it is next processed.
+	pending [maxSends][]*entry
+	isMinor func(old, changed Item) bool
+	// recent are the latest changes of items without a TTL, the newest last.
+	recent []*entry
+	// skipPropagation is set while merging items that peers already have.
+	skipPropagation bool
 }
 
 type bucket struct {
 	sum  uint64
-	keys map[Key]*held
+	keys map[Key]*entry
 }
 
-// held is an item with what the store knows of it.
-type held struct {
+// entry is an item with the store's bookkeeping.
+type entry struct {
 	Item
-	expires time.Time // zero: never
-	bucket  int
-	sends   int
-	useless int
-	gone    bool
-	low     bool
-	source  string
+	expires     time.Time // zero if the item does not expire
+	bucket      int
+	sends       int
+	redundant   int // sends to peers that had the change already
+	removed     bool
+	lowPriority bool
+	source      string // the peer that sent the item, empty for this instance
 }
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	return &Store{items: map[Key]*held{}, minor: func(Item, Item) bool { return false }}
+	return &Store{items: map[Key]*entry{}, isMinor: func(Item, Item) bool { return false }}
 }
 
-// SetMinor has changes for which minor returns true told after all others.
-func (s *Store) SetMinor(minor func(old, changed Item) bool) { s.minor = minor }
+// SetMinor sets the function that reports whether a change is minor. Minor
+// changes are sent after all others.
+func (s *Store) SetMinor(minor func(old, changed Item) bool) { s.isMinor = minor }
 
-// Len is the number of items.
+// Len returns the number of items.
 func (s *Store) Len() int { return len(s.items) }
 
-// Root sums up all items without a TTL. Those with one end at different
-// moments at different instances and would make equal states look different.
+// Root returns a checksum over all items without a TTL. Items with a TTL expire
+// at different moments at different instances and would make equal states look
+// different.
 func (s *Store) Root() uint64 { return s.root }
 
 // Get returns an item.
 func (s *Store) Get(k Key) (Item, bool) {
-	h, ok := s.items[k]
+	e, ok := s.items[k]
 	if !ok {
 		return Item{}, false
 	}
-	return h.Item, true
+	return e.Item, true
 }
 
-// Left is how long an item is still remembered; 0 where it has no TTL or is
-// not held.
+// Left returns the time until the item expires, or 0 if it has no TTL or is not
+// in the store.
 func (s *Store) Left(k Key, now time.Time) time.Duration {
-	h := s.items[k]
-	if h == nil || h.expires.IsZero() {
+	e := s.items[k]
+	if e == nil || e.expires.IsZero() {
 		return 0
 	}
-	return h.expires.Sub(now)
+	return e.expires.Sub(now)
 }
 
-// Each calls fn with all items of a kind, in no order.
+// Each calls fn for each item of the kind, in no particular order.
 func (s *Store) Each(kind fleetpb.ItemKind, fn func(Item)) {
-	for k, h := range s.items {
+	for k, e := range s.items {
 		if k.Kind == kind {
-			fn(h.Item)
+			fn(e.Item)
 		}
 	}
 }
 
-// Put takes an item that came from the named peer, or from this instance where
-// source is empty. It reports whether the item was newer than what was held;
-// an older one changes nothing, which is why no order of messages can take
-// state back.
+// Put stores an item received from the peer source, or published by this
+// instance if source is empty. It reports whether the item was stored, that is,
+// newer than the present one. An older one is ignored, so that no order of
+// messages can revert state.
 func (s *Store) Put(it Item, source string, now time.Time) bool {
 	old := s.items[it.Key]
 	if old != nil && !newer(&it, &old.Item) {
@@ -121,23 +125,23 @@
 		itemsRefused.Inc()
 		return false
 	}
-	h := &held{Item: it, bucket: int(it.Key.hash() % Buckets), source: source}
-	h.low = it.Key.Kind == fleetpb.ItemKind_ITEM_KIND_USAGE || old != nil && s.minor(old.Item, it)
+	e := &entry{Item: it, bucket: int(it.Key.hash() % Buckets), source: source}
+	e.lowPriority = it.Key.Kind == fleetpb.ItemKind_ITEM_KIND_USAGE || old != nil && s.isMinor(old.Item, it)
 	if it.TTL > 0 {
-		h.expires = now.Add(it.TTL)
+		e.expires = now.Add(it.TTL)
 	}
 	if old != nil {
 		invariant.Check(!newer(&old.Item, &it), "shared_state_never_reverts", "%v went from %d.%d to %d.%d",
 			it.Key, old.Epoch, old.Version, it.Epoch, it.Version)
 		s.remove(old)
 	}
-	s.insert(h)
-	if s.quiet {
+	s.insert(e)
+	if s.skipPropagation {
 		return true
 	}
-	s.hot[0] = append(s.hot[0], h)
-	if h.TTL == 0 {
-		s.recent = append(s.recent, h)
+	s.pending[0] = append(s.pending[0], e)
+	if e.TTL == 0 {
+		s.recent = append(s.recent, e)
 		s.recent = s.recent[max(0, len(s.recent)-recentChanges):]
 	}
 	return true
@@ -147,51 +151,53 @@
 	return len(s.items) < maxItems && len(it.Key.Name) <= maxNameBytes && it.Key.Kind != fleetpb.ItemKind_ITEM_KIND_UNSPECIFIED
 }
 
-func (s *Store) insert(h *held) {
-	s.items[h.Key] = h
-	b := &s.buckets[h.bucket]
+func (s *Store) insert(e *entry) {
+	s.items[e.Key] = e
+	b := &s.buckets[e.bucket]
 	if b.keys == nil {
-		b.keys = map[Key]*held{}
+		b.keys = map[Key]*entry{}
 	}
-	b.keys[h.Key] = h
-	s.addSum(h)
+	b.keys[e.Key] = e
+	s.toggleSum(e)
 }
 
-func (s *Store) remove(h *held) {
-	h.gone = true
-	delete(s.items, h.Key)
-	delete(s.buckets[h.bucket].keys, h.Key)
-	s.addSum(h)
+func (s *Store) remove(e *entry) {
+	e.removed = true
+	delete(s.items, e.Key)
+	delete(s.buckets[e.bucket].keys, e.Key)
+	s.toggleSum(e)
 }
 
-// addSum adds an item to the sums, or takes it out: exclusive or is its own
+// toggleSum adds an item to the sums, or takes it out: exclusive or is its own
 // inverse.
-func (s *Store) addSum(h *held) {
-	if h.TTL > 0 {
+// toggleSum adds an entry to the checksums or removes it from them: XOR is its
+// own inverse.
+func (s *Store) toggleSum(e *entry) {
+	if e.TTL > 0 {
 		return
 	}
-	sum := h.sum()
+	sum := e.sum()
 	s.root ^= sum
-	s.buckets[h.bucket].sum ^= sum
+	s.buckets[e.bucket].sum ^= sum
 }
 
-// Expire forgets the items whose TTL has ended.
+// Expire removes the items whose TTL has passed.
 func (s *Store) Expire(now time.Time) {
-	for _, h := range s.items {
-		if !h.expires.IsZero() && !now.Before(h.expires) {
-			s.remove(h)
+	for _, e := range s.items {
+		if !e.expires.IsZero() && !now.Before(e.expires) {
+			s.remove(e)
 		}
 	}
 }
 
-// Forget drops an item at once, without a trace for peers.
+// Forget removes an item at once, without notifying peers.
 func (s *Store) Forget(k Key) {
-	if h := s.items[k]; h != nil {
-		s.remove(h)
+	if e := s.items[k]; e != nil {
+		s.remove(e)
 	}
 }
 
-// Count is the number of items of a kind.
+// Count returns the number of items of the kind.
 func (s *Store) Count(kind fleetpb.ItemKind) int {
 	n := 0
 	s.Each(kind, func(Item) { n++ })
