--- a/fleet/exchange/store.go
+++ b/fleet/exchange/store.go
@@ -74,7 +74,7 @@
 
 // SetMinor sets the function that reports whether a change is minor. Minor
 // changes are sent after all others.
-func (s *Store) SetMinor(minor func(old, changed Item) bool) { s.isMinor = minor }
+func (s *Store) SetMinor(isMinor func(old, changed Item) bool) { s.isMinor = isMinor }
 
 // Len returns the number of items.
 func (s *Store) Len() int { return len(s.items) }
--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -1,6 +1,7 @@
-// Package member keeps the list of the fleet's instances: who is alive, who is
-// silent, who leaves. It holds no timers, does no I/O and reads no clock; one
-// goroutine may use a Table.
+// Package member maintains the list of the fleet's instances and their status in
+// the manner of SWIM: alive, suspected of having failed, dead, leaving or left. It
+// has no timers, does no I/O and reads no clock. A Table is not safe for
+// concurrent use.
 package member
 
 import (
@@ -13,45 +14,46 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// Member is one instance as seen from here.
+// Member is one instance as last known to this one.
 type Member struct {
 	Name       string
 	Address    string
 	DataCentre string
 	Region     string
 	Status     fleetpb.MemberStatus
-	// Incarnation rises with every start of the instance.
+	// Incarnation is higher after each restart of the instance.
 	Incarnation uint64
-	// RecordsVersion is the highest store version in force there.
+	// RecordsVersion is the highest store version of the records that the
+	// instance has in force.
 	RecordsVersion uint64
-	// Callers is the address that serves callers.
+	// Callers is the address at which the instance serves callers.
 	Callers string
-	// StoreReachable says that the object API answers the instance.
+	// StoreReachable is whether the instance can reach the object API.
 	StoreReachable bool
 }
 
-// Owns reports whether the member may own endpoints. A suspect keeps what it
-// owns: most suspects are back within the bound, and moving their endpoints
-// twice would cost what is known of their caches.
+// Owns reports whether the member may own endpoints. A suspected member keeps
+// its endpoints: most recover before they would be declared dead, and moving the
+// endpoints away and back would lose what is known of the endpoints' caches.
 func (m Member) Owns() bool {
 	return m.Status == fleetpb.MemberStatus_MEMBER_STATUS_ALIVE || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT
 }
 
-// live reports whether the member is worth a message.
+// live reports whether messages are sent to the member as a matter of course.
 func (m Member) live() bool {
 	return m.Owns() || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEAVING
 }
 
-// View is the list at one moment, in order of name. It is never changed once
-// built, so any goroutine may read it.
+// View is an immutable snapshot of the members, sorted by name. It is safe for
+// concurrent use.
 type View struct {
 	Self    string
 	Members []Member
-	// Owners are the names of the members that may own endpoints.
+	// Owners are the names of the members that may own endpoints, sorted.
 	Owners []string
 }
 
-// Find returns the member of that name.
+// Find returns the member with the name.
 func (v *View) Find(name string) (Member, bool) {
 	i := sort.Search(len(v.Members), func(i int) bool { return v.Members[i].Name >= name })
 	if i < len(v.Members) && v.Members[i].Name == name {
@@ -60,10 +62,10 @@
 	return Member{}, false
 }
 
-// Versions of a member's item rise in rounds of four. The member itself opens
-// a round; within it peers may say that it is silent, then that it is dead, and
-// any later round of the member's own outweighs them. LEFT outweighs both and
-// is the member's last word.
+// Versions of a member's item are grouped into rounds of four. The member begins
+// a round with each update of its own state, at rank 0. Within the round peers may
+// replace the item by SUSPECT and then by DEAD, which the member refutes by a new
+// round. The member's final state, LEFT, has the highest rank of its round.
 const (
 	roundSize   = 4
 	rankSuspect = 1
@@ -73,17 +75,19 @@
 
 func round(version uint64) uint64 { return version / roundSize }
 
-// Bounds are the times of suspicion and expulsion.
+// Bounds are the time limits of failure detection.
 type Bounds struct {
-	// Expel is how long a suspect may stay silent before it counts as dead.
+	// Expel is how long a member may be suspected before it is declared dead.
 	Expel time.Duration
-	// Forget is how long dead and left members are remembered and tried, so
-	// that a partition of that length heals by itself.
+	// Forget is how long dead and left members are kept in the table. Dead ones
+	// are still called now and then, so that a partition of up to that length
+	// heals without intervention.
 	Forget time.Duration
 }
 
-// DefaultBounds let a paused instance come back: pauses of a second or two are
-// common on busy machines, and expelling moves the ownership of its endpoints.
+// DefaultBounds give a paused instance time to recover: pauses of a second or two
+// are common on busy machines, and declaring an instance dead moves the ownership
+// of its endpoints.
 var DefaultBounds = Bounds{Expel: 6 * time.Second, Forget: time.Hour}
 
 func itemKey(name string) exchange.Key {
@@ -112,14 +116,14 @@
 	return exchange.Item{Key: itemKey(m.Name), Epoch: m.Incarnation, Version: version, Value: value, TTL: ttl}
 }
 
-// Minor reports whether a member's change is of no concern but for status: it
-// tells which records are in force there.
+// Minor reports whether a change of a member's item concerns status reports only:
+// nothing but RecordsVersion differs.
 func Minor(old, changed exchange.Item) bool {
 	if old.Key.Kind != fleetpb.ItemKind_ITEM_KIND_MEMBER || old.Epoch != changed.Epoch {
 		return false
 	}
-	a, readable := decode(old)
-	b, ok := decode(changed)
+	a, okA := decode(old)
+	b, okB := decode(changed)
 	a.RecordsVersion, b.RecordsVersion = 0, 0
-	return readable && ok && a == b
+	return okA && okB && a == b
 }
--- a/fleet/member/partners.go
+++ b/fleet/member/partners.go
@@ -12,25 +12,25 @@
 
 const (
 	// partnerCount is how many peers an instance exchanges state with at a
-	// time. A few keep their connections, and so their TLS handshakes, in use;
-	// eight random ones leave no instance without anybody that calls it.
+	// time. With a few, connections are reused and TLS handshakes are rare;
+	// with eight random ones, it is unlikely that no instance calls a member.
 	partnerCount = 8
-	// ringCount of them are the next live members on a ring of hashed names.
-	// Chance alone leaves a few members of a large fleet without anybody that
-	// calls them, and nobody would notice their deaths.
+	// ringCount is how many of the partners are the next live members on a ring
+	// of hashed names. With random partners only, a few members of a large fleet
+	// are called by no other one, and their failure would go undetected.
 	ringCount = 2
-	// callsPerPartner is after how many calls the oldest partner gives way to
-	// the next member, so that each member is called by each other one in
-	// bounded time.
+	// callsPerPartner is the number of calls after which the oldest random
+	// partner is replaced by another member, so that each member calls each
+	// other one in bounded time.
 	callsPerPartner = 16
-	// strangerEvery is how many calls go to partners before one goes to an
-	// address that no live member has: a dead member, a seed, one that the
-	// platform lists. This is what joins two halves again after a partition.
-	strangerEvery = 8
+	// callsPerReconnect is how many calls there are per call to an address that
+	// no live member has: of a dead member, a seed, or an instance that the
+	// platform lists. These calls join the two sides again after a partition.
+	callsPerReconnect = 8
 )
 
-// Peer is where to send a message. Name is empty for an address of which no
-// instance is known.
+// Peer is the destination of a message. Name is empty if it is not known which
+// instance has the address.
 type Peer struct {
 	Name    string
 	Address string
@@ -38,69 +38,69 @@
 
 // partners is the rotation of the peers to call.
 type partners struct {
-	order   []string // shuffled names still to become partners
-	current []string
-	ring    []string
-	at      int
-	calls   int
+	queue    []string // shuffled names of the members that become partners next
+	rotating []string
+	ring     []string
+	next     int
+	calls    int
 }
 
-// NextPeer returns the peer for the next exchange, or false where nobody is
-// known to be alive or worth a try.
+// NextPeer returns the peer for the next exchange, or false if there is neither a
+// live member nor an address to reconnect to.
 func (t *Table) NextPeer() (Peer, bool) {
 	p := &t.partners
 	p.calls++
-	if p.calls%callsPerPartner == 0 && len(p.current) > 0 {
-		p.current = p.current[1:]
+	if p.calls%callsPerPartner == 0 && len(p.rotating) > 0 {
+		p.rotating = p.rotating[1:]
 	}
-	if p.calls%strangerEvery == 0 || len(t.members) == 0 {
-		if peer, ok := t.stranger(); ok {
+	if p.calls%callsPerReconnect == 0 || len(t.members) == 0 {
+		if peer, ok := t.reconnectPeer(); ok {
 			return peer, true
 		}
 	}
 	list := t.partnerNames()
 	if len(list) == 0 {
-		return t.stranger()
+		return t.reconnectPeer()
 	}
-	p.at++
-	m := t.members[list[p.at%len(list)]]
+	p.next++
+	m := t.members[list[p.next%len(list)]]
 	return Peer{m.Name, m.Address}, true
 }
 
-// Partners returns up to k random partners but for one, to whom a change is
-// told or whom a check is asked of.
-func (t *Table) Partners(k int, but string) []Peer {
+// Partners returns up to k random partners other than the named one, to push
+// changes to or to request a check from.
+func (t *Table) Partners(k int, except string) []Peer {
 	names := t.partnerNames()
 	var list []Peer
 	for _, i := range t.random.Perm(len(names)) {
 		m := t.members[names[i]]
-		if m.Name != but && len(list) < k {
+		if m.Name != except && len(list) < k {
 			list = append(list, Peer{m.Name, m.Address})
 		}
 	}
 	return list
 }
 
-// partnerNames lists the partners now.
+// partnerNames returns the names of the present partners.
 func (t *Table) partnerNames() []string {
 	t.fillRing()
 	t.fillPartners()
-	return slices.Concat(t.partners.ring, t.partners.current)
+	return slices.Concat(t.partners.ring, t.partners.rotating)
 }
 
-// fillRing finds the next live members after this instance on the ring.
+// fillRing selects the next live members after this instance on the ring.
 func (t *Table) fillRing() {
 	type successor struct {
 		distance uint64
 		name     string
 	}
-	own := ringPlace(t.self.Name)
+	own := ringPosition(t.self.Name)
 	var next []successor
 	for name, s := range t.members {
 		if !s.live() {
 			continue
 		}
-		next = append(next, successor{s.place - own, name})
+		next = append(next, successor{s.position - own, name})
 		slices.SortFunc(next, func(a, b successor) int { return cmp.Compare(a.distance, b.distance) })
 		next = next[:min(len(next), ringCount)]
 	}
@@ -110,21 +110,22 @@
 	}
 }
 
-func ringPlace(name string) uint64 { return xxh3.HashString(name) }
+func ringPosition(name string) uint64 { return xxh3.HashString(name) }
 
-// fillPartners drops random partners that are gone and takes the next ones.
+// fillPartners replaces random partners that are no longer live or became ring
+// partners.
 func (t *Table) fillPartners() {
 	p := &t.partners
-	p.current = slices.DeleteFunc(p.current, func(name string) bool { return !t.isLive(name) || slices.Contains(p.ring, name) })
+	p.rotating = slices.DeleteFunc(p.rotating, func(name string) bool { return !t.isLive(name) || slices.Contains(p.ring, name) })
 	skipped := 0
-	for len(p.current) < partnerCount-ringCount && len(p.current)+len(p.ring) < len(t.members) {
-		if len(p.order) == 0 {
-			p.order = t.shuffled()
+	for len(p.rotating) < partnerCount-ringCount && len(p.rotating)+len(p.ring) < len(t.members) {
+		if len(p.queue) == 0 {
+			p.queue = t.shuffled()
 		}
-		name := p.order[0]
-		p.order = p.order[1:]
-		if t.isLive(name) && !slices.Contains(p.current, name) && !slices.Contains(p.ring, name) {
-			p.current = append(p.current, name)
+		name := p.queue[0]
+		p.queue = p.queue[1:]
+		if t.isLive(name) && !slices.Contains(p.rotating, name) && !slices.Contains(p.ring, name) {
+			p.rotating = append(p.rotating, name)
 			skipped = 0
 			continue
 		}
@@ -146,18 +147,18 @@
 	return names
 }
 
-// stranger returns a random address that no live member has.
-func (t *Table) stranger() (Peer, bool) {
-	list := t.strangers()
+// reconnectPeer returns a random peer whose address no live member has.
+func (t *Table) reconnectPeer() (Peer, bool) {
+	list := t.reconnectCandidates()
 	if len(list) == 0 {
 		return Peer{}, false
 	}
 	return list[t.random.IntN(len(list))], true
 }
 
-// strangers lists, in a fixed order, dead members and the addresses of seeds
-// and of the platform's list that no live member has.
-func (t *Table) strangers() []Peer {
+// reconnectCandidates returns, in a deterministic order, the dead members and the
+// addresses of seeds and of the platform's list that no live member has.
+func (t *Table) reconnectCandidates() []Peer {
 	live := map[string]bool{t.self.Address: true}
 	var list []Peer
 	for _, s := range t.members {
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -12,15 +12,15 @@
 )
 
 var (
-	suspected  = metrics.GetOrCreateCounter("sardinedock_fleet_members_suspected_total")
-	expelled   = metrics.GetOrCreateCounter("sardinedock_fleet_members_expelled_total")
-	refuted    = metrics.GetOrCreateCounter("sardinedock_fleet_suspicions_refuted_total")
-	overtaken  = metrics.GetOrCreateCounter("sardinedock_fleet_incarnations_raised_total")
-	unreadable = metrics.GetOrCreateCounter("sardinedock_fleet_member_items_unreadable_total")
+	membersSuspected   = metrics.GetOrCreateCounter("sardinedock_fleet_members_suspected_total")
+	membersExpelled    = metrics.GetOrCreateCounter("sardinedock_fleet_members_expelled_total")
+	suspicionsRefuted  = metrics.GetOrCreateCounter("sardinedock_fleet_suspicions_refuted_total")
+	incarnationsRaised = metrics.GetOrCreateCounter("sardinedock_fleet_incarnations_raised_total")
+	itemsUnreadable    = metrics.GetOrCreateCounter("sardinedock_fleet_member_items_unreadable_total")
 )
 
-// Table is the list of members. Items that it returns are to be put into the
-// exchange.
+// Table is the list of members. The caller publishes the items that its methods
+// return.
 type Table struct {
 	self    Member
 	version uint64
@@ -28,8 +28,9 @@
 	random  *rand.Rand
 
 	members map[string]*state
-	// addresses that settings and the platform name, tried while no live
-	// member has them.
+	// seeds and listed are the addresses from the settings and from the
+	// platform's list. They are called now and then while no live member has
+	// them.
 	seeds  []string
 	listed []string
 
@@ -37,17 +38,17 @@
 	dirty    bool
 }
 
-// state is a member with what the table knows of it.
+// state is a member with the table's bookkeeping.
 type state struct {
 	Member
 	version      uint64
 	suspectSince time.Time
-	place        uint64 // on the ring of names
+	position     uint64 // on the ring of hashed names
 }
 
-// New returns a table that knows only the instance itself. The incarnation of
-// self has to be higher than that of its last start where possible; peers that
-// remember a higher one raise it.
+// New returns a table with only the instance itself. The incarnation of self
+// should be higher than that of its last start; if a peer remembers a higher one,
+// Apply raises it.
 func New(self Member, seeds []string, bounds Bounds, random *rand.Rand) *Table {
 	self.Status = fleetpb.MemberStatus_MEMBER_STATUS_ALIVE
 	return &Table{
@@ -75,7 +76,7 @@
 	return was
 }
 
-// Update changes the instance's own state by fn and opens a new round.
+// Update applies fn to the instance's own state and begins a new round.
 func (t *Table) Update(fn func(*Member)) exchange.Item {
 	t.dirty = true
 	fn(&t.self)
@@ -83,12 +84,13 @@
 	return t.SelfItem()
 }
 
-// Leave says that the instance takes no more ownership and will end.
+// Leave sets the instance's status to LEAVING: it accepts no more ownership and
+// will shut down.
 func (t *Table) Leave() exchange.Item {
 	return t.Update(func(m *Member) { m.Status = fleetpb.MemberStatus_MEMBER_STATUS_LEAVING })
 }
 
-// Left is the instance's last word.
+// Left sets the instance's status to LEFT, its final state.
 func (t *Table) Left() exchange.Item {
 	t.Update(func(m *Member) { m.Status = fleetpb.MemberStatus_MEMBER_STATUS_LEFT })
 	t.version += rankLeft
@@ -98,21 +100,21 @@
 // SetListed replaces the addresses of the platform's list.
 func (t *Table) SetListed(addresses []string) { t.listed = addresses }
 
-// Apply takes a member's item that was new to the exchange. It returns items
-// to publish: the refutation, where the item says something false of the
-// instance itself.
+// Apply updates the table from a member's item that was new to the exchange. It
+// returns the items to publish: a refutation, if the item is about this instance
+// and wrong.
 func (t *Table) Apply(it exchange.Item, now time.Time) []exchange.Item {
 	m, ok := decode(it)
 	if !ok {
-		unreadable.Inc()
+		itemsUnreadable.Inc()
 		return nil
 	}
 	if m.Name == t.self.Name {
-		return t.heardOfSelf(it)
+		return t.applySelf(it)
 	}
 	s := t.members[m.Name]
 	if s == nil {
-		s = &state{place: ringPlace(m.Name)}
+		s = &state{position: ringPosition(m.Name)}
 		t.members[m.Name] = s
 	}
 	if m.Status == fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT && s.Status != m.Status {
@@ -123,12 +125,12 @@
 	return nil
 }
 
-// heardOfSelf answers an item about the instance itself that is newer than its
-// own. A higher incarnation is left from an earlier start, under a clock that
-// went ahead; unanswered, peers would hold the dead one's state for ever.
-func (t *Table) heardOfSelf(it exchange.Item) []exchange.Item {
+// applySelf refutes an item about the instance itself that is newer than its own.
+// A higher incarnation comes from an earlier start, when the clock was ahead;
+// without a refutation peers would keep the state of the earlier process for ever.
+func (t *Table) applySelf(it exchange.Item) []exchange.Item {
 	if it.Epoch > t.self.Incarnation {
-		overtaken.Inc()
+		incarnationsRaised.Inc()
 		t.self.Incarnation = it.Epoch + 1
 		t.dirty = true
 		return []exchange.Item{t.SelfItem()}
@@ -136,7 +138,7 @@
 	if it.Epoch < t.self.Incarnation || it.Version <= t.version {
 		return nil
 	}
-	refuted.Inc()
+	suspicionsRefuted.Inc()
 	t.version = (round(it.Version) + 1) * roundSize
 	if t.self.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT {
 		t.version += rankLeft
@@ -144,10 +146,11 @@
 	return []exchange.Item{t.SelfItem()}
 }
 
-// Suspect marks a member that neither this instance nor the ones it asked can
-// reach. The suspect hears it, as it is still sent messages, and refutes it by
-// a new round. A leaving member that is silent has ended before it could say
-// so.
+// Suspect returns the items that mark a member as suspected, as neither this
+// instance nor the peers that it asked can reach it. Peers still send messages to
+// a suspected member, so that it learns of the suspicion and refutes it by a new
+// round if it runs. A leaving member that is unreachable is declared dead at once:
+// it has shut down before it could publish that it left.
 func (t *Table) Suspect(name string) []exchange.Item {
 	s := t.members[name]
 	if s == nil {
@@ -156,42 +159,42 @@
 	m := s.Member
 	switch s.Status {
 	case fleetpb.MemberStatus_MEMBER_STATUS_ALIVE:
-		suspected.Inc()
+		membersSuspected.Inc()
 		m.Status = fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT
 		return []exchange.Item{encode(m, round(s.version)*roundSize+rankSuspect, 0)}
 	case fleetpb.MemberStatus_MEMBER_STATUS_LEAVING:
-		return []exchange.Item{t.dead(s)}
+		return []exchange.Item{t.markDead(s)}
 	}
 	return nil
 }
 
-func (t *Table) dead(s *state) exchange.Item {
-	expelled.Inc()
+func (t *Table) markDead(s *state) exchange.Item {
+	membersExpelled.Inc()
 	m := s.Member
 	m.Status = fleetpb.MemberStatus_MEMBER_STATUS_DEAD
 	return encode(m, round(s.version)*roundSize+rankDead, t.bounds.Forget)
 }
 
-// Tick returns the deaths that are due.
+// Tick returns the items that declare dead the members suspected for too long.
 func (t *Table) Tick(now time.Time) []exchange.Item {
 	var items []exchange.Item
 	for _, s := range t.members {
 		if s.Status == fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT && now.Sub(s.suspectSince) >= t.bounds.Expel {
-			items = append(items, t.dead(s))
+			items = append(items, t.markDead(s))
 		}
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Key.Name < items[j].Key.Name })
 	return items
 }
 
-// Forget drops a member whose item has expired.
+// Forget removes a member whose item has expired.
 func (t *Table) Forget(name string) {
 	delete(t.members, name)
 	t.dirty = true
 }
 
-// Names lists the members known, dead ones included, but for the instance
-// itself.
+// Names returns the sorted names of all members, dead ones included, except the
+// instance itself.
 func (t *Table) Names() []string {
 	names := make([]string, 0, len(t.members))
 	for name := range t.members {
@@ -201,11 +204,11 @@
 	return names
 }
 
-// Len is the number of members known, dead ones included, but for the instance
+// Len returns the number of members, dead ones included, except the instance
 // itself.
 func (t *Table) Len() int { return len(t.members) }
 
-// View returns the list now.
+// View returns a snapshot of the present members.
 func (t *Table) View() *View {
 	v := &View{Self: t.self.Name, Members: make([]Member, 0, len(t.members)+1)}
 	v.Members = append(v.Members, t.self)
@@ -221,7 +224,7 @@
 	return v
 }
 
-// Find returns what is held of another member.
+// Find returns another member by its name.
 func (t *Table) Find(name string) (Member, bool) {
 	s := t.members[name]
 	if s == nil {
