--- a/fleet/core.go
+++ b/fleet/core.go
@@ -12,43 +12,49 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// The rates of the exchange. Together they bound what an instance sends at
-// rest and under a storm of changes, whatever the fleet's size.
+// The rates of the exchange. Together they limit what an instance sends, both
+// without changes and with very many, independently of the fleet's size.
 const (
-	// callEvery is how often an instance calls one peer when nothing changes.
-	// It is heartbeat and compare in one: with each member called once a
-	// second on average, a dead one is noticed within about a second.
-	callEvery = time.Second
-	// pushEvery is how often changes are told while there are any, to
-	// pushPeers random partners. Seven such rounds reach 360 instances.
-	pushEvery = 100 * time.Millisecond
-	pushPeers = 2
-	// bytesPerSecond and burstBytes bound the changes told; what exceeds them
-	// goes with the regular calls, callBytes at most.
+	// heartbeatInterval is the time between calls to one peer when nothing
+	// changes. A call is a heartbeat and compares the root checksums. As each
+	// member is called once a second on average, the failure of one is detected
+	// within about a second.
+	heartbeatInterval = time.Second
+	// pushInterval is the time between pushes of pending changes to pushFanout
+	// random partners. Seven such rounds reach 360 instances.
+	pushInterval = 100 * time.Millisecond
+	pushFanout   = 2
+	// bytesPerSecond and burstBytes limit the changes sent by a token bucket.
+	// When it is empty there are no pushes, and a heartbeat still carries up to
+	// maxCallBytes of changes.
 	bytesPerSecond = 1500
 	burstBytes     = 64 << 10
-	callBytes      = 1000
-	pushBytes      = 4000
-	// compareEvery bounds full compares, which cost about 2 KB each, when the
-	// roots stay different because changes are on their way all the time.
-	compareEvery = 10 * time.Second
-	// followUps bounds the calls that one exchange leads to.
-	followUps = 4
-	// pageBytes is the size of one page of a starting instance's pull.
-	pageBytes = 512 << 10
-	// checkPeers are asked to try a member that did not answer: the way from
-	// here may be broken, not the member.
-	checkPeers = 3
-	// checkEnds is when a question to peers counts as answered by nobody. A call
-	// that was not made, since too many were open, never brings an answer, and
-	// a question that stayed open would keep the member from being suspected
-	// for ever.
-	checkEnds = 3 * time.Second
-	// expireEvery is how often items past their TTL are looked for.
-	expireEvery = time.Second
-	// stallBound is a pause of this instance after which failures of its
-	// calls say nothing of the peers.
-	stallBound = time.Second
+	maxCallBytes   = 1000
+	maxPushBytes   = 4000
+	// compareInterval is the minimum time between full compares, which cost
+	// about 2 KB each. While changes are always propagating, the root checksums
+	// of two instances rarely agree.
+	compareInterval = 10 * time.Second
+	// maxFollowUps limits the further calls that one exchange leads to.
+	maxFollowUps = 4
+	// pullPageBytes is the approximate size of one page that a starting instance
+	// pulls.
+	pullPageBytes = 512 << 10
+	// checkFanout is how many peers are asked to call a member that did not
+	// answer (an indirect probe): the network path from here may have failed,
+	// not the member.
+	checkFanout = 3
+	// checkDeadline is the time after which the missing results of a check count
+	// as negative. A call that was skipped because too many were in flight never
+	// returns a result, and a check that stayed pending would keep the member
+	// from ever being suspected.
+	checkDeadline = 3 * time.Second
+	// expireInterval is the time between removals of expired items.
+	expireInterval = time.Second
+	// stallThreshold is the pause between two ticks from which on this instance
+	// is taken to have stalled: failures of calls made before are not evidence
+	// against the peers.
+	stallThreshold = time.Second
 )
 
 var (
@@ -57,38 +63,41 @@
 	ownStalls    = metrics.GetOrCreateCounter("sardinedock_fleet_own_stalls_total")
 )
 
-// purpose is what a call to a peer is for.
+// purpose is the reason for a call to a peer.
 type purpose int
 
 const (
-	purposeCall purpose = iota
+	purposeHeartbeat purpose = iota
 	purposePush
 	purposeCheck
 	purposePull
 )
 
-// outgoing is a call that the core wants made.
+// outgoing is a call that the core requests its Node to make.
 type outgoing struct {
 	peer    member.Peer
 	request *fleetpb.ExchangeRequest
 	purpose purpose
-	// suspect is the member that a check is about.
+	// suspect is the name of the member that a check is about.
 	suspect string
+	// rounds counts the calls of this exchange before this one.
 	rounds  int
 	started time.Time
-	// told is what the request tells of changes.
-	told exchange.Bundle
+	// bundle holds the changes that the request carries.
+	bundle exchange.Bundle
 }
 
-// core is the exchange and the membership of one instance, apart from sockets,
-// goroutines and clocks. It takes messages and the time, and returns messages.
+// core is the state machine of the exchange and the membership of one instance,
+// without I/O, goroutines and clocks: it is given messages and the time, and
+// returns the messages to send. It is not safe for concurrent use.
 type core struct {
-	fleet    string
-	store    *exchange.Store
-	table    *member.Table
-	complete func() bool
-	// changed is told of the items that were new here.
-	changed func([]exchange.Item)
+	fleet string
+	store *exchange.Store
+	table *member.Table
+	// recordsComplete reports whether this instance has all records.
+	recordsComplete func() bool
+	// onChange is called with the items that were newer than the stored ones.
+	onChange func([]exchange.Item)
 
 	budget      float64
 	lastTick    time.Time
@@ -97,48 +106,49 @@
 	lastCompare time.Time
 	lastExpire  time.Time
 	stalledAt   time.Time
-	checks      map[string]*check
+	checks      map[string]*pendingCheck
 	jitter      *rand.Rand
 	nextCall    time.Duration
 }
 
-// check is an open question to peers about a member.
-type check struct {
-	open    int
+// pendingCheck is an indirect probe of a member through peers.
+type pendingCheck struct {
+	pending int // calls without a result
 	reached bool
 	since   time.Time
 }
 
 func newCore(cfg Config, random *rand.Rand, now time.Time) *core {
 	c := &core{
-		fleet:    cfg.Fleet,
-		store:    exchange.NewStore(),
-		table:    member.New(cfg.Self, cfg.Seeds, cfg.Bounds, random),
-		complete: cfg.Complete,
-		changed:  cfg.Changed,
-		budget:   burstBytes,
-		lastTick: now,
-		checks:   map[string]*check{},
-		jitter:   random,
+		fleet:           cfg.Fleet,
+		store:           exchange.NewStore(),
+		table:           member.New(cfg.Self, cfg.Seeds, cfg.Bounds, random),
+		recordsComplete: cfg.Complete,
+		onChange:        cfg.Changed,
+		budget:          burstBytes,
+		lastTick:        now,
+		checks:          map[string]*pendingCheck{},
+		jitter:          random,
 	}
 	c.store.SetMinor(member.Minor)
 	c.put(now, c.table.SelfItem())
 	return c
 }
 
-// put publishes this instance's own items.
+// put publishes items of this instance.
 func (c *core) put(now time.Time, items ...exchange.Item) {
-	var news []exchange.Item
+	var changed []exchange.Item
 	for _, it := range items {
 		if c.store.Put(it, "", now) {
-			news = append(news, it)
+			changed = append(changed, it)
 		}
 	}
-	c.learn(news, now)
+	c.apply(changed, now)
 }
 
-// learn acts on items that were new here.
-func (c *core) learn(items []exchange.Item, now time.Time) {
+// apply updates the membership from items that the store accepted and passes
+// them on to onChange.
+func (c *core) apply(items []exchange.Item, now time.Time) {
 	if len(items) == 0 {
 		return
 	}
@@ -147,36 +157,38 @@
 			c.put(now, c.table.Apply(it, now)...)
 		}
 	}
-	c.changed(items)
+	c.onChange(items)
 }
 
-// tick returns the calls that are due. It is called about every pushEvery.
+// tick does the periodic work and returns the calls that are due. It is called
+// about every pushInterval.
 func (c *core) tick(now time.Time) []outgoing {
-	if now.Sub(c.lastTick) > stallBound {
+	if now.Sub(c.lastTick) > stallThreshold {
 		ownStalls.Inc()
 		c.stalledAt = now
 	}
 	c.budget = min(burstBytes, c.budget+bytesPerSecond*now.Sub(c.lastTick).Seconds())
 	c.lastTick = now
 	c.put(now, c.table.Tick(now)...)
-	c.endChecks(now)
-	if now.Sub(c.lastExpire) >= expireEvery {
+	c.expireChecks(now)
+	if now.Sub(c.lastExpire) >= expireInterval {
 		c.lastExpire = now
 		c.expire(now)
 	}
 	var out []outgoing
 	if now.Sub(c.lastCall) >= c.nextCall {
 		c.lastCall = now
-		// A jitter of a tenth keeps instances that started together from
-		// calling in step.
-		c.nextCall = callEvery*9/10 + time.Duration(c.jitter.Int64N(int64(callEvery/5)))
+		// A jitter of 10 % keeps instances that started together from calling
+		// at the same moments.
+		c.nextCall = heartbeatInterval*9/10 + time.Duration(c.jitter.Int64N(int64(heartbeatInterval/5)))
 		if peer, ok := c.table.NextPeer(); ok {
-			out = append(out, c.call(peer, purposeCall, callBytes, now))
+			out = append(out, c.newCall(peer, purposeHeartbeat, maxCallBytes, now))
 		}
 	}
 	return append(out, c.pushes(now)...)
 }
 
+// expire removes expired items, and the members whose items expired.
 func (c *core) expire(now time.Time) {
 	c.store.Expire(now)
 	for _, name := range c.table.Names() {
@@ -186,27 +198,29 @@
 	}
 }
 
-// pushes tells changes to a few random partners.
+// pushes returns calls that send pending changes to a few random partners, if a
+// push is due.
 func (c *core) pushes(now time.Time) []outgoing {
-	if c.budget <= 0 || now.Sub(c.lastPush) < pushEvery || !c.store.HasHot(c.size()) {
+	if c.budget <= 0 || now.Sub(c.lastPush) < pushInterval || !c.store.HasHot(c.fleetSize()) {
 		return nil
 	}
 	c.lastPush = now
 	var out []outgoing
-	for _, peer := range c.table.Partners(pushPeers, "") {
-		out = append(out, c.call(peer, purposePush, pushBytes, now))
+	for _, peer := range c.table.Partners(pushFanout, "") {
+		out = append(out, c.newCall(peer, purposePush, maxPushBytes, now))
 	}
 	return out
 }
 
-func (c *core) size() int { return c.table.Len() + 1 }
+func (c *core) fleetSize() int { return c.table.Len() + 1 }
 
-// call builds the message of one exchange.
-func (c *core) call(peer member.Peer, p purpose, maxBytes int, now time.Time) outgoing {
+// newCall builds the first call of an exchange, with up to maxBytes of pending
+// changes.
+func (c *core) newCall(peer member.Peer, p purpose, maxBytes int, now time.Time) outgoing {
 	var b exchange.Bundle
-	c.store.Next(&b, peer.Name, c.size(), maxBytes, now)
-	c.tellVerdict(&b, peer.Name, 0)
-	return outgoing{peer: peer, purpose: p, request: c.request(&b), started: now, told: b}
+	c.store.Next(&b, peer.Name, c.fleetSize(), maxBytes, now)
+	c.addPeerStatus(&b, peer.Name, 0)
+	return outgoing{peer: peer, purpose: p, request: c.request(&b), started: now, bundle: b}
 }
 
 func (c *core) request(b *exchange.Bundle) *fleetpb.ExchangeRequest {
@@ -221,9 +235,10 @@
 	return &fleetpb.Caller{Fleet: c.fleet, Instance: self.Name, Incarnation: self.Incarnation}
 }
 
-// tellVerdict adds what is held of the peer itself where that is not what the
-// peer says, so that it can refute it. An incarnation of 0 is not known.
-func (c *core) tellVerdict(b *exchange.Bundle, name string, incarnation uint64) {
+// addPeerStatus adds the peer's own member item to the bundle if it calls the peer
+// suspected or dead, or has a higher incarnation than the peer, so that the peer
+// can refute it. incarnation is 0 if the peer's is not known.
+func (c *core) addPeerStatus(b *exchange.Bundle, name string, incarnation uint64) {
 	m, ok := c.table.Find(name)
 	if !ok {
 		return
@@ -234,47 +249,47 @@
 	}
 }
 
-// serve answers a peer's call.
+// serve handles a peer's call and returns the reply.
 func (c *core) serve(in *fleetpb.ExchangeRequest, now time.Time) *fleetpb.ExchangeReply {
 	name := in.GetCaller().GetInstance()
 	known := c.store.Stale(in.GetItems(), in.GetSummaries())
-	c.learn(c.store.Take(in.GetItems(), name, now), now)
+	c.apply(c.store.Take(in.GetItems(), name, now), now)
 	if in.GetRoot() == c.store.Root() {
-		c.store.Agreed(c.size())
+		c.store.Agreed(c.fleetSize())
 	}
 	var b exchange.Bundle
 	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
 	c.store.Correct(&b, in.GetItems(), now)
 	if c.budget > 0 {
-		c.store.Next(&b, name, c.size(), callBytes, now)
+		c.store.Next(&b, name, c.fleetSize(), maxCallBytes, now)
 	}
-	c.tellVerdict(&b, name, in.GetCaller().GetIncarnation())
+	c.addPeerStatus(&b, name, in.GetCaller().GetIncarnation())
 	c.budget -= float64(b.Bytes())
 	reply := &fleetpb.ExchangeReply{
 		Caller: c.caller(), Items: b.Items, Summaries: b.Summaries, Want: b.Want,
-		Root: c.store.Root(), Complete: c.complete(), Known: known,
+		Root: c.store.Root(), Complete: c.recordsComplete(), Known: known,
 	}
 	if len(in.GetBucketSums()) > 0 {
 		differing, covered := c.store.Differing(in.GetBucketSums(), c.jitter.IntN(exchange.Buckets))
 		reply.Summaries, reply.Buckets = append(reply.Summaries, differing...), covered
 	}
 	if in.GetPullFrom() > 0 {
-		reply.Items, reply.PullNext = c.store.Page(in.GetPullFrom(), pageBytes, now)
+		reply.Items, reply.PullNext = c.store.Page(in.GetPullFrom(), pullPageBytes, now)
 	}
 	return reply
 }
 
-// replied takes the reply to a call and returns the calls that follow.
-func (c *core) replied(o outgoing, in *fleetpb.ExchangeReply, now time.Time) []outgoing {
-	c.takeReply(o, in, now)
+// handleReply processes the reply to a call and returns the calls that follow.
+func (c *core) handleReply(o outgoing, in *fleetpb.ExchangeReply, now time.Time) []outgoing {
+	c.mergeReply(o, in, now)
 	if o.purpose == purposeCheck {
-		return c.checked(o.suspect, len(in.GetReached()) > 0, now)
+		return c.recordCheck(o.suspect, len(in.GetReached()) > 0, now)
 	}
 	var out []outgoing
 	if o.peer.Name != "" && in.GetCaller().GetInstance() != o.peer.Name {
-		// The address has gone to another instance, so the one that had it is
-		// no more.
-		out = c.ask(o.peer, now)
+		// Another instance has the address now, so the expected one has
+		// probably ended.
+		out = c.startCheck(o.peer, now)
 	}
 	if o.purpose == purposePull {
 		return out
@@ -282,36 +297,37 @@
 	return append(out, c.followUp(o, in, now)...)
 }
 
-// takeReply merges what a reply told.
-func (c *core) takeReply(o outgoing, in *fleetpb.ExchangeReply, now time.Time) {
+// mergeReply merges the items of a reply into the store.
+func (c *core) mergeReply(o outgoing, in *fleetpb.ExchangeReply, now time.Time) {
 	name := in.GetCaller().GetInstance()
-	o.told.Known(in.GetKnown())
+	o.bundle.Known(in.GetKnown())
 	if o.purpose == purposePull {
-		c.learn(c.store.Adopt(in.GetItems(), name, now), now)
+		c.apply(c.store.Adopt(in.GetItems(), name, now), now)
 	} else {
-		c.learn(c.store.Take(in.GetItems(), name, now), now)
+		c.apply(c.store.Take(in.GetItems(), name, now), now)
 	}
 	if in.GetRoot() == c.store.Root() {
-		c.store.Agreed(c.size())
+		c.store.Agreed(c.fleetSize())
 	}
 }
 
-// followUp sends what the peer asked for or lacks, asks for what this instance
-// lacks, and begins a compare where one is due.
+// followUp returns the next call of an exchange, if one is needed: it sends what
+// the peer requested or lacks, requests what this instance lacks, and begins a
+// full compare if one is due.
 func (c *core) followUp(o outgoing, in *fleetpb.ExchangeReply, now time.Time) []outgoing {
 	var b exchange.Bundle
 	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
 	c.store.Missing(&b, in.GetBuckets(), in.GetSummaries(), now)
 	c.store.Correct(&b, in.GetItems(), now)
 	differ := in.GetRoot() != c.store.Root()
-	compare := differ && now.Sub(c.lastCompare) >= compareEvery && len(in.GetBuckets()) == 0
-	if differ && o.purpose == purposeCall && o.rounds == 0 {
+	compare := differ && now.Sub(c.lastCompare) >= compareInterval && len(in.GetBuckets()) == 0
+	if differ && o.purpose == purposeHeartbeat && o.rounds == 0 {
 		c.store.Recent(&b)
 	}
 	if b.Empty() && !compare {
 		return nil
 	}
-	if o.rounds >= followUps {
+	if o.rounds >= maxFollowUps {
 		followUpsCut.Inc()
 		return nil
 	}
@@ -325,37 +341,40 @@
 	return []outgoing{next}
 }
 
-// pull is the first call of a starting instance: it asks a peer for all state.
+// pull builds a call by which a starting instance requests a page of the peer's
+// full state, beginning with bucket from.
 func (c *core) pull(peer member.Peer, from uint32, now time.Time) outgoing {
-	o := c.call(peer, purposePull, callBytes, now)
+	o := c.newCall(peer, purposePull, maxCallBytes, now)
 	o.request.PullFrom = from
 	return o
 }
 
-// failed takes the failure of a call.
-func (c *core) failed(o outgoing, now time.Time) []outgoing {
+// handleFailure processes the failure of a call and returns the calls that follow.
+// Calls started before this instance last stalled are ignored.
+func (c *core) handleFailure(o outgoing, now time.Time) []outgoing {
 	if !o.started.After(c.stalledAt) {
 		return nil
 	}
 	if o.purpose == purposeCheck {
-		return c.checked(o.suspect, false, now)
+		return c.recordCheck(o.suspect, false, now)
 	}
 	if o.peer.Name == "" {
 		return nil
 	}
-	return c.ask(o.peer, now)
+	return c.startCheck(o.peer, now)
 }
 
-// ask has a member that did not answer checked by others.
-func (c *core) ask(peer member.Peer, now time.Time) []outgoing {
+// startCheck returns calls that ask other peers to check a member that did not
+// answer. Without other peers the member is suspected at once.
+func (c *core) startCheck(peer member.Peer, now time.Time) []outgoing {
 	m, ok := c.table.Find(peer.Name)
-	undecided := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_ALIVE || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEAVING
-	if !ok || !undecided || c.checks[peer.Name] != nil {
+	checkable := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_ALIVE || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEAVING
+	if !ok || !checkable || c.checks[peer.Name] != nil {
 		return nil
 	}
 	var out []outgoing
-	for _, helper := range c.table.Partners(checkPeers, peer.Name) {
-		o := c.call(helper, purposeCheck, callBytes, now)
+	for _, helper := range c.table.Partners(checkFanout, peer.Name) {
+		o := c.newCall(helper, purposeCheck, maxCallBytes, now)
 		o.suspect, o.request.Check = peer.Name, []*fleetpb.Target{{Instance: peer.Name, Address: peer.Address}}
 		out = append(out, o)
 	}
@@ -363,41 +382,41 @@
 		c.put(now, c.table.Suspect(peer.Name)...)
 		return nil
 	}
-	c.checks[peer.Name] = &check{open: len(out), since: now}
+	c.checks[peer.Name] = &pendingCheck{pending: len(out), since: now}
 	return out
 }
 
-// checked counts one answer about a member. Only when nobody reached it is it
-// suspected.
-func (c *core) checked(name string, reached bool, now time.Time) []outgoing {
-	q := c.checks[name]
-	if q == nil {
+// recordCheck records one result of a check. The member is suspected only if none
+// of the peers reached it.
+func (c *core) recordCheck(name string, reached bool, now time.Time) []outgoing {
+	check := c.checks[name]
+	if check == nil {
 		return nil
 	}
-	q.open--
-	q.reached = q.reached || reached
-	if q.open > 0 {
+	check.pending--
+	check.reached = check.reached || reached
+	if check.pending > 0 {
 		return nil
 	}
 	delete(c.checks, name)
-	if !q.reached {
+	if !check.reached {
 		c.put(now, c.table.Suspect(name)...)
 	}
 	return nil
 }
 
-// endChecks decides questions whose answers are overdue.
-func (c *core) endChecks(now time.Time) {
+// expireChecks concludes the checks that have been pending for checkDeadline.
+func (c *core) expireChecks(now time.Time) {
 	var overdue []string
-	for name, q := range c.checks {
-		if now.Sub(q.since) >= checkEnds {
+	for name, check := range c.checks {
+		if now.Sub(check.since) >= checkDeadline {
 			overdue = append(overdue, name)
 		}
 	}
 	slices.Sort(overdue)
 	for _, name := range overdue {
-		c.checks[name].open = 1
-		c.checked(name, false, now)
+		c.checks[name].pending = 1
+		c.recordCheck(name, false, now)
 	}
 }
 
--- a/fleet/core_bench_test.go
+++ b/fleet/core_bench_test.go
@@ -10,14 +10,14 @@
 	"github.com/sardinedock/sardinedock/fleet/member"
 )
 
-// messageOverhead is what a call costs on a connection beside the two messages:
-// the name of the method and the frames.
+// messageOverhead is the size of a call on a connection without the two messages:
+// the method's name and the framing.
 const messageOverhead = 67
 
-// BenchmarkVirtual measures the exchange in virtual time at sizes up to the
-// target: bytes that an instance sends and gets at rest, those that a change
-// adds, and how long a change takes to reach all. A message takes no time on
-// its way.
+// BenchmarkVirtual measures the exchange in virtual time, in fleets of up to the
+// target size: the bytes that an instance sends and receives without changes, those
+// that a change adds, and how long a change takes to reach all instances. Messages
+// have no latency.
 func BenchmarkVirtual(b *testing.B) {
 	for _, n := range []int{8, 64, 360} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) { benchmarkVirtual(b, n) })
@@ -28,9 +28,9 @@
 	const restSeconds, between = 60, 10
 	g := newGroup(b, n)
 	g.run(90 * time.Second)
-	for i := 0; !g.agree(); i++ {
+	for i := 0; !g.converged(); i++ {
 		if i > 300 {
-			b.Fatal("the members do not agree")
+			b.Fatal("the members do not converge")
 		}
 		g.run(time.Second)
 	}
@@ -46,8 +46,8 @@
 		it.Value = make([]byte, 400)
 		begin, before := g.now, g.bytes
 		g.cores[int(version)%n].put(g.now, it)
-		for !g.hold(version) {
-			g.run(pushEvery)
+		for !g.allHave(version) {
+			g.run(pushInterval)
 		}
 		took := g.now.Sub(begin)
 		slowest, sum = max(slowest, took), sum+took
@@ -55,15 +55,15 @@
 		added += float64(g.bytes-before)/float64(n) - rest*between
 	}
 	b.ReportMetric(rest, "restB/s")
-	b.ReportMetric(g.telling(n), "tellingB/s")
+	b.ReportMetric(g.recordsVersionTraffic(n), "tellingB/s")
 	b.ReportMetric(added/float64(version), "B/change")
 	b.ReportMetric(float64(sum.Milliseconds())/float64(version), "ms/change")
 	b.ReportMetric(float64(slowest.Milliseconds()), "ms-slowest")
 }
 
-// telling is what each instance sends while one instance in two seconds tells
-// which records are in force there.
-func (g *group) telling(n int) float64 {
+// recordsVersionTraffic returns the bytes per second that each instance sends while
+// every two seconds one instance publishes a new version of its records in force.
+func (g *group) recordsVersionTraffic(n int) float64 {
 	const rounds = 60
 	g.bytes = 0
 	for i := range rounds {
@@ -74,8 +74,8 @@
 	return float64(g.bytes) / (2 * rounds) / float64(n)
 }
 
-// hold reports whether all cores hold the version of the record.
-func (g *group) hold(version uint64) bool {
+// allHave reports whether all cores have the version of the record.
+func (g *group) allHave(version uint64) bool {
 	for _, c := range g.cores {
 		if it, _ := c.store.Get(record(0).Key); it.Version != version {
 			return false
@@ -84,8 +84,8 @@
 	return true
 }
 
-// agree reports whether all cores hold the same.
-func (g *group) agree() bool {
+// converged reports whether all cores have the same state.
+func (g *group) converged() bool {
 	for _, c := range g.cores {
 		if c.store.Root() != g.cores[0].store.Root() {
 			return false
@@ -94,14 +94,15 @@
 	return true
 }
 
-// count adds one call. Both ends' bytes are counted: each instance sends as
-// much as it gets on average.
+// count adds the bytes of one call in both directions. On average each instance
+// sends as much as it receives.
 func (g *group) count(o outgoing, reply proto.Message) {
 	g.bytes += proto.Size(o.request) + proto.Size(reply) + messageOverhead
 }
 
-// BenchmarkLostDataCentre measures, in virtual time, how long it takes until
-// every other instance knows that a sixth of them is dead, and what that costs.
+// BenchmarkLostDataCentre measures, in virtual time, how long it takes until all
+// other instances have declared a failed sixth of the fleet dead, and the traffic of
+// that.
 func BenchmarkLostDataCentre(b *testing.B) {
 	for _, n := range []int{60, 360} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
@@ -123,7 +124,7 @@
 	}
 }
 
-// allExpelled reports whether every running core has expelled those stopped.
+// allExpelled reports whether no running core counts a stopped one among the owners.
 func (g *group) allExpelled() bool {
 	for i, c := range g.cores {
 		if !g.stopped[i] && len(c.table.View().Owners) != len(g.cores)-len(g.stopped) {
--- a/fleet/core_test.go
+++ b/fleet/core_test.go
@@ -13,35 +13,35 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// group is a few cores in virtual time. A message takes no time; a call that
-// does not get through fails after callBound.
+// group is a fleet of cores in virtual time. Messages have no latency; a call that
+// cannot be delivered fails after callTimeout.
 type group struct {
-	t       fataler
-	now     time.Time
-	cores   []*core
-	seeds   []string
-	cut     func(a, b int) bool // whether two cores cannot talk
-	stopped map[int]bool
-	late    []lateFailure
-	bytes   int  // that were sent between the cores
-	noCheck bool // whether questions about members vanish without a trace
+	t               failer
+	now             time.Time
+	cores           []*core
+	seeds           []string
+	partitioned     func(a, b int) bool // whether two cores cannot reach each other
+	stopped         map[int]bool
+	pendingFailures []pendingFailure
+	bytes           int  // sent between the cores
+	dropChecks      bool // whether checks are dropped without a reply or a failure
 }
 
-type lateFailure struct {
+type pendingFailure struct {
 	at   time.Time
 	from int
 	o    outgoing
 }
 
-// fataler is a test, or one draw of a property.
-type fataler interface {
+// failer is a *testing.T, *testing.B or *rapid.T.
+type failer interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-func newGroup(t fataler, n int) *group {
+func newGroup(t failer, n int) *group {
 	g := &group{t: t, now: time.Unix(1000, 0), stopped: map[int]bool{}, seeds: []string{address(0)}}
-	g.cut = func(int, int) bool { return false }
+	g.partitioned = func(int, int) bool { return false }
 	for range n {
 		g.add(uint64(g.now.UnixNano()))
 	}
@@ -67,11 +67,11 @@
 	}, rand.New(rand.NewPCG(1, uint64(i))), g.now)
 }
 
-// run lets the given time pass.
+// run advances the virtual time by d.
 func (g *group) run(d time.Duration) {
 	for end := g.now.Add(d); g.now.Before(end); {
-		g.now = g.now.Add(pushEvery)
-		g.failLate()
+		g.now = g.now.Add(pushInterval)
+		g.deliverFailures()
 		for i, c := range g.cores {
 			if !g.stopped[i] {
 				g.deliver(i, c.tick(g.now))
@@ -84,38 +84,38 @@
 	for len(list) > 0 {
 		o := list[0]
 		list = list[1:]
-		if g.noCheck && o.purpose == purposeCheck {
+		if g.dropChecks && o.purpose == purposeCheck {
 			continue
 		}
-		to := g.at(o.peer.Address)
-		if !g.reaches(from, to) {
-			g.late = append(g.late, lateFailure{g.now.Add(callBound), from, o})
+		to := g.indexOf(o.peer.Address)
+		if !g.connected(from, to) {
+			g.pendingFailures = append(g.pendingFailures, pendingFailure{g.now.Add(callTimeout), from, o})
 			continue
 		}
 		reply := g.cores[to].serve(o.request, g.now)
 		for _, target := range o.request.GetCheck() {
-			if g.reaches(to, g.at(target.GetAddress())) {
+			if g.connected(to, g.indexOf(target.GetAddress())) {
 				reply.Reached = append(reply.Reached, target.GetInstance())
 			}
 		}
 		g.count(o, reply)
-		list = append(list, g.cores[from].replied(o, reply, g.now)...)
+		list = append(list, g.cores[from].handleReply(o, reply, g.now)...)
 	}
 }
 
-func (g *group) failLate() {
-	due := g.late
-	g.late = nil
+func (g *group) deliverFailures() {
+	due := g.pendingFailures
+	g.pendingFailures = nil
 	for _, f := range due {
 		if g.now.Before(f.at) {
-			g.late = append(g.late, f)
+			g.pendingFailures = append(g.pendingFailures, f)
 		} else if !g.stopped[f.from] {
-			g.deliver(f.from, g.cores[f.from].failed(f.o, g.now))
+			g.deliver(f.from, g.cores[f.from].handleFailure(f.o, g.now))
 		}
 	}
 }
 
-func (g *group) at(addr string) int {
+func (g *group) indexOf(addr string) int {
 	for i := range g.cores {
 		if address(i) == addr {
 			return i
@@ -124,11 +124,12 @@
 	return -1
 }
 
-func (g *group) reaches(a, b int) bool {
-	return b >= 0 && !g.stopped[a] && !g.stopped[b] && !g.cut(a, b)
+func (g *group) connected(a, b int) bool {
+	return b >= 0 && !g.stopped[a] && !g.stopped[b] && !g.partitioned(a, b)
 }
 
-// wantStatus checks what all running cores but the member itself hold of it.
+// wantStatus checks that all running cores except the member itself have the
+// status for it.
 func (g *group) wantStatus(of int, want fleetpb.MemberStatus) {
 	g.t.Helper()
 	for i, c := range g.cores {
@@ -136,7 +137,7 @@
 			continue
 		}
 		if m, ok := c.table.Find(name(of)); !ok || m.Status != want {
-			g.t.Fatalf("%s holds %v of %s, want %v", name(i), m.Status, name(of), want)
+			g.t.Fatalf("%s has status %v for %s, want %v", name(i), m.Status, name(of), want)
 		}
 	}
 }
@@ -159,7 +160,7 @@
 	g.t.Helper()
 	for i, c := range g.cores {
 		if it, _ := c.store.Get(record(0).Key); it.Version != version {
-			g.t.Fatalf("%s holds version %d, want %d", name(i), it.Version, version)
+			g.t.Fatalf("%s has version %d, want %d", name(i), it.Version, version)
 		}
 	}
 }
@@ -175,10 +176,10 @@
 	}
 }
 
-// Many changes of a large record follow each other. Now and then an instance is
-// left out by chance, and callers there would be served by the old record until
-// the next full compare.
-func TestChangeLeavesNobodyOut(t *testing.T) {
+// Many changes of a large record follow each other. The random choice of peers now
+// and then leaves an instance out, which would serve callers by the old record
+// until the next full compare.
+func TestEveryChangeReachesAll(t *testing.T) {
 	g := newGroup(t, 8)
 	g.run(20 * time.Second)
 	for v := uint64(1); v <= 60; v++ {
@@ -190,10 +191,10 @@
 	}
 }
 
-// Each of many instances tells again and again which records are in force
-// there. If that was told like a change of records, it would use up the bytes
-// that an instance may send.
-func TestRecordsInForceAreToldInPassing(t *testing.T) {
+// Each of many instances often publishes the version of its records in force. If
+// that were pushed like a change of a record, it would use up the limit on the
+// bytes that an instance may send.
+func TestRecordsVersionIsNotPushed(t *testing.T) {
 	g := newGroup(t, 32)
 	g.run(30 * time.Second)
 	c := g.cores[3]
@@ -204,13 +205,13 @@
 	g.run(20 * time.Second)
 	for i, other := range g.cores {
 		if m, _ := other.table.Find(name(3)); i != 3 && m.RecordsVersion != 7 {
-			t.Fatalf("%s has not heard of it", name(i))
+			t.Fatalf("%s has not received the records version", name(i))
 		}
 	}
 }
 
-// An instance dies without a word, as most of them do. Its endpoints would
-// have no owner until the others have agreed that it is gone.
+// An instance fails without announcing it, as most do. Its endpoints would be
+// without a working owner until the others have declared it dead.
 func TestDeadInstanceIsExpelled(t *testing.T) {
 	g := newGroup(t, 16)
 	g.run(20 * time.Second)
@@ -224,9 +225,9 @@
 	}
 }
 
-// A data centre is lost, soon after all instances were started. Each of its
-// instances has to be noticed, also one that happens to be nobody's random
-// partner, or its endpoints would keep an owner that never answers.
+// A data centre fails soon after all instances were started. The failure of each
+// instance has to be detected, even if it is no other instance's random partner, or
+// its endpoints would keep an owner that never answers.
 func TestLostDataCentreIsExpelled(t *testing.T) {
 	const n = 60
 	g := newGroup(t, n)
@@ -240,21 +241,21 @@
 	}
 }
 
-// A rack dies, and the questions about its instances are never sent, as too many
-// calls are open. A question that stays open for ever would keep the dead
-// instances among the owners.
-func TestUnansweredCheckEnds(t *testing.T) {
+// A rack fails, and the checks of its instances are never sent, as too many calls
+// are in flight. A check that stays pending for ever would keep the dead instances
+// among the owners.
+func TestUnansweredCheckExpires(t *testing.T) {
 	g := newGroup(t, 16)
 	g.run(20 * time.Second)
-	g.noCheck = true
+	g.dropChecks = true
 	g.stopped[5] = true
 	g.run(25 * time.Second)
 	g.wantStatus(5, fleetpb.MemberStatus_MEMBER_STATUS_DEAD)
 }
 
-// The machine under an instance is paused for a few seconds. Expelling it at
-// once would move its endpoints twice, and callers would pay with what the
-// owners knew of the caches.
+// The machine of an instance is paused for a few seconds. Declaring the instance
+// dead at once would move its endpoints twice, and callers would suffer the loss of
+// what the owners knew of the endpoints' caches.
 func TestPausedInstanceRefutesSuspicion(t *testing.T) {
 	g := newGroup(t, 16)
 	g.run(20 * time.Second)
@@ -266,42 +267,42 @@
 	g.wantAllAlive()
 }
 
-// The way between two instances is broken while both are well. Without checks
-// by others each of them would be expelled by the other.
-func TestBrokenWayBetweenTwoIsNoSuspicion(t *testing.T) {
+// The network path between two instances fails while both are healthy. Without
+// checks by other instances each would declare the other dead.
+func TestPathFailureCausesNoSuspicion(t *testing.T) {
 	g := newGroup(t, 8)
 	g.run(20 * time.Second)
-	g.cut = func(a, b int) bool { return a+b == 3 && (a == 1 || a == 2) }
+	g.partitioned = func(a, b int) bool { return a+b == 3 && (a == 1 || a == 2) }
 	for range 60 {
 		g.run(time.Second)
 		g.wantAllAlive()
 	}
 }
 
-// Two regions lose each other for ten minutes while operators change a record
-// through one of them. Afterwards callers must be served by the same record
-// everywhere, and nobody may have to restart anything.
+// Two regions are partitioned for ten minutes while operators change a record
+// through one of them. Afterwards all instances must serve callers by the same
+// record, without any restart.
 func TestPartitionHeals(t *testing.T) {
 	g := newGroup(t, 16)
 	g.run(20 * time.Second)
 	g.cores[0].put(g.now, record(3))
 	g.run(5 * time.Second)
-	g.cut = func(a, b int) bool { return a%2 != b%2 }
+	g.partitioned = func(a, b int) bool { return a%2 != b%2 }
 	g.run(10 * time.Minute)
 	g.cores[1].put(g.now, record(4))
 	g.run(5 * time.Second)
 	if owners := g.cores[0].table.View().Owners; len(owners) != 8 {
-		t.Fatalf("%d owners in the half", len(owners))
+		t.Fatalf("%d owners on one side of the partition, want 8", len(owners))
 	}
-	g.cut = func(int, int) bool { return false }
+	g.partitioned = func(int, int) bool { return false }
 	g.run(30 * time.Second)
 	g.wantAllAlive()
 	g.wantRecord(4)
 }
 
-// An instance restarts on a machine whose clock is hours behind. Its peers
-// remember a higher incarnation of it and would take the dead one's state for
-// newer than the living one's.
+// An instance restarts on a machine whose clock is hours behind. Its peers remember
+// a higher incarnation and would take the state of the dead process for newer than
+// that of the running one.
 func TestClockBehindAfterRestart(t *testing.T) {
 	g := newGroup(t, 8)
 	g.run(20 * time.Second)
@@ -324,11 +325,11 @@
 	g.wantStatus(5, fleetpb.MemberStatus_MEMBER_STATUS_LEFT)
 }
 
-// Instances are cut off from each other, stopped and restarted, some with a
-// clock that went back, while operators change a record, in any order. No
-// instance may go back to an older version, and once the ways are whole again
-// all must agree on who is alive and on the newest record.
-func TestAnyFaultsHeal(t *testing.T) {
+// Instances are partitioned, stopped and restarted, some with a clock that was set
+// back, while operators change a record, in any order. No instance may revert to an
+// older version, and once the network is healed all must agree on who is alive and
+// on the newest record.
+func TestFaultsInAnyOrderHeal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 6
 		g := newGroup(t, n)
@@ -349,9 +350,9 @@
 			switch rapid.SampledFrom([]string{"cut", "heal", "stop", "restart", "change"}).Draw(t, "step") {
 			case "cut":
 				side := rapid.IntRange(1, 1<<n-2).Draw(t, "side")
-				g.cut = func(a, b int) bool { return side>>a&1 != side>>b&1 }
+				g.partitioned = func(a, b int) bool { return side>>a&1 != side>>b&1 }
 			case "heal":
-				g.cut = func(int, int) bool { return false }
+				g.partitioned = func(int, int) bool { return false }
 			case "stop":
 				g.stopped[i] = true
 			case "restart":
@@ -366,7 +367,7 @@
 			g.run(time.Duration(rapid.IntRange(0, 15).Draw(t, "wait, s")) * time.Second)
 			check()
 		}
-		g.cut = func(int, int) bool { return false }
+		g.partitioned = func(int, int) bool { return false }
 		for i := range n {
 			g.stopped[i] = false
 		}
@@ -382,7 +383,7 @@
 		}
 		for i, c := range g.cores {
 			if c.store.Root() != g.cores[0].store.Root() {
-				t.Fatalf("%s holds other state", name(i))
+				t.Fatalf("%s has a different state from the first instance", name(i))
 			}
 		}
 	})
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -1,7 +1,7 @@
-// Package fleet makes instances know each other and share soft state: who is
-// alive, records, states of endpoints, fingerprints of requests that crash
-// endpoints, and use by organisation. Losing any of it costs speed, never
-// correctness.
+// Package fleet runs the membership of the fleet's instances and replicates soft
+// state between them by gossip: member status, records, states of endpoints,
+// fingerprints of requests that crash endpoints, and use by organisation. Losing
+// any of it costs performance, never correctness.
 package fleet
 
 import (
@@ -23,83 +23,89 @@
 )
 
 const (
-	// eventsRing bounds what waits for the duty. A full ring holds publishers
-	// and peers up; the duty does no I/O and empties it in milliseconds.
-	eventsRing = 1024
-	// callBound is how long a peer may take to answer. Regions are tens of
-	// milliseconds apart; the rest is room for a busy machine.
-	callBound = time.Second
-	// checkBound is shorter, as the peer that asked waits for callBound.
-	checkBound = 400 * time.Millisecond
-	// maxChecks bounds what one message may make an instance try.
-	maxChecks = 4
-	// maxCalls bounds the open calls of the exchange.
+	// eventQueueSize limits the events queued for the node's goroutine. A full
+	// queue blocks publishers and the handlers of peers' calls; the goroutine
+	// does no I/O and drains it in milliseconds.
+	eventQueueSize = 1024
+	// callTimeout is the timeout of a call to a peer. The latency between regions
+	// is tens of milliseconds; the rest allows for a busy machine.
+	callTimeout = time.Second
+	// checkTimeout is the timeout of a call made on behalf of a peer, which
+	// itself waits for callTimeout.
+	checkTimeout = 400 * time.Millisecond
+	// maxCheckTargets limits the members that one request may make an instance
+	// check.
+	maxCheckTargets = 4
+	// maxCalls limits the calls in flight.
 	maxCalls = 16
 )
 
 var callsSkipped = metrics.GetOrCreateCounter("sardinedock_fleet_exchanges_skipped_total")
 
-// Config is what a Node needs.
+// Config holds the settings and dependencies of a Node.
 type Config struct {
-	// Fleet is the fleet's name; messages of another one are refused.
+	// Fleet is the fleet's name. Messages from another fleet are refused.
 	Fleet string
 	// Self describes the instance; its incarnation should be the start time.
 	Self member.Member
-	// Seeds are addresses that may be up at start.
+	// Seeds are addresses of instances that may be running at start.
 	Seeds  []string
 	Bounds member.Bounds
 	Client *transport.Client
 	Clock  clock.Clock
-	// Seed makes the random choices of peers differ between instances.
+	// Seed seeds the random choice of peers. It should differ between instances.
 	Seed uint64
-	// Complete tells whether this instance holds all records.
+	// Complete reports whether this instance has all records.
 	Complete func() bool
-	// ViewChanged is told of each new view by the node's goroutine. It must not
-	// block nor call the node; nil tells nobody.
+	// ViewChanged, if not nil, is called with each new view by the node's
+	// goroutine. It must not block or call the node.
 	ViewChanged func(*member.View)
-	// Changed is told of each item that was new here, by the node's goroutine,
-	// in order. It must not block nor call the node.
+	// Changed is called with the items that were newer than the stored ones, in
+	// order, by the node's goroutine. It must not block or call the node.
 	Changed func([]exchange.Item)
 }
 
-// Node is the duty that runs exchange and membership. One goroutine owns its
-// state. The methods may be called by any goroutine; those with a ctx block
-// until it ends at the longest.
+// Node runs the exchange and the membership of one instance. The goroutine of Run
+// owns its state. The methods are safe for concurrent use; those with a ctx block
+// until it is done at the longest.
 type Node struct {
 	cfg    Config
 	events *ring.Ring[event]
 	view   atomic.Pointer[member.View]
-	calls  chan struct{}
-	open   sync.WaitGroup
-	done   chan struct{}
+	// callSlots is a semaphore of the calls in flight.
+	callSlots chan struct{}
+	inFlight  sync.WaitGroup
+	done      chan struct{}
 
 	core *core
 }
 
-// event is applied to the core by the duty's goroutine.
+// event is a function that the node's goroutine applies to the core. It returns
+// the calls to make.
 type event func(c *core, now time.Time) []outgoing
 
-// NewNode returns a node that Run starts.
+// NewNode returns a node. Run starts it.
 func NewNode(cfg Config) *Node {
 	n := &Node{
-		cfg:    cfg,
-		events: ring.New[event]("fleet_events", eventsRing),
-		calls:  make(chan struct{}, maxCalls),
-		done:   make(chan struct{}),
+		cfg:       cfg,
+		events:    ring.New[event]("fleet_events", eventQueueSize),
+		callSlots: make(chan struct{}, maxCalls),
+		done:      make(chan struct{}),
 	}
 	n.core = newCore(cfg, rand.New(rand.NewPCG(cfg.Seed, uint64(len(cfg.Self.Name)))), cfg.Clock.Now())
 	n.view.Store(n.core.table.View())
 	return n
 }
 
-// View returns the members as last seen.
+// View returns the latest view of the members.
 func (n *Node) View() *member.View { return n.view.Load() }
 
-// Run runs the duty until ctx ends.
+// Run processes events and periodic work until ctx is done, and returns when all
+// calls have ended.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.done)
-	defer n.open.Wait()
-	ticker := time.NewTicker(pushEvery)
+	defer n.inFlight.Wait()
+	ticker := time.NewTicker(pushInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -113,6 +119,8 @@
 	}
 }
 
+// step applies an event, makes the calls that it returns and publishes the view if
+// it changed.
 func (n *Node) step(ctx context.Context, e event) {
 	for _, o := range e(n.core, n.cfg.Clock.Now()) {
 		n.send(ctx, o)
@@ -126,31 +134,32 @@
 	}
 }
 
-// send makes a call in a goroutine of its own. With too many open calls, most
-// peers do not answer; more calls would not find it out sooner.
+// send makes a call in its own goroutine. It skips the call if maxCalls are in
+// flight: most peers are unresponsive then, and more calls would not detect it
+// sooner.
 func (n *Node) send(ctx context.Context, o outgoing) {
 	select {
-	case n.calls <- struct{}{}:
+	case n.callSlots <- struct{}{}:
 	default:
 		callsSkipped.Inc()
 		return
 	}
-	n.open.Go(func() {
-		defer func() { <-n.calls }()
-		reply, err := n.cfg.Client.Exchange(ctx, o.peer.Address, callBound, o.request)
+	n.inFlight.Go(func() {
+		defer func() { <-n.callSlots }()
+		reply, err := n.cfg.Client.Exchange(ctx, o.peer.Address, callTimeout, o.request)
 		if ctx.Err() != nil {
 			return
 		}
 		_ = n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
 			if err != nil {
-				return c.failed(o, now)
+				return c.handleFailure(o, now)
 			}
-			return c.replied(o, reply, now)
+			return c.handleReply(o, reply, now)
 		})
 	})
 }
 
-// do runs fn in the duty's goroutine and waits for it.
+// do runs fn in the node's goroutine and waits until it returns.
 func (n *Node) do(ctx context.Context, fn event) error {
 	ready := make(chan struct{})
 	err := n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
@@ -170,7 +179,8 @@
 	}
 }
 
-// Publish puts items of this instance into the exchange.
+// Publish puts items of this instance into the exchange. It does not wait until
+// they are stored.
 func (n *Node) Publish(ctx context.Context, items ...exchange.Item) error {
 	return n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
 		c.put(now, items...)
@@ -178,9 +188,9 @@
 	})
 }
 
-// PublishNext puts a value of this instance into the exchange, one version above
-// the one held, for kinds that several instances write. A value that is held
-// already is not told again before half of its TTL is over.
+// PublishNext puts a value into the exchange with the version after the stored
+// one, for kinds that several instances write. A value equal to the stored one is
+// published again only after half of its TTL, and never without one.
 func (n *Node) PublishNext(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error {
 	return n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
 		old, held := c.store.Get(key)
@@ -192,7 +202,8 @@
 	})
 }
 
-// SetListed replaces the addresses of the platform's lagging list.
+// SetListed replaces the addresses from the platform's list of instances, which
+// may be out of date.
 func (n *Node) SetListed(ctx context.Context, addresses []string) error {
 	return n.events.Put(ctx, func(c *core, _ time.Time) []outgoing {
 		c.table.SetListed(addresses)
@@ -200,8 +211,8 @@
 	})
 }
 
-// Tell tells peers which records are in force here and whether the object API
-// can be reached.
+// Tell publishes the version of the records in force here and whether this
+// instance can reach the object API, if either changed.
 func (n *Node) Tell(ctx context.Context, recordsVersion uint64, storeReachable bool) error {
 	return n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
 		self := c.table.Self()
@@ -215,8 +226,8 @@
 	})
 }
 
-// Leave tells peers that this instance takes no ownership any more. When it
-// returns, View knows of it.
+// Leave publishes that this instance accepts no more ownership of endpoints. When
+// it returns nil, View shows the new status.
 func (n *Node) Leave(ctx context.Context) error {
 	err := n.do(ctx, func(c *core, now time.Time) []outgoing {
 		c.put(now, c.table.Leave())
@@ -225,12 +236,13 @@
 	if err != nil {
 		return err
 	}
-	// The view is stored after the event that changed it.
+	// The view is updated after the event that changed it, so wait for a second
+	// event.
 	return n.do(ctx, func(*core, time.Time) []outgoing { return nil })
 }
 
-// Left tells partners that this instance ends now, and waits for their
-// answers. Peers that miss it find out by themselves.
+// Left pushes to some partners that this instance ends now, and waits for the
+// calls in flight. Peers that miss the message detect the end by themselves.
 func (n *Node) Left(ctx context.Context) error {
 	err := n.do(ctx, func(c *core, now time.Time) []outgoing {
 		c.put(now, c.table.Left())
@@ -239,9 +251,9 @@
 	if err != nil {
 		return err
 	}
-	for range cap(n.calls) {
+	for range cap(n.callSlots) {
 		select {
-		case n.calls <- struct{}{}:
+		case n.callSlots <- struct{}{}:
 		case <-ctx.Done():
 			return context.Cause(ctx)
 		}
@@ -249,9 +261,9 @@
 	return nil
 }
 
-// Exchange serves a peer's call.
+// Exchange handles a peer's call.
 func (n *Node) Exchange(ctx context.Context, in *fleetpb.ExchangeRequest) (*fleetpb.ExchangeReply, error) {
-	reached := n.check(ctx, in.GetCheck())
+	reached := n.checkTargets(ctx, in.GetCheck())
 	var reply *fleetpb.ExchangeReply
 	err := n.do(ctx, func(c *core, now time.Time) []outgoing {
 		reply = c.serve(in, now)
@@ -264,13 +276,14 @@
 	return reply, nil
 }
 
-// check tries instances that a peer could not reach.
-func (n *Node) check(ctx context.Context, targets []*fleetpb.Target) []string {
+// checkTargets calls instances that a peer could not reach, and returns the names
+// of those that answered.
+func (n *Node) checkTargets(ctx context.Context, targets []*fleetpb.Target) []string {
 	var reached []string
-	for _, t := range targets[:min(len(targets), maxChecks)] {
+	for _, t := range targets[:min(len(targets), maxCheckTargets)] {
 		self := n.cfg.Self
 		in := &fleetpb.ExchangeRequest{Caller: &fleetpb.Caller{Fleet: n.cfg.Fleet, Instance: self.Name, Incarnation: self.Incarnation}}
-		reply, err := n.cfg.Client.Exchange(ctx, t.GetAddress(), checkBound, in)
+		reply, err := n.cfg.Client.Exchange(ctx, t.GetAddress(), checkTimeout, in)
 		if err == nil && reply.GetCaller().GetInstance() == t.GetInstance() {
 			reached = append(reached, t.GetInstance())
 		}
--- a/fleet/node_test.go
+++ b/fleet/node_test.go
@@ -16,7 +16,7 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// network joins nodes by pipes in memory.
+// network connects nodes by in-memory pipes.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener
@@ -70,7 +70,7 @@
 	}
 }
 
-// onlyExchange serves a node's exchange and nothing else.
+// onlyExchange serves only the Exchange calls of a node.
 type onlyExchange struct {
 	fleetpb.DRPCFleetUnimplementedServer
 	node *Node
@@ -80,7 +80,7 @@
 	return s.node.Exchange(ctx, in)
 }
 
-// startNode runs a node until ctx ends and counts the records it heard of.
+// startNode runs a node until ctx is done and counts the records that it receives.
 func startNode(ctx context.Context, t *testing.T, w *network, i int, complete bool) (*Node, *recordCount) {
 	t.Helper()
 	client := transport.NewClient(w.dial, nil, &transport.Traffic{})
@@ -129,8 +129,8 @@
 	return r.n
 }
 
-// An instance starts while the object API is down. Without its peers' records
-// it could serve nobody until the outage ends.
+// An instance starts while the object API is down. Without its peers' records it
+// could serve no caller until the outage ends.
 func TestStartingInstancePullsEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -145,19 +145,19 @@
 				t.Fatal(err)
 			}
 		}
-		second, heard := startNode(ctx, t, w, 1, false)
+		second, received := startNode(ctx, t, w, 1, false)
 		begin := time.Now()
-		if !second.Pull(ctx, []string{"nobody", address(0)}) {
-			t.Fatal("the peer's records are not complete")
+		if !second.Pull(ctx, []string{"unreachable", address(0)}) {
+			t.Fatal("no peer with all records returned them")
 		}
 		if took := time.Since(begin); took >= time.Second {
 			t.Fatalf("the pull took %v", took)
 		}
-		if heard.get() != records {
-			t.Fatalf("heard of %d records, want %d", heard.get(), records)
+		if received.get() != records {
+			t.Fatalf("received %d records, want %d", received.get(), records)
 		}
 		if third, _ := startNode(ctx, t, w, 2, false); third.Pull(ctx, []string{address(1)}) {
-			t.Fatal("a peer without all records was taken for one that has them")
+			t.Fatal("the records of an incomplete peer were taken as complete")
 		}
 		cancel()
 		synctest.Wait()
@@ -180,10 +180,10 @@
 		time.Sleep(3 * time.Second)
 		for i, node := range nodes {
 			if owners := node.View().Owners; len(owners) != 4 {
-				t.Fatalf("%s sees the owners %v", name(i), owners)
+				t.Fatalf("%s has owners %v, want 4", name(i), owners)
 			}
 			if d := node.Dump(ctx); d.Kinds["ITEM_KIND_MEMBER"] != 5 {
-				t.Fatalf("%s holds %v", name(i), d.Kinds)
+				t.Fatalf("%s has items %v, want 5 members", name(i), d.Kinds)
 			}
 		}
 		if err := nodes[3].Left(ctx); err != nil {
--- a/fleet/start.go
+++ b/fleet/start.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// pullBound is how long one peer may take for a page of its state.
-	pullBound = 500 * time.Millisecond
-	// pullStagger is how long after one peer the next is tried.
+	// pullTimeout is the timeout for one page of a peer's state.
+	pullTimeout = 500 * time.Millisecond
+	// pullStagger is the delay before the next peer is tried in parallel.
 	pullStagger = 100 * time.Millisecond
-	// pullPages bounds the pages of one pull.
-	pullPages = 64
+	// maxPullPages limits the pages pulled from one peer.
+	maxPullPages = 64
 )
 
-// Pull fetches all state from a peer, so that an instance that starts while the
-// object API is away serves at once. The addresses are tried one after the
-// other, each a little after the one before it: one that is silent must not
-// cost the start its bound. It reports whether a peer that holds all records
-// has handed them over. Run must have been started.
+// Pull fetches the full state from a peer, so that an instance that starts while
+// the object API is unreachable can serve at once. It tries the addresses in order
+// and starts with the next one after pullStagger or a failure, so that an
+// unresponsive peer does not delay the start by a whole timeout. It reports whether
+// a peer that has all records returned them. Run must have been called.
 func (n *Node) Pull(ctx context.Context, addresses []string) bool {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -53,11 +53,12 @@
 	return false
 }
 
-// pullAll fetches all pages from one peer.
+// pullAll fetches all pages from one peer and reports whether the peer has all
+// records.
 func (n *Node) pullAll(ctx context.Context, address string) bool {
 	from := uint32(1)
 	complete := false
-	for range pullPages {
+	for range maxPullPages {
 		var o outgoing
 		err := n.do(ctx, func(c *core, now time.Time) []outgoing {
 			o = c.pull(member.Peer{Address: address}, from, now)
@@ -66,12 +67,12 @@
 		if err != nil {
 			return false
 		}
-		reply, err := n.cfg.Client.Exchange(ctx, address, pullBound, o.request)
+		reply, err := n.cfg.Client.Exchange(ctx, address, pullTimeout, o.request)
 		if err != nil {
 			return false
 		}
 		err = n.do(ctx, func(c *core, now time.Time) []outgoing {
-			c.replied(o, reply, now)
+			c.handleReply(o, reply, now)
 			return nil
 		})
 		if err != nil {
@@ -85,7 +86,7 @@
 	return complete
 }
 
-// Dump is the node's part of the state dump.
+// Dump is the node's part of the state dump for operators.
 type Dump struct {
 	Self    string          `json:"self"`
 	Items   int             `json:"items"`
@@ -94,7 +95,8 @@
 	Budget  int             `json:"budget_bytes"`
 }
 
-// Dump returns the state now; without counts where the duty does not answer.
+// Dump returns the present state. Counts are missing if ctx is done or the node
+// has stopped before its goroutine counted the items.
 func (n *Node) Dump(ctx context.Context) Dump {
 	view := n.View()
 	var counted Dump
@@ -109,6 +111,7 @@
 	return counted
 }
 
+// counts returns the number of items by the name of their kind.
 func (c *core) counts() map[string]int {
 	counts := map[string]int{}
 	for kind, name := range fleetpb.ItemKind_name {
