--- a/fleet/core.go
+++ b/fleet/core.go
@@ -58,9 +58,9 @@
 )
 
 var (
-	followUpsCut = metrics.GetOrCreateCounter("sardinedock_fleet_follow_ups_cut_total")
-	compares     = metrics.GetOrCreateCounter("sardinedock_fleet_compares_total")
-	ownStalls    = metrics.GetOrCreateCounter("sardinedock_fleet_own_stalls_total")
+	followUpsSkipped = metrics.GetOrCreateCounter("sardinedock_fleet_follow_ups_cut_total")
+	compares         = metrics.GetOrCreateCounter("sardinedock_fleet_compares_total")
+	ownStalls        = metrics.GetOrCreateCounter("sardinedock_fleet_own_stalls_total")
 )
 
 // purpose is the reason for a call to a peer.
@@ -99,16 +99,17 @@
 	// onChange is called with the items that were newer than the stored ones.
 	onChange func([]exchange.Item)
 
-	budget      float64
-	lastTick    time.Time
-	lastCall    time.Time
-	lastPush    time.Time
-	lastCompare time.Time
-	lastExpire  time.Time
-	stalledAt   time.Time
-	checks      map[string]*pendingCheck
-	jitter      *rand.Rand
-	nextCall    time.Duration
+	// budget is the fill of the token bucket, in bytes. It may be negative.
+	budget       float64
+	lastTick     time.Time
+	lastCall     time.Time
+	lastPush     time.Time
+	lastCompare  time.Time
+	lastExpire   time.Time
+	stalledAt    time.Time
+	checks       map[string]*pendingCheck
+	rng          *rand.Rand
+	callInterval time.Duration
 }
 
 // pendingCheck is an indirect probe of a member through peers.
@@ -128,7 +129,7 @@
 		budget:          burstBytes,
 		lastTick:        now,
 		checks:          map[string]*pendingCheck{},
-		jitter:          random,
+		rng:             random,
 	}
 	c.store.SetMinor(member.Minor)
 	c.put(now, c.table.SelfItem())
@@ -176,11 +177,11 @@
 		c.expire(now)
 	}
 	var out []outgoing
-	if now.Sub(c.lastCall) >= c.nextCall {
+	if now.Sub(c.lastCall) >= c.callInterval {
 		c.lastCall = now
 		// A jitter of 10 % keeps instances that started together from calling
 		// at the same moments.
-		c.nextCall = heartbeatInterval*9/10 + time.Duration(c.jitter.Int64N(int64(heartbeatInterval/5)))
+		c.callInterval = heartbeatInterval*9/10 + time.Duration(c.rng.Int64N(int64(heartbeatInterval/5)))
 		if peer, ok := c.table.NextPeer(); ok {
 			out = append(out, c.newCall(peer, purposeHeartbeat, maxCallBytes, now))
 		}
@@ -270,7 +271,7 @@
 		Root: c.store.Root(), Complete: c.recordsComplete(), Known: known,
 	}
 	if len(in.GetBucketSums()) > 0 {
-		differing, covered := c.store.Differing(in.GetBucketSums(), c.jitter.IntN(exchange.Buckets))
+		differing, covered := c.store.Differing(in.GetBucketSums(), c.rng.IntN(exchange.Buckets))
 		reply.Summaries, reply.Buckets = append(reply.Summaries, differing...), covered
 	}
 	if in.GetPullFrom() > 0 {
@@ -328,7 +329,7 @@
 		return nil
 	}
 	if o.rounds >= maxFollowUps {
-		followUpsCut.Inc()
+		followUpsSkipped.Inc()
 		return nil
 	}
 	peer := member.Peer{Name: in.GetCaller().GetInstance(), Address: o.peer.Address}
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -20,7 +20,7 @@
 	return exchange.Item{Key: exchange.Key{Kind: kind, Name: name}, Epoch: epoch, Version: version, Value: []byte(value)}
 }
 
-// compare runs one full compare from a to b, as two instances do it.
+// compare runs one full compare begun by a with b, as two instances do.
 func compare(a, b *exchange.Store) {
 	summaries, covered := b.Differing(a.BucketSums(), 0)
 	var toB exchange.Bundle
@@ -32,10 +32,10 @@
 	a.Take(toA.Items, "b", start)
 }
 
-// Messages between instances are lost, doubled and come in any order, some of
-// them from a peer that was cut off for long. If an old one could win, an
-// operator would see a change come into force and go again.
-func TestNothingReverts(t *testing.T) {
+// Messages between instances are lost, duplicated and reordered, and some come from a
+// peer that was partitioned for long. If an old version could replace a newer one, an
+// operator would see a change come into force and be reverted.
+func TestNoItemReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stores := []*exchange.Store{exchange.NewStore(), exchange.NewStore(), exchange.NewStore()}
 		highest := make([]map[string][2]uint64, len(stores))
@@ -86,8 +86,8 @@
 	})
 }
 
-// A record of a large pool is changed. If each peer sent its copy unasked, one
-// change would cost the value's size times the number of transmissions.
+// A record of a large pool is changed. If each peer sent the value without a request,
+// one change would cost the value's size times the number of sends.
 func TestLargeValueIsAnnouncedAndFetchedOnce(t *testing.T) {
 	a, b := exchange.NewStore(), exchange.NewStore()
 	large := string(bytes.Repeat([]byte("x"), 100_000))
@@ -95,7 +95,7 @@
 	var first exchange.Bundle
 	a.Next(&first, "b", 8, 1000, start)
 	if len(first.Items) != 0 || len(first.Summaries) != 1 {
-		t.Fatalf("sent %d items, %d summaries", len(first.Items), len(first.Summaries))
+		t.Fatalf("sent %d items and %d summaries, want 0 and 1", len(first.Items), len(first.Summaries))
 	}
 	var want exchange.Bundle
 	b.Answer(&want, nil, first.Summaries, start)
@@ -103,12 +103,12 @@
 	a.Answer(&answer, want.Want, nil, start)
 	b.Take(answer.Items, "a", start)
 	if got, _ := b.Get(exchange.Key{Kind: kind, Name: "pool"}); string(got.Value) != large {
-		t.Fatalf("got %d bytes", len(got.Value))
+		t.Fatalf("got a value of %d bytes, want the whole", len(got.Value))
 	}
 	var again exchange.Bundle
 	b.Answer(&again, nil, first.Summaries, start)
 	if !again.Empty() {
-		t.Fatal("the value is fetched a second time")
+		t.Fatal("the value would be fetched a second time")
 	}
 }
 
@@ -126,17 +126,17 @@
 	}
 }
 
-func TestItemWithTTLIsForgotten(t *testing.T) {
+func TestItemWithTTLExpires(t *testing.T) {
 	s := exchange.NewStore()
 	it := item("a", 0, 1, "v")
 	it.TTL = time.Second
 	s.Put(it, "", start)
 	s.Expire(start.Add(999 * time.Millisecond))
 	if s.Len() != 1 {
-		t.Fatal("forgotten too early")
+		t.Fatal("the item expired too early")
 	}
 	s.Expire(start.Add(time.Second))
 	if s.Len() != 0 || s.Root() != 0 {
-		t.Fatal("not forgotten")
+		t.Fatal("the item has not expired")
 	}
 }
--- a/fleet/transport/client.go
+++ b/fleet/transport/client.go
@@ -17,28 +17,29 @@
 )
 
 const (
-	// clientIdle is how long a connection is kept without a call.
-	clientIdle = 30 * time.Second
-	// idlePerPeer connections are kept for the next calls.
-	idlePerPeer = 4
-	// callsPerPeer bounds the open calls to one peer, held-back replies
-	// included. A burst of requests for one hot endpoint then fails over to
-	// the caller's own view at once instead of burying the endpoint's owner.
-	callsPerPeer = 256
+	// clientIdleTimeout is how long an unused connection is kept.
+	clientIdleTimeout = 30 * time.Second
+	// maxIdlePerPeer is how many unused connections to one peer are kept.
+	maxIdlePerPeer = 4
+	// maxCallsPerPeer limits the open calls to one peer, including those whose
+	// reply the peer delays. In a burst of requests for one hot endpoint, the
+	// excess calls fail at once and the calling instance decides by its own view,
+	// instead of overloading the endpoint's owner.
+	maxCallsPerPeer = 256
 )
 
 // Dialer opens a connection to a peer.
 type Dialer func(ctx context.Context, address string) (net.Conn, error)
 
-// DialTCP is the Dialer of production.
+// DialTCP is the Dialer for production use.
 func DialTCP(ctx context.Context, address string) (net.Conn, error) {
 	var d net.Dialer
 	return d.DialContext(ctx, "tcp", address)
 }
 
-// Client calls peers. All methods may be called by any goroutine; they block
-// at most for their bound. Every call may reach the peer twice, so that all
-// messages are idempotent.
+// Client calls peers. It is safe for concurrent use. A call blocks at most for its
+// timeout. The peer may receive a call twice, so that all messages have to be
+// idempotent.
 type Client struct {
 	dial    Dialer
 	keys    *Keys
@@ -49,10 +50,10 @@
 	closed bool
 }
 
-// peer is what the client holds for one address.
+// peer is the client's state for one address.
 type peer struct {
-	idle []idleConn
-	open int
+	idle      []idleConn
+	openCalls int
 }
 
 type idleConn struct {
@@ -60,110 +61,116 @@
 	since time.Time
 }
 
-// NewClient returns a client without connections. Keys may be nil.
+// NewClient returns a client without connections. If keys is nil, it does not use
+// TLS.
 func NewClient(dial Dialer, keys *Keys, traffic *Traffic) *Client {
 	return &Client{dial: dial, keys: keys, traffic: traffic, peers: map[string]*peer{}}
 }
 
-// Close ends all idle connections; open calls end by their bound.
+// Close closes all idle connections. Open calls continue until their timeout at
+// the longest.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
 	for address := range c.peers {
-		c.dropIdle(address)
+		c.closeIdleLocked(address)
 	}
 }
 
 // Ask calls the peer's Ask.
-func (c *Client) Ask(ctx context.Context, address string, bound time.Duration, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
-	return call(ctx, c, address, bound, in, fleetpb.DRPCFleetClient.Ask)
+func (c *Client) Ask(ctx context.Context, address string, timeout time.Duration, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
+	return call(ctx, c, address, timeout, in, fleetpb.DRPCFleetClient.Ask)
 }
 
 // Report calls the peer's Report.
-func (c *Client) Report(ctx context.Context, address string, bound time.Duration, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error) {
-	return call(ctx, c, address, bound, in, fleetpb.DRPCFleetClient.Report)
+func (c *Client) Report(ctx context.Context, address string, timeout time.Duration, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error) {
+	return call(ctx, c, address, timeout, in, fleetpb.DRPCFleetClient.Report)
 }
 
 // Exchange calls the peer's Exchange.
-func (c *Client) Exchange(ctx context.Context, address string, bound time.Duration, in *fleetpb.ExchangeRequest) (*fleetpb.ExchangeReply, error) {
-	return call(ctx, c, address, bound, in, fleetpb.DRPCFleetClient.Exchange)
+func (c *Client) Exchange(ctx context.Context, address string, timeout time.Duration, in *fleetpb.ExchangeRequest) (*fleetpb.ExchangeReply, error) {
+	return call(ctx, c, address, timeout, in, fleetpb.DRPCFleetClient.Exchange)
 }
 
 // Warn calls the peer's Warn.
-func (c *Client) Warn(ctx context.Context, address string, bound time.Duration, in *fleetpb.WarnRequest) (*fleetpb.WarnReply, error) {
-	return call(ctx, c, address, bound, in, fleetpb.DRPCFleetClient.Warn)
+func (c *Client) Warn(ctx context.Context, address string, timeout time.Duration, in *fleetpb.WarnRequest) (*fleetpb.WarnReply, error) {
+	return call(ctx, c, address, timeout, in, fleetpb.DRPCFleetClient.Warn)
 }
 
 // HandOver calls the peer's HandOver.
-func (c *Client) HandOver(ctx context.Context, address string, bound time.Duration, in *fleetpb.HandOverRequest) (*fleetpb.HandOverReply, error) {
-	return call(ctx, c, address, bound, in, fleetpb.DRPCFleetClient.HandOver)
+func (c *Client) HandOver(ctx context.Context, address string, timeout time.Duration, in *fleetpb.HandOverRequest) (*fleetpb.HandOverReply, error) {
+	return call(ctx, c, address, timeout, in, fleetpb.DRPCFleetClient.HandOver)
 }
 
 type method[In, Out any] func(fleetpb.DRPCFleetClient, context.Context, In) (Out, error)
 
-// call runs one call. A connection that was used before may have been
-// forgotten by something between the two ends: calls on it then get no answer,
-// while new connections work. So a reused connection gets half of the bound,
-// and what is left goes to a new one; the peer's other idle connections are
-// dropped with it, as they went the same way.
-func call[In, Out any](ctx context.Context, c *Client, address string, bound time.Duration, in In, do method[In, Out]) (Out, error) {
-	var none Out
-	if !c.begin(address) {
+// call runs one call. A middlebox, such as a NAT gateway, may have lost the state
+// of a reused connection: calls on it then get no answer, while new connections
+// work. So a call on a reused connection gets half of the timeout, and if it fails
+// the rest is for a second try on a new connection. The peer's other idle
+// connections are closed too, as they took the same path.
+func call[In, Out any](ctx context.Context, c *Client, address string, timeout time.Duration, in In, do method[In, Out]) (Out, error) {
+	var zero Out
+	if !c.acquire(address) {
 		callsRefused.Inc()
-		return none, fault.New(fault.Overloaded, "ask another instance", "too many open calls to %s", address)
+		return zero, fault.New(fault.Overloaded, "ask another instance", "too many open calls to %s", address)
 	}
-	defer c.end(address)
+	defer c.release(address)
 	c.traffic.Calls.Add(1)
-	ctx, cancel := context.WithTimeout(ctx, bound)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	if conn := c.takeIdle(address); conn != nil {
-		half, cancelHalf := context.WithTimeout(ctx, bound/2)
-		out, err := do(fleetpb.NewDRPCFleetClient(conn), half, in)
+		halfCtx, cancelHalf := context.WithTimeout(ctx, timeout/2)
+		out, err := do(fleetpb.NewDRPCFleetClient(conn), halfCtx, in)
 		cancelHalf()
 		if answered(err) {
 			c.putIdle(address, conn)
-			return out, refused(err, address)
+			return out, wrapRefusal(err, address)
 		}
 		_ = conn.Close()
 		if ctx.Err() != nil {
-			return none, c.lost(ctx.Err(), address)
+			return zero, c.wrapFailure(ctx.Err(), address)
 		}
-		c.drop(address)
+		c.closeIdle(address)
 		staleConnections.Inc()
 	}
-	return callNew(ctx, c, address, in, do)
+	return callOnNewConn(ctx, c, address, in, do)
 }
 
-func callNew[In, Out any](ctx context.Context, c *Client, address string, in In, do method[In, Out]) (Out, error) {
-	var none Out
+// callOnNewConn runs one call on a new connection, which is kept if it works.
+func callOnNewConn[In, Out any](ctx context.Context, c *Client, address string, in In, do method[In, Out]) (Out, error) {
+	var zero Out
 	conn, err := c.open(ctx, address)
 	if err != nil {
-		return none, c.lost(err, address)
+		return zero, c.wrapFailure(err, address)
 	}
 	out, err := do(fleetpb.NewDRPCFleetClient(conn), ctx, in)
 	if !answered(err) {
 		_ = conn.Close()
-		return none, c.lost(err, address)
+		return zero, c.wrapFailure(err, address)
 	}
 	c.putIdle(address, conn)
-	return out, refused(err, address)
+	return out, wrapRefusal(err, address)
 }
 
-// answered tells a peer's refusal, which came over a whole connection, from
-// the failure of the connection.
+// answered reports whether the peer answered the call, be it by an error. If not,
+// the connection failed.
 func answered(err error) bool { return err == nil || drpcerr.Code(err) == codeRefused }
 
-func refused(err error, address string) error {
+// wrapRefusal wraps the error that a peer answered with. It returns nil for nil.
+func wrapRefusal(err error, address string) error {
 	return fault.Wrap(err, fault.Unauthorized, "check the peer's fleet name", "instance %s refused the call", address)
 }
 
-func (c *Client) lost(err error, address string) error {
+// wrapFailure counts the failure of a call without an answer and wraps its error.
+func (c *Client) wrapFailure(err error, address string) error {
 	c.traffic.CallsLost.Add(1)
 	callFailures.Inc()
 	return fault.Wrap(err, fault.Unavailable, "check that the instance runs and can be reached", "call instance %s", address)
 }
 
+// open dials the peer and, with keys, does the TLS handshake.
 func (c *Client) open(ctx context.Context, address string) (*drpcconn.Conn, error) {
 	dials.Inc()
 	c.traffic.Dials.Add(1)
@@ -185,7 +192,8 @@
 	}}), nil
 }
 
-func (c *Client) begin(address string) bool {
+// acquire registers a call to the peer. It returns false if too many are open.
+func (c *Client) acquire(address string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peers[address]
@@ -193,24 +201,26 @@
 		p = &peer{}
 		c.peers[address] = p
 	}
-	if p.open >= callsPerPeer {
+	if p.openCalls >= maxCallsPerPeer {
 		return false
 	}
-	p.open++
+	p.openCalls++
 	return true
 }
 
-func (c *Client) end(address string) {
+// release ends a call that acquire registered.
+func (c *Client) release(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peers[address]
-	p.open--
-	if p.open == 0 && len(p.idle) == 0 {
+	p.openCalls--
+	if p.openCalls == 0 && len(p.idle) == 0 {
 		delete(c.peers, address)
 	}
 }
 
-// takeIdle returns the connection that was used last, or nil.
+// takeIdle removes and returns the most recently used idle connection to the peer,
+// or returns nil.
 func (c *Client) takeIdle(address string) *drpcconn.Conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,7 +233,7 @@
 			continue
 		default:
 		}
-		if time.Since(last.since) < clientIdle {
+		if time.Since(last.since) < clientIdleTimeout {
 			return last.conn
 		}
 		_ = last.conn.Close()
@@ -231,24 +241,26 @@
 	return nil
 }
 
+// putIdle keeps the connection for later calls, or closes it if enough are kept.
 func (c *Client) putIdle(address string, conn *drpcconn.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.peers[address]
-	if c.closed || len(p.idle) >= idlePerPeer {
+	if c.closed || len(p.idle) >= maxIdlePerPeer {
 		_ = conn.Close()
 		return
 	}
 	p.idle = append(p.idle, idleConn{conn, time.Now()})
 }
 
-func (c *Client) drop(address string) {
+func (c *Client) closeIdle(address string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dropIdle(address)
+	c.closeIdleLocked(address)
 }
 
-func (c *Client) dropIdle(address string) {
+// closeIdleLocked closes the peer's idle connections. The caller holds c.mu.
+func (c *Client) closeIdleLocked(address string) {
 	p := c.peers[address]
 	if p == nil {
 		return
@@ -259,22 +271,22 @@
 	p.idle = nil
 }
 
-// Sweep closes connections that were idle for too long. The fleet's duty calls
-// it now and then, so that peers which are gone keep nothing here.
+// Sweep closes connections that were idle for too long. It is to be called
+// regularly, so that the state of peers that left the fleet is freed.
 func (c *Client) Sweep() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for address, p := range c.peers {
 		kept := p.idle[:0]
 		for _, i := range p.idle {
-			if time.Since(i.since) < clientIdle {
+			if time.Since(i.since) < clientIdleTimeout {
 				kept = append(kept, i)
 				continue
 			}
 			_ = i.conn.Close()
 		}
 		p.idle = kept
-		if p.open == 0 && len(p.idle) == 0 {
+		if p.openCalls == 0 && len(p.idle) == 0 {
 			delete(c.peers, address)
 		}
 	}
--- a/fleet/transport/metrics.go
+++ b/fleet/transport/metrics.go
@@ -20,8 +20,8 @@
 	receivedBytes      = metrics.GetOrCreateCounter(`sardinedock_fleet_received_bytes_total`)
 )
 
-// Traffic counts what an instance sends to its peers and gets from them. The
-// counts are of TCP payload, TLS included; packet headers are not in them.
+// Traffic counts what an instance sends to its peers and receives from them. Sent
+// and Received are bytes of TCP payload: TLS is included, packet headers are not.
 type Traffic struct {
 	Sent, Received   atomic.Uint64
 	Writes, Reads    atomic.Uint64
@@ -29,7 +29,7 @@
 	Calls, CallsLost atomic.Uint64
 }
 
-// countedConn counts the bytes of one connection.
+// countedConn counts the bytes, reads and writes of one connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
--- a/fleet/transport/server.go
+++ b/fleet/transport/server.go
@@ -1,6 +1,6 @@
-// Package transport carries drpc calls between instances. It bounds what one
-// peer can take, replaces connections that have gone silent, and refuses peers
-// of another fleet.
+// Package transport makes and serves drpc calls between instances. It limits the
+// resources that one peer can use, replaces unresponsive connections, and refuses
+// peers of another fleet.
 package transport
 
 import (
@@ -22,34 +22,36 @@
 )
 
 const (
-	// maxMessageBytes holds one record of the largest size that the object
-	// API stores, with room for its envelope.
+	// maxMessageBytes is the largest message. It fits one record of the largest
+	// size that the object API stores, with its envelope.
 	maxMessageBytes = 2 << 20
-	// maxConnections bounds what peers can open here. At 360 instances each
-	// has a few connections to each other one.
+	// maxConnections limits the connections accepted. In a fleet of 360, each
+	// instance has a few connections from each other one.
 	maxConnections = 4096
-	// serverIdle is how long a connection may bring no call. It is longer
-	// than clientIdle, so that the client gives a connection up first and no
-	// call runs into a closed one.
-	serverIdle = 90 * time.Second
-	// handshakeBound ends handshakes of peers that say nothing.
-	handshakeBound = 2 * time.Second
+	// serverIdleTimeout is how long a connection without calls is kept. It is
+	// longer than clientIdleTimeout, so that the client closes a connection first
+	// and makes no call on one that the server has closed.
+	serverIdleTimeout = 90 * time.Second
+	// handshakeTimeout limits TLS handshakes with unresponsive peers.
+	handshakeTimeout = 2 * time.Second
 )
 
-// codeRefused is the drpc code of every error that a handler returns. It tells
-// the client that the server has answered and that the connection is whole.
+// codeRefused is the drpc code of every error that a handler returns. By it the
+// client knows that the server answered and that the connection works.
 const codeRefused = 1
 
-// Server serves the calls of peers. Calls of another fleet get an error and
-// are counted.
+// Server serves the calls of peers. Calls from another fleet are counted and
+// answered by an error.
 type Server struct {
 	drpc    *drpcserver.Server
 	keys    *Keys
 	traffic *Traffic
-	slots   chan struct{}
+	// connSlots is a semaphore of the open connections.
+	connSlots chan struct{}
 }
 
-// NewServer returns a server for the peers of the named fleet. Keys may be nil.
+// NewServer returns a server for the peers of the named fleet. If keys is nil, it
+// does not use TLS.
 func NewServer(fleet string, handler fleetpb.DRPCFleetServer, keys *Keys, traffic *Traffic) (*Server, error) {
 	mux := drpcmux.New()
 	if err := fleetpb.DRPCRegisterFleet(mux, &guard{fleet: fleet, next: handler}); err != nil {
@@ -57,13 +59,13 @@
 	}
 	options := drpcserver.Options{Manager: drpcmanager.Options{
 		Reader:            drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes},
-		InactivityTimeout: serverIdle,
+		InactivityTimeout: serverIdleTimeout,
 	}}
 	return &Server{
-		drpc:    drpcserver.NewWithOptions(mux, options),
-		keys:    keys,
-		traffic: traffic,
-		slots:   make(chan struct{}, maxConnections),
+		drpc:      drpcserver.NewWithOptions(mux, options),
+		keys:      keys,
+		traffic:   traffic,
+		connSlots: make(chan struct{}, maxConnections),
 	}, nil
 }
 
@@ -80,19 +82,19 @@
 			return
 		}
 		if err != nil {
-			log.WithError(err).Error("accept a peer's connection")
-			time.Sleep(handshakeBound / 10)
+			log.WithError(err).Error("accept peer connection")
+			time.Sleep(handshakeTimeout / 10)
 			continue
 		}
 		s.accept(ctx, conn)
 	}
 }
 
-// accept serves the connection unless there are too many: a peer that opens
-// connections without end would take this instance's memory.
+// accept serves the connection, or closes it if maxConnections are open: a peer that
+// keeps opening connections would exhaust this instance's memory.
 func (s *Server) accept(ctx context.Context, conn net.Conn) {
 	select {
-	case s.slots <- struct{}{}:
+	case s.connSlots <- struct{}{}:
 	default:
 		refusedConnections.Inc()
 		_ = conn.Close()
@@ -100,11 +102,12 @@
 	}
 	s.traffic.Accepts.Add(1)
 	go func() {
-		defer func() { <-s.slots }()
+		defer func() { <-s.connSlots }()
 		s.serveOne(ctx, &countedConn{conn, s.traffic})
 	}()
 }
 
+// serveOne serves one connection, after the TLS handshake if there are keys.
 func (s *Server) serveOne(ctx context.Context, conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	if s.keys == nil {
@@ -112,16 +115,16 @@
 		return
 	}
 	secured := tls.Server(conn, s.keys.config())
-	bounded, cancel := context.WithTimeout(ctx, handshakeBound)
+	handshakeCtx, cancel := context.WithTimeout(ctx, handshakeTimeout)
 	defer cancel()
-	if err := secured.HandshakeContext(bounded); err != nil {
+	if err := secured.HandshakeContext(handshakeCtx); err != nil {
 		return
 	}
 	_ = s.drpc.ServeOne(ctx, secured)
 }
 
-// guard refuses peers of another fleet: a wrong seed, or an address that was
-// given to another fleet's instance, would join two fleets' states.
+// guard refuses calls from another fleet: a wrong seed, or an address that was
+// reassigned to another fleet's instance, would merge the states of two fleets.
 type guard struct {
 	fleet string
 	next  fleetpb.DRPCFleetServer
@@ -129,15 +132,16 @@
 
 var errOtherFleet = drpcerr.WithCode(errors.New("you belong to another fleet; check the settings' fleet and seeds"), codeRefused)
 
+// serve passes a call on to next if the caller belongs to the guard's fleet.
 func serve[In, Out any](ctx context.Context, g *guard, caller *fleetpb.Caller, in In, next func(context.Context, In) (Out, error)) (Out, error) {
-	var none Out
+	var zero Out
 	if caller.GetFleet() != g.fleet {
 		refusedFleet.Inc()
-		return none, errOtherFleet
+		return zero, errOtherFleet
 	}
 	out, err := next(ctx, in)
 	if err != nil {
-		return none, drpcerr.WithCode(err, codeRefused)
+		return zero, drpcerr.WithCode(err, codeRefused)
 	}
 	return out, nil
 }
--- a/fleet/transport/tls_test.go
+++ b/fleet/transport/tls_test.go
@@ -49,7 +49,7 @@
 	return &authority{cert, key}
 }
 
-// issue writes a certificate and its key, and the authority, into files.
+// issue writes a new certificate, its key and the authority's certificate to files.
 func (a *authority) issue(t testing.TB) *settingspb.Tls {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -94,9 +94,9 @@
 	return keys
 }
 
-// Somebody on the network who has no certificate of the fleet's authority
-// calls an instance, or answers in an instance's place. Without mutual checks
-// they could read records and grants, and steer requests.
+// An attacker on the network without a certificate of the fleet's authority calls an
+// instance, or answers in place of one. Without mutual authentication the attacker
+// could read records and grants, and redirect requests.
 func TestWrongCertificateIsRefused(t *testing.T) {
 	ours, theirs := newAuthority(t), newAuthority(t)
 	e := &echo{}
@@ -121,10 +121,10 @@
 	}
 }
 
-// Certificates run out and are replaced in their files while instances run.
-// An instance that kept the old ones would one day be refused by all its peers
-// at once.
-func TestReplacedKeysAreReadAgain(t *testing.T) {
+// Certificates are replaced in their files before they expire, while instances run.
+// An instance that kept the old ones would be refused by all its peers once they
+// expire.
+func TestReplacedKeysAreReloaded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ours, theirs := newAuthority(t), newAuthority(t)
 		server, err := transport.NewServer(fleetName, &echo{}, loadKeys(t, ours.issue(t)), &transport.Traffic{})
@@ -137,7 +137,7 @@
 		files := theirs.issue(t)
 		client := transport.NewClient(p.dial, loadKeys(t, files), &transport.Traffic{})
 		if _, err := client.Ask(ctx, "peer", time.Second, ask(fleetName)); err == nil {
-			t.Fatal("a certificate of another authority was taken")
+			t.Fatal("a certificate of another authority was accepted")
 		}
 		fresh := ours.issue(t)
 		for from, to := range map[string]string{
@@ -158,7 +158,7 @@
 }
 
 // BenchmarkFirstCall measures a call that has to open its connection, with and
-// without TLS. Bytes are those of both directions.
+// without TLS. The bytes of both directions are counted.
 func BenchmarkFirstCall(b *testing.B) {
 	fleetAuthority := newAuthority(b)
 	for name, keys := range map[string]*transport.Keys{"plain": nil, "tls": loadKeys(b, fleetAuthority.issue(b))} {
--- a/fleet/transport/transport_test.go
+++ b/fleet/transport/transport_test.go
@@ -15,7 +15,7 @@
 
 const fleetName = "test"
 
-// echo answers asks with the request's id.
+// echo answers Ask calls with the request's id and counts them.
 type echo struct {
 	fleetpb.DRPCFleetUnimplementedServer
 	calls atomic.Int64
@@ -30,7 +30,7 @@
 	return &fleetpb.AskRequest{Caller: &fleetpb.Caller{Fleet: fleet}, RequestId: "r1"}
 }
 
-// listen serves e on loopback and returns the address.
+// listen serves e on a loopback address and returns the address.
 func listen(t testing.TB, e *echo, keys *transport.Keys) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -60,13 +60,13 @@
 		}
 	}
 	if n := traffic.Dials.Load(); n != 1 {
-		t.Fatalf("%d connections for five calls", n)
+		t.Fatalf("%d connections opened for five calls, want 1", n)
 	}
 }
 
-// A seed address was given to an instance of another fleet. Without a check
-// the two fleets would join, and an operator would find the endpoints of one
-// in the state of the other.
+// A seed address was reassigned to an instance of another fleet. Without a check the
+// two fleets would merge, and an operator would find the endpoints of one in the
+// state of the other.
 func TestOtherFleetIsRefused(t *testing.T) {
 	e := &echo{}
 	address := listen(t, e, nil)
@@ -77,16 +77,16 @@
 		t.Fatalf("got %v", err)
 	}
 	if e.calls.Load() != 0 {
-		t.Fatal("the call of another fleet reached the handler")
+		t.Fatal("a call from another fleet reached the handler")
 	}
 }
 
-// pipes is a dialer whose connections can be made silent: bytes are taken and
-// never arrive, as after a middle box has lost track of the connection.
+// pipes is a dialer whose connections can be black-holed: bytes written are accepted
+// and never arrive, as after a middlebox has lost the state of the connection.
 type pipes struct {
-	silent atomic.Int64 // connections up to this number are silent
-	opened int64
-	ln     *pipeListener
+	blackholed atomic.Int64 // connections up to this number are black-holed
+	opened     int64
+	ln         *pipeListener
 }
 
 type pipeListener struct {
@@ -109,26 +109,26 @@
 	client, server := net.Pipe()
 	p.opened++
 	p.ln.conns <- server
-	return &mutableConn{Conn: client, number: p.opened, silent: &p.silent}, nil
+	return &blackholeConn{Conn: client, number: p.opened, blackholed: &p.blackholed}, nil
 }
 
-type mutableConn struct {
+type blackholeConn struct {
 	net.Conn
-	number int64
-	silent *atomic.Int64
+	number     int64
+	blackholed *atomic.Int64
 }
 
-func (c *mutableConn) Write(b []byte) (int, error) {
-	if c.number <= c.silent.Load() {
+func (c *blackholeConn) Write(b []byte) (int, error) {
+	if c.number <= c.blackholed.Load() {
 		return len(b), nil
 	}
 	return c.Conn.Write(b)
 }
 
-// Something between two instances loses track of an open connection: calls on
-// it are swallowed while a new connection works at once. A caller would see a
-// request hang until its deadline although both instances are well.
-func TestSilentConnectionIsReplaced(t *testing.T) {
+// A middlebox between two instances loses the state of an open connection: calls on
+// it get no answer, while a new connection would work at once. A caller's request
+// would hang until its deadline although both instances are healthy.
+func TestUnresponsiveConnectionIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &echo{}
 		server, err := transport.NewServer(fleetName, e, nil, &transport.Traffic{})
@@ -142,16 +142,16 @@
 		if _, err := client.Ask(ctx, "peer", time.Second, ask(fleetName)); err != nil {
 			t.Fatal(err)
 		}
-		p.silent.Store(1)
+		p.blackholed.Store(1)
 		begin := time.Now()
 		if _, err := client.Ask(ctx, "peer", time.Second, ask(fleetName)); err != nil {
 			t.Fatal(err)
 		}
 		if took := time.Since(begin); took != 500*time.Millisecond {
-			t.Fatalf("the silent connection was replaced after %v", took)
+			t.Fatalf("the call returned after %v, want 500ms", took)
 		}
 		if p.opened != 2 {
-			t.Fatalf("%d connections opened", p.opened)
+			t.Fatalf("%d connections opened, want 2", p.opened)
 		}
 		client.Close()
 		cancel()
