--- a/fleet/exchange/store.go
+++ b/fleet/exchange/store.go
@@ -93,9 +93,9 @@
 	return e.Item, true
 }
 
-// Left returns the time until the item expires, or 0 if it has no TTL or is not
+// Remaining returns the time until the item expires, or 0 if it has no TTL or is not
 // in the store.
-func (s *Store) Left(k Key, now time.Time) time.Duration {
+func (s *Store) Remaining(k Key, now time.Time) time.Duration {
 	e := s.items[k]
 	if e == nil || e.expires.IsZero() {
 		return 0
