--- a/fleet/core.go
+++ b/fleet/core.go
@@ -202,7 +202,7 @@
 // pushes returns calls that send pending changes to a few random partners, if a
 // push is due.
 func (c *core) pushes(now time.Time) []outgoing {
-	if c.budget <= 0 || now.Sub(c.lastPush) < pushInterval || !c.store.HasHot(c.fleetSize()) {
+	if c.budget <= 0 || now.Sub(c.lastPush) < pushInterval || !c.store.HasPending(c.fleetSize()) {
 		return nil
 	}
 	c.lastPush = now
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -116,7 +116,7 @@
 	s := exchange.NewStore()
 	s.Put(item("a", 0, 1, "v"), "", start)
 	sends := 0
-	for s.HasHot(8) {
+	for s.HasPending(8) {
 		var b exchange.Bundle
 		s.Next(&b, "peer", 8, 1000, start)
 		sends += len(b.Items)
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -58,8 +58,8 @@
 	return min(maxSends, 2+bits.Len(uint(max(n, 1)))*3/2)
 }
 
-// HasHot reports whether there is a pending change to push in a fleet of n.
-func (s *Store) HasHot(n int) bool {
+// HasPending reports whether there is a pending change to push in a fleet of n.
+func (s *Store) HasPending(n int) bool {
 	for i := range SendLimit(n) {
 		for _, e := range s.pending[i] {
 			if e.isPending(i) && (n <= maxLowPriorityPushFleet || !e.lowPriority) {
