--- a/fleet/core.go
+++ b/fleet/core.go
@@ -256,7 +256,7 @@
 	known := c.store.Stale(in.GetItems(), in.GetSummaries())
 	c.apply(c.store.Take(in.GetItems(), name, now), now)
 	if in.GetRoot() == c.store.Root() {
-		c.store.Agreed(c.fleetSize())
+		c.store.MarkInSync(c.fleetSize())
 	}
 	var b exchange.Bundle
 	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
@@ -308,7 +308,7 @@
 		c.apply(c.store.Take(in.GetItems(), name, now), now)
 	}
 	if in.GetRoot() == c.store.Root() {
-		c.store.Agreed(c.fleetSize())
+		c.store.MarkInSync(c.fleetSize())
 	}
 }
 
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -133,11 +133,11 @@
 	}
 }
 
-// Agreed counts all pending changes without a TTL as sent to a peer. It is called
+// MarkInSync counts all pending changes without a TTL as sent to a peer. It is called
 // when the peer, in a fleet of n, has the same root checksum. Without it, an
 // instance that starts with a few thousand items would send each of them to peers
 // that already have them.
-func (s *Store) Agreed(n int) {
+func (s *Store) MarkInSync(n int) {
 	limit := SendLimit(n)
 	for i := limit - 1; i >= 0; i-- {
 		queue := s.pending[i]
