--- a/fleet/core.go
+++ b/fleet/core.go
@@ -301,7 +301,7 @@
 // mergeReply merges the items of a reply into the store.
 func (c *core) mergeReply(o outgoing, in *fleetpb.ExchangeReply, now time.Time) {
 	name := in.GetCaller().GetInstance()
-	o.bundle.Known(in.GetKnown())
+	o.bundle.MarkRedundant(in.GetKnown())
 	if o.purpose == purposePull {
 		c.apply(c.store.Adopt(in.GetItems(), name, now), now)
 	} else {
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -14,7 +14,7 @@
 	Want      []*fleetpb.ItemKey
 
 	// itemEntries and summaryEntries are the pending changes that Items and
-	// Summaries begin with. Known counts sends that a peer did not need.
+	// Summaries begin with. MarkRedundant counts sends that a peer did not need.
 	itemEntries, summaryEntries []*entry
 }
 
@@ -119,9 +119,9 @@
 	return maxBytes
 }
 
-// Known counts as redundant the changes of the bundle that the peer already had.
+// MarkRedundant counts as redundant the changes of the bundle that the peer already had.
 // indexes count the items first and then the summaries, as returned by Stale.
-func (b *Bundle) Known(indexes []uint32) {
+func (b *Bundle) MarkRedundant(indexes []uint32) {
 	for _, index := range indexes {
 		i := int(index)
 		if i < len(b.itemEntries) {
