--- a/fleet/core.go
+++ b/fleet/core.go
@@ -253,7 +253,7 @@
 // serve handles a peer's call and returns the reply.
 func (c *core) serve(in *fleetpb.ExchangeRequest, now time.Time) *fleetpb.ExchangeReply {
 	name := in.GetCaller().GetInstance()
-	known := c.store.Stale(in.GetItems(), in.GetSummaries())
+	known := c.store.AlreadyKnown(in.GetItems(), in.GetSummaries())
 	c.apply(c.store.Take(in.GetItems(), name, now), now)
 	if in.GetRoot() == c.store.Root() {
 		c.store.MarkInSync(c.fleetSize())
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -120,7 +120,7 @@
 }
 
 // MarkRedundant counts as redundant the changes of the bundle that the peer already had.
-// indexes count the items first and then the summaries, as returned by Stale.
+// indexes count the items first and then the summaries, as returned by AlreadyKnown.
 func (b *Bundle) MarkRedundant(indexes []uint32) {
 	for _, index := range indexes {
 		i := int(index)
@@ -214,9 +214,9 @@
 	}
 }
 
-// Stale returns the indexes of the received items and summaries that are not newer
+// AlreadyKnown returns the indexes of the received items and summaries that are not newer
 // than the store's. Indexes of summaries follow those of items.
-func (s *Store) Stale(items []*fleetpb.Item, summaries []*fleetpb.Summary) (known []uint32) {
+func (s *Store) AlreadyKnown(items []*fleetpb.Item, summaries []*fleetpb.Summary) (known []uint32) {
 	for i, m := range items {
 		e := s.items[keyOf(m.GetKey())]
 		if e != nil && !less(e.Epoch, e.Version, m.GetEpoch(), m.GetVersion()) {
