--- a/fleet/core.go
+++ b/fleet/core.go
@@ -303,7 +303,7 @@
 	name := in.GetCaller().GetInstance()
 	o.bundle.MarkRedundant(in.GetKnown())
 	if o.purpose == purposePull {
-		c.apply(c.store.Adopt(in.GetItems(), name, now), now)
+		c.apply(c.store.MergeSnapshot(in.GetItems(), name, now), now)
 	} else {
 		c.apply(c.store.Take(in.GetItems(), name, now), now)
 	}
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -232,9 +232,9 @@
 	return known
 }
 
-// Adopt merges a page of a peer's full state into the store of a starting
+// MergeSnapshot merges a page of a peer's full state into the store of a starting
 // instance. It does not propagate the items, as the rest of the fleet has them.
-func (s *Store) Adopt(items []*fleetpb.Item, peer string, now time.Time) []Item {
+func (s *Store) MergeSnapshot(items []*fleetpb.Item, peer string, now time.Time) []Item {
 	s.skipPropagation = true
 	defer func() { s.skipPropagation = false }()
 	return s.Take(items, peer, now)
