--- a/fleet/core.go
+++ b/fleet/core.go
@@ -254,7 +254,7 @@
 func (c *core) serve(in *fleetpb.ExchangeRequest, now time.Time) *fleetpb.ExchangeReply {
 	name := in.GetCaller().GetInstance()
 	known := c.store.AlreadyKnown(in.GetItems(), in.GetSummaries())
-	c.apply(c.store.Take(in.GetItems(), name, now), now)
+	c.apply(c.store.Merge(in.GetItems(), name, now), now)
 	if in.GetRoot() == c.store.Root() {
 		c.store.MarkInSync(c.fleetSize())
 	}
@@ -305,7 +305,7 @@
 	if o.purpose == purposePull {
 		c.apply(c.store.MergeSnapshot(in.GetItems(), name, now), now)
 	} else {
-		c.apply(c.store.Take(in.GetItems(), name, now), now)
+		c.apply(c.store.Merge(in.GetItems(), name, now), now)
 	}
 	if in.GetRoot() == c.store.Root() {
 		c.store.MarkInSync(c.fleetSize())
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -26,10 +26,10 @@
 	var toB exchange.Bundle
 	a.Answer(&toB, nil, summaries, start)
 	a.Missing(&toB, covered, summaries, start)
-	b.Take(toB.Items, "a", start)
+	b.Merge(toB.Items, "a", start)
 	var toA exchange.Bundle
 	b.Answer(&toA, toB.Want, nil, start)
-	a.Take(toA.Items, "b", start)
+	a.Merge(toA.Items, "b", start)
 }
 
 // Messages between instances are lost, duplicated and reordered, and some come from a
@@ -70,7 +70,7 @@
 					t.Skip("nothing was sent")
 				}
 				i := rapid.IntRange(0, 2).Draw(t, "to")
-				stores[i].Take(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "message")], "peer", start)
+				stores[i].Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "message")], "peer", start)
 				check(i)
 			},
 			"compare": func(t *rapid.T) {
@@ -101,7 +101,7 @@
 	b.Answer(&want, nil, first.Summaries, start)
 	var answer exchange.Bundle
 	a.Answer(&answer, want.Want, nil, start)
-	b.Take(answer.Items, "a", start)
+	b.Merge(answer.Items, "a", start)
 	if got, _ := b.Get(exchange.Key{Kind: kind, Name: "pool"}); string(got.Value) != large {
 		t.Fatalf("got a value of %d bytes, want the whole", len(got.Value))
 	}
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -182,9 +182,9 @@
 	return m
 }
 
-// Take merges the items of a message from the peer and returns those that were
+// Merge merges the items of a message from the peer and returns those that were
 // newer than the ones in the store.
-func (s *Store) Take(items []*fleetpb.Item, peer string, now time.Time) []Item {
+func (s *Store) Merge(items []*fleetpb.Item, peer string, now time.Time) []Item {
 	var changed []Item
 	for _, m := range items {
 		it := Item{
@@ -237,7 +237,7 @@
 func (s *Store) MergeSnapshot(items []*fleetpb.Item, peer string, now time.Time) []Item {
 	s.skipPropagation = true
 	defer func() { s.skipPropagation = false }()
-	return s.Take(items, peer, now)
+	return s.Merge(items, peer, now)
 }
 
 // Answer adds to the bundle the items that the peer requested and those that it
