--- a/fleet/core.go
+++ b/fleet/core.go
@@ -260,7 +260,7 @@
 	}
 	var b exchange.Bundle
 	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
-	c.store.Correct(&b, in.GetItems(), now)
+	c.store.AddNewer(&b, in.GetItems(), now)
 	if c.budget > 0 {
 		c.store.Next(&b, name, c.fleetSize(), maxCallBytes, now)
 	}
@@ -319,7 +319,7 @@
 	var b exchange.Bundle
 	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
 	c.store.Missing(&b, in.GetBuckets(), in.GetSummaries(), now)
-	c.store.Correct(&b, in.GetItems(), now)
+	c.store.AddNewer(&b, in.GetItems(), now)
 	differ := in.GetRoot() != c.store.Root()
 	compare := differ && now.Sub(c.lastCompare) >= compareInterval && len(in.GetBuckets()) == 0
 	if differ && o.purpose == purposeHeartbeat && o.rounds == 0 {
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -201,11 +201,11 @@
 	return changed
 }
 
-// Correct adds to the bundle the items of which this store has a newer version
+// AddNewer adds to the bundle the items of which this store has a newer version
 // than the peer sent. Without it a peer would keep, and report as a difference in
 // every compare, an item that was replaced by one with a TTL, such as the state of
 // a dead member.
-func (s *Store) Correct(b *Bundle, items []*fleetpb.Item, now time.Time) {
+func (s *Store) AddNewer(b *Bundle, items []*fleetpb.Item, now time.Time) {
 	for _, m := range items {
 		e := s.items[keyOf(m.GetKey())]
 		if e != nil && less(m.GetEpoch(), m.GetVersion(), e.Epoch, e.Version) {
