--- a/fleet/core.go
+++ b/fleet/core.go
@@ -246,7 +246,7 @@
 	}
 	stale := incarnation > 0 && m.Incarnation > incarnation
 	if stale || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_DEAD {
-		c.store.Answer(b, []*fleetpb.ItemKey{{Kind: fleetpb.ItemKind_ITEM_KIND_MEMBER, Name: name}}, nil, c.lastTick)
+		c.store.Reconcile(b, []*fleetpb.ItemKey{{Kind: fleetpb.ItemKind_ITEM_KIND_MEMBER, Name: name}}, nil, c.lastTick)
 	}
 }
 
@@ -259,7 +259,7 @@
 		c.store.MarkInSync(c.fleetSize())
 	}
 	var b exchange.Bundle
-	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
+	c.store.Reconcile(&b, in.GetWant(), in.GetSummaries(), now)
 	c.store.AddNewer(&b, in.GetItems(), now)
 	if c.budget > 0 {
 		c.store.Next(&b, name, c.fleetSize(), maxCallBytes, now)
@@ -317,7 +317,7 @@
 // full compare if one is due.
 func (c *core) followUp(o outgoing, in *fleetpb.ExchangeReply, now time.Time) []outgoing {
 	var b exchange.Bundle
-	c.store.Answer(&b, in.GetWant(), in.GetSummaries(), now)
+	c.store.Reconcile(&b, in.GetWant(), in.GetSummaries(), now)
 	c.store.Missing(&b, in.GetBuckets(), in.GetSummaries(), now)
 	c.store.AddNewer(&b, in.GetItems(), now)
 	differ := in.GetRoot() != c.store.Root()
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -24,11 +24,11 @@
 func compare(a, b *exchange.Store) {
 	summaries, covered := b.Differing(a.BucketSums(), 0)
 	var toB exchange.Bundle
-	a.Answer(&toB, nil, summaries, start)
+	a.Reconcile(&toB, nil, summaries, start)
 	a.Missing(&toB, covered, summaries, start)
 	b.Merge(toB.Items, "a", start)
 	var toA exchange.Bundle
-	b.Answer(&toA, toB.Want, nil, start)
+	b.Reconcile(&toA, toB.Want, nil, start)
 	a.Merge(toA.Items, "b", start)
 }
 
@@ -98,15 +98,15 @@
 		t.Fatalf("sent %d items and %d summaries, want 0 and 1", len(first.Items), len(first.Summaries))
 	}
 	var want exchange.Bundle
-	b.Answer(&want, nil, first.Summaries, start)
+	b.Reconcile(&want, nil, first.Summaries, start)
 	var answer exchange.Bundle
-	a.Answer(&answer, want.Want, nil, start)
+	a.Reconcile(&answer, want.Want, nil, start)
 	b.Merge(answer.Items, "a", start)
 	if got, _ := b.Get(exchange.Key{Kind: kind, Name: "pool"}); string(got.Value) != large {
 		t.Fatalf("got a value of %d bytes, want the whole", len(got.Value))
 	}
 	var again exchange.Bundle
-	b.Answer(&again, nil, first.Summaries, start)
+	b.Reconcile(&again, nil, first.Summaries, start)
 	if !again.Empty() {
 		t.Fatal("the value would be fetched a second time")
 	}
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -240,10 +240,10 @@
 	return s.Merge(items, peer, now)
 }
 
-// Answer adds to the bundle the items that the peer requested and those that it
+// Reconcile adds to the bundle the items that the peer requested and those that it
 // has in an older version according to its summaries. It requests the items that
 // the peer has in a newer version.
-func (s *Store) Answer(b *Bundle, want []*fleetpb.ItemKey, summaries []*fleetpb.Summary, now time.Time) {
+func (s *Store) Reconcile(b *Bundle, want []*fleetpb.ItemKey, summaries []*fleetpb.Summary, now time.Time) {
 	for _, k := range want {
 		if e := s.items[keyOf(k)]; e != nil {
 			b.Items = append(b.Items, e.message(now))
