--- a/fleet/core.go
+++ b/fleet/core.go
@@ -318,7 +318,7 @@
 func (c *core) followUp(o outgoing, in *fleetpb.ExchangeReply, now time.Time) []outgoing {
 	var b exchange.Bundle
 	c.store.Reconcile(&b, in.GetWant(), in.GetSummaries(), now)
-	c.store.Missing(&b, in.GetBuckets(), in.GetSummaries(), now)
+	c.store.AddMissing(&b, in.GetBuckets(), in.GetSummaries(), now)
 	c.store.AddNewer(&b, in.GetItems(), now)
 	differ := in.GetRoot() != c.store.Root()
 	compare := differ && now.Sub(c.lastCompare) >= compareInterval && len(in.GetBuckets()) == 0
--- a/fleet/exchange/compare.go
+++ b/fleet/exchange/compare.go
@@ -58,9 +58,9 @@
 	}
 }
 
-// Missing adds to the bundle the items without a TTL that are in the covered
+// AddMissing adds to the bundle the items without a TTL that are in the covered
 // buckets, counted from 1, and not among the peer's summaries.
-func (s *Store) Missing(b *Bundle, covered []uint32, summaries []*fleetpb.Summary, now time.Time) {
+func (s *Store) AddMissing(b *Bundle, covered []uint32, summaries []*fleetpb.Summary, now time.Time) {
 	named := make(map[Key]bool, len(summaries))
 	for _, sum := range summaries {
 		named[keyOf(sum.GetKey())] = true
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -25,7 +25,7 @@
 	summaries, covered := b.Differing(a.BucketSums(), 0)
 	var toB exchange.Bundle
 	a.Reconcile(&toB, nil, summaries, start)
-	a.Missing(&toB, covered, summaries, start)
+	a.AddMissing(&toB, covered, summaries, start)
 	b.Merge(toB.Items, "a", start)
 	var toA exchange.Bundle
 	b.Reconcile(&toA, toB.Want, nil, start)
