--- a/fleet/core.go
+++ b/fleet/core.go
@@ -323,7 +323,7 @@
 	differ := in.GetRoot() != c.store.Root()
 	compare := differ && now.Sub(c.lastCompare) >= compareInterval && len(in.GetBuckets()) == 0
 	if differ && o.purpose == purposeHeartbeat && o.rounds == 0 {
-		c.store.Recent(&b)
+		c.store.AddRecent(&b)
 	}
 	if b.Empty() && !compare {
 		return nil
--- a/fleet/exchange/compare.go
+++ b/fleet/exchange/compare.go
@@ -48,9 +48,9 @@
 	return list, covered
 }
 
-// Recent adds summaries of the latest changes of items without a TTL to the
+// AddRecent adds summaries of the latest changes of items without a TTL to the
 // bundle.
-func (s *Store) Recent(b *Bundle) {
+func (s *Store) AddRecent(b *Bundle) {
 	for _, e := range s.recent {
 		if !e.removed {
 			b.Summaries = append(b.Summaries, e.summary())
