--- a/fleet/core.go
+++ b/fleet/core.go
@@ -219,7 +219,7 @@
 // changes.
 func (c *core) newCall(peer member.Peer, p purpose, maxBytes int, now time.Time) outgoing {
 	var b exchange.Bundle
-	c.store.Next(&b, peer.Name, c.fleetSize(), maxBytes, now)
+	c.store.AddPending(&b, peer.Name, c.fleetSize(), maxBytes, now)
 	c.addPeerStatus(&b, peer.Name, 0)
 	return outgoing{peer: peer, purpose: p, request: c.request(&b), started: now, bundle: b}
 }
@@ -262,7 +262,7 @@
 	c.store.Reconcile(&b, in.GetWant(), in.GetSummaries(), now)
 	c.store.AddNewer(&b, in.GetItems(), now)
 	if c.budget > 0 {
-		c.store.Next(&b, name, c.fleetSize(), maxCallBytes, now)
+		c.store.AddPending(&b, name, c.fleetSize(), maxCallBytes, now)
 	}
 	c.addPeerStatus(&b, name, in.GetCaller().GetIncarnation())
 	c.budget -= float64(b.Bytes())
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -62,7 +62,7 @@
 			},
 			"send": func(t *rapid.T) {
 				var b exchange.Bundle
-				stores[rapid.IntRange(0, 2).Draw(t, "from")].Next(&b, "", 3, rapid.IntRange(1, 500).Draw(t, "bytes"), start)
+				stores[rapid.IntRange(0, 2).Draw(t, "from")].AddPending(&b, "", 3, rapid.IntRange(1, 500).Draw(t, "bytes"), start)
 				sent = append(sent, b.Items)
 			},
 			"deliver": func(t *rapid.T) {
@@ -93,7 +93,7 @@
 	large := string(bytes.Repeat([]byte("x"), 100_000))
 	a.Put(item("pool", 0, 7, large), "", start)
 	var first exchange.Bundle
-	a.Next(&first, "b", 8, 1000, start)
+	a.AddPending(&first, "b", 8, 1000, start)
 	if len(first.Items) != 0 || len(first.Summaries) != 1 {
 		t.Fatalf("sent %d items and %d summaries, want 0 and 1", len(first.Items), len(first.Summaries))
 	}
@@ -118,7 +118,7 @@
 	sends := 0
 	for s.HasPending(8) {
 		var b exchange.Bundle
-		s.Next(&b, "peer", 8, 1000, start)
+		s.AddPending(&b, "peer", 8, 1000, start)
 		sends += len(b.Items)
 	}
 	if want := exchange.SendLimit(8); sends != want {
--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -76,14 +76,14 @@
 	return !e.removed && e.sends == sends && e.redundant < maxRedundant
 }
 
-// Next adds the pending changes that were sent least often to the bundle, up to
+// AddPending adds the pending changes that were sent least often to the bundle, up to
 // about maxBytes, and counts them as sent to the peer, in a fleet of n. A change
 // is not sent back to the peer that it came from.
 //
 // The order and the limit are made for a burst of changes, such as the loss of a
 // rack: the newest changes overtake those that most peers already have, and the
 // size of a message does not depend on the fleet's size.
-func (s *Store) Next(b *Bundle, peer string, n, maxBytes int, now time.Time) {
+func (s *Store) AddPending(b *Bundle, peer string, n, maxBytes int, now time.Time) {
 	limit := SendLimit(n)
 	left := s.next(b, peer, limit, maxBytes, false, now)
 	s.next(b, peer, limit, left, true, now)
