--- a/fleet/node.go
+++ b/fleet/node.go
@@ -211,9 +211,9 @@
 	})
 }
 
-// Tell publishes the version of the records in force here and whether this
+// PublishStatus publishes the version of the records in force here and whether this
 // instance can reach the object API, if either changed.
-func (n *Node) Tell(ctx context.Context, recordsVersion uint64, storeReachable bool) error {
+func (n *Node) PublishStatus(ctx context.Context, recordsVersion uint64, storeReachable bool) error {
 	return n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
 		self := c.table.Self()
 		if self.RecordsVersion == recordsVersion && self.StoreReachable == storeReachable {
--- a/instance/fleet_run.go
+++ b/instance/fleet_run.go
@@ -155,7 +155,7 @@
 		case <-time.After(every):
 		case <-i.tellNow:
 		}
-		_ = i.peers.node.Tell(ctx, i.keeper.Version(), i.provider.StoreReachable())
+		_ = i.peers.node.PublishStatus(ctx, i.keeper.Version(), i.provider.StoreReachable())
 		if time.Since(swept) >= sweepEvery {
 			swept = time.Now()
 			i.peers.client.Sweep()
