--- a/fleet/node.go
+++ b/fleet/node.go
@@ -241,9 +241,9 @@
 	return n.do(ctx, func(*core, time.Time) []outgoing { return nil })
 }
 
-// Left pushes to some partners that this instance ends now, and waits for the
+// FinishLeave pushes to some partners that this instance ends now, and waits for the
 // calls in flight. Peers that miss the message detect the end by themselves.
-func (n *Node) Left(ctx context.Context) error {
+func (n *Node) FinishLeave(ctx context.Context) error {
 	err := n.do(ctx, func(c *core, now time.Time) []outgoing {
 		c.put(now, c.table.Left())
 		return c.pushes(now)
--- a/fleet/node_test.go
+++ b/fleet/node_test.go
@@ -186,7 +186,7 @@
 				t.Fatalf("%s has items %v, want 5 members", name(i), d.Kinds)
 			}
 		}
-		if err := nodes[3].Left(ctx); err != nil {
+		if err := nodes[3].FinishLeave(ctx); err != nil {
 			t.Fatal(err)
 		}
 		cancel()
--- a/instance/fleet_run.go
+++ b/instance/fleet_run.go
@@ -175,7 +175,7 @@
 
 // stopFleet says the last word and ends the duties.
 func (i *Instance) stopFleet(ctx context.Context) {
-	_ = i.peers.node.Left(ctx)
+	_ = i.peers.node.FinishLeave(ctx)
 	i.peers.stop()
 	i.peers.open.Wait()
 	i.peers.client.Close()
