--- a/fleet/core_test.go
+++ b/fleet/core_test.go
@@ -320,7 +320,7 @@
 	g.cores[5].put(g.now, g.cores[5].table.Leave())
 	g.run(2 * time.Second)
 	g.wantStatus(5, fleetpb.MemberStatus_MEMBER_STATUS_LEAVING)
-	g.cores[5].put(g.now, g.cores[5].table.Left())
+	g.cores[5].put(g.now, g.cores[5].table.FinishLeave())
 	g.run(2 * time.Second)
 	g.wantStatus(5, fleetpb.MemberStatus_MEMBER_STATUS_LEFT)
 }
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -90,8 +90,8 @@
 	return t.Update(func(m *Member) { m.Status = fleetpb.MemberStatus_MEMBER_STATUS_LEAVING })
 }
 
-// Left sets the instance's status to LEFT, its final state.
-func (t *Table) Left() exchange.Item {
+// FinishLeave sets the instance's status to LEFT, its final state.
+func (t *Table) FinishLeave() exchange.Item {
 	t.Update(func(m *Member) { m.Status = fleetpb.MemberStatus_MEMBER_STATUS_LEFT })
 	t.version += rankLeft
 	return t.SelfItem()
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -245,7 +245,7 @@
 // calls in flight. Peers that miss the message detect the end by themselves.
 func (n *Node) FinishLeave(ctx context.Context) error {
 	err := n.do(ctx, func(c *core, now time.Time) []outgoing {
-		c.put(now, c.table.Left())
+		c.put(now, c.table.FinishLeave())
 		return c.pushes(now)
 	})
 	if err != nil {
