--- a/fleet/exchange/send.go
+++ b/fleet/exchange/send.go
@@ -85,12 +85,12 @@
 // size of a message does not depend on the fleet's size.
 func (s *Store) AddPending(b *Bundle, peer string, n, maxBytes int, now time.Time) {
 	limit := SendLimit(n)
-	left := s.next(b, peer, limit, maxBytes, false, now)
-	s.next(b, peer, limit, left, true, now)
+	left := s.addPending(b, peer, limit, maxBytes, false, now)
+	s.addPending(b, peer, limit, left, true, now)
 }
 
-// next adds the pending changes of one priority and returns the bytes left.
-func (s *Store) next(b *Bundle, peer string, limit, maxBytes int, lowPriority bool, now time.Time) int {
+// addPending adds the pending changes of one priority and returns the bytes left.
+func (s *Store) addPending(b *Bundle, peer string, limit, maxBytes int, lowPriority bool, now time.Time) int {
 	var sent []*entry
 	for i := 0; i < limit && maxBytes > 0; i++ {
 		queue := s.pending[i]
