--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -75,8 +75,8 @@
 
 func round(version uint64) uint64 { return version / roundSize }
 
-// Bounds are the time limits of failure detection.
-type Bounds struct {
+// Timeouts are the time limits of failure detection.
+type Timeouts struct {
 	// Expel is how long a member may be suspected before it is declared dead.
 	Expel time.Duration
 	// Forget is how long dead and left members are kept in the table. Dead ones
@@ -88,7 +88,7 @@
 // DefaultBounds give a paused instance time to recover: pauses of a second or two
 // are common on busy machines, and declaring an instance dead moves the ownership
 // of its endpoints.
-var DefaultBounds = Bounds{Expel: 6 * time.Second, Forget: time.Hour}
+var DefaultBounds = Timeouts{Expel: 6 * time.Second, Forget: time.Hour}
 
 func itemKey(name string) exchange.Key {
 	return exchange.Key{Kind: fleetpb.ItemKind_ITEM_KIND_MEMBER, Name: name}
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -24,7 +24,7 @@
 type Table struct {
 	self    Member
 	version uint64
-	bounds  Bounds
+	bounds  Timeouts
 	random  *rand.Rand
 
 	members map[string]*state
@@ -49,7 +49,7 @@
 // New returns a table with only the instance itself. The incarnation of self
 // should be higher than that of its last start; if a peer remembers a higher one,
 // Apply raises it.
-func New(self Member, seeds []string, bounds Bounds, random *rand.Rand) *Table {
+func New(self Member, seeds []string, bounds Timeouts, random *rand.Rand) *Table {
 	self.Status = fleetpb.MemberStatus_MEMBER_STATUS_ALIVE
 	return &Table{
 		self: self, version: roundSize, bounds: bounds, random: random,
