--- a/fleet/member/member.go
+++ b/fleet/member/member.go
@@ -85,10 +85,10 @@
 	Forget time.Duration
 }
 
-// DefaultBounds give a paused instance time to recover: pauses of a second or two
+// DefaultTimeouts give a paused instance time to recover: pauses of a second or two
 // are common on busy machines, and declaring an instance dead moves the ownership
 // of its endpoints.
-var DefaultBounds = Timeouts{Expel: 6 * time.Second, Forget: time.Hour}
+var DefaultTimeouts = Timeouts{Expel: 6 * time.Second, Forget: time.Hour}
 
 func itemKey(name string) exchange.Key {
 	return exchange.Key{Kind: fleetpb.ItemKind_ITEM_KIND_MEMBER, Name: name}
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -55,8 +55,8 @@
 }
 
 func tableOf(n int) *member.Table {
-	t := member.New(member.Member{Name: "self"}, nil, member.DefaultBounds, rand.New(rand.NewPCG(1, 1)))
-	other := member.New(member.Member{Name: "other"}, nil, member.DefaultBounds, rand.New(rand.NewPCG(1, 1)))
+	t := member.New(member.Member{Name: "self"}, nil, member.DefaultTimeouts, rand.New(rand.NewPCG(1, 1)))
+	other := member.New(member.Member{Name: "other"}, nil, member.DefaultTimeouts, rand.New(rand.NewPCG(1, 1)))
 	for i := range n {
 		it := other.Update(func(m *member.Member) {
 			m.Name, m.Address, m.DataCentre = fmt.Sprintf("entry-%04d", i), fmt.Sprintf("10.0.%d.%d:8082", i/256, i%256), "accra-1"
