--- a/fleet/core.go
+++ b/fleet/core.go
@@ -123,7 +123,7 @@
 	c := &core{
 		fleet:           cfg.Fleet,
 		store:           exchange.NewStore(),
-		table:           member.New(cfg.Self, cfg.Seeds, cfg.Bounds, random),
+		table:           member.New(cfg.Self, cfg.Seeds, cfg.Timeouts, random),
 		recordsComplete: cfg.Complete,
 		onChange:        cfg.Changed,
 		budget:          burstBytes,
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -50,7 +50,7 @@
 	Self member.Member
 	// Seeds are addresses of instances that may be running at start.
 	Seeds  []string
-	Bounds member.Timeouts
+	Timeouts member.Timeouts
 	Client *transport.Client
 	Clock  clock.Clock
 	// Seed seeds the random choice of peers. It should differ between instances.
--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -165,7 +165,7 @@
 func (i *Instance) provisionNode(self member.Member) {
 	p := i.peers
 	p.node = fleet.NewNode(fleet.Config{
-		Fleet: i.settings.GetFleet(), Self: self, Seeds: i.settings.GetSeeds(), Bounds: member.DefaultTimeouts,
+		Fleet: i.settings.GetFleet(), Self: self, Seeds: i.settings.GetSeeds(), Timeouts: member.DefaultTimeouts,
 		Client: p.client, Clock: clock.System{}, Seed: xxh3.HashString(self.Name) ^ self.Incarnation,
 		Complete:    i.keeper.Complete,
 		ViewChanged: func(v *member.View) { latest(p.views, v) },
--- a/internal/slopes/exchange.go
+++ b/internal/slopes/exchange.go
@@ -57,7 +57,7 @@
 			Name: fmt.Sprintf("entry-%03d", i), Address: n.address, DataCentre: "accra-1", Region: "accra",
 			Incarnation: uint64(time.Now().UnixNano()),
 		},
-		Seeds: seeds, Bounds: member.DefaultTimeouts, Client: n.client, Clock: clock.System{}, Seed: uint64(i),
+		Seeds: seeds, Timeouts: member.DefaultTimeouts, Client: n.client, Clock: clock.System{}, Seed: uint64(i),
 		Complete: func() bool { return true },
 		Changed: func(items []exchange.Item) {
 			for _, it := range items {
