--- a/fleet/core_test.go
+++ b/fleet/core_test.go
@@ -61,7 +61,7 @@
 		Fleet:    "test",
 		Self:     member.Member{Name: name(i), Address: address(i), DataCentre: "accra-1", Incarnation: incarnation},
 		Seeds:    g.seeds,
-		Timeouts:   member.DefaultTimeouts,
+		Timeouts: member.DefaultTimeouts,
 		Complete: func() bool { return true },
 		Changed:  func([]exchange.Item) {},
 	}, rand.New(rand.NewPCG(1, uint64(i))), g.now)
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -22,10 +22,10 @@
 // Table is the list of members. The caller publishes the items that its methods
 // return.
 type Table struct {
-	self    Member
-	version uint64
-	bounds  Timeouts
-	random  *rand.Rand
+	self     Member
+	version  uint64
+	timeouts Timeouts
+	random   *rand.Rand
 
 	members map[string]*state
 	// seeds and listed are the addresses from the settings and from the
@@ -49,10 +49,10 @@
 // New returns a table with only the instance itself. The incarnation of self
 // should be higher than that of its last start; if a peer remembers a higher one,
 // Apply raises it.
-func New(self Member, seeds []string, bounds Timeouts, random *rand.Rand) *Table {
+func New(self Member, seeds []string, timeouts Timeouts, random *rand.Rand) *Table {
 	self.Status = fleetpb.MemberStatus_MEMBER_STATUS_ALIVE
 	return &Table{
-		self: self, version: roundSize, bounds: bounds, random: random,
+		self: self, version: roundSize, timeouts: timeouts, random: random,
 		members: map[string]*state{}, seeds: seeds,
 	}
 }
@@ -64,7 +64,7 @@
 func (t *Table) SelfItem() exchange.Item {
 	ttl := time.Duration(0)
 	if t.self.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT {
-		ttl = t.bounds.Forget
+		ttl = t.timeouts.Forget
 	}
 	return encode(t.self, t.version, ttl)
 }
@@ -172,14 +172,14 @@
 	membersExpelled.Inc()
 	m := s.Member
 	m.Status = fleetpb.MemberStatus_MEMBER_STATUS_DEAD
-	return encode(m, round(s.version)*roundSize+rankDead, t.bounds.Forget)
+	return encode(m, round(s.version)*roundSize+rankDead, t.timeouts.Forget)
 }
 
 // Tick returns the items that declare dead the members suspected for too long.
 func (t *Table) Tick(now time.Time) []exchange.Item {
 	var items []exchange.Item
 	for _, s := range t.members {
-		if s.Status == fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT && now.Sub(s.suspectSince) >= t.bounds.Expel {
+		if s.Status == fleetpb.MemberStatus_MEMBER_STATUS_SUSPECT && now.Sub(s.suspectSince) >= t.timeouts.Expel {
 			items = append(items, t.markDead(s))
 		}
 	}
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -49,10 +49,10 @@
 	// Self describes the instance; its incarnation should be the start time.
 	Self member.Member
 	// Seeds are addresses of instances that may be running at start.
-	Seeds  []string
+	Seeds    []string
 	Timeouts member.Timeouts
-	Client *transport.Client
-	Clock  clock.Clock
+	Client   *transport.Client
+	Clock    clock.Clock
 	// Seed seeds the random choice of peers. It should differ between instances.
 	Seed uint64
 	// Complete reports whether this instance has all records.
--- a/fleet/node_test.go
+++ b/fleet/node_test.go
@@ -89,7 +89,7 @@
 		Fleet:    "test",
 		Self:     member.Member{Name: name(i), Address: address(i), Incarnation: uint64(time.Now().UnixNano())},
 		Seeds:    []string{address(0)},
-		Timeouts:   member.DefaultTimeouts,
+		Timeouts: member.DefaultTimeouts,
 		Client:   client,
 		Clock:    clock.System{},
 		Seed:     uint64(i),
