--- a/fleet/core_test.go
+++ b/fleet/core_test.go
@@ -383,7 +383,7 @@
 		}
 		for i, c := range g.cores {
 			if c.store.Root() != g.cores[0].store.Root() {
-				t.Fatalf("%s has a different state from the first instance", name(i))
+				t.Fatalf("%s has other state than the first instance", name(i))
 			}
 		}
 	})
--- a/fleet/exchange/store.go
+++ b/fleet/exchange/store.go
@@ -114,7 +114,7 @@
 
 // Put stores an item received from the peer source, or published by this
 // instance if source is empty. It reports whether the item was stored, that is,
-// newer than the present one. An older one is ignored, so that no order of
+// newer than the stored one. An older one is ignored, so that no order of
 // messages can revert state.
 func (s *Store) Put(it Item, source string, now time.Time) bool {
 	old := s.items[it.Key]
@@ -168,8 +168,6 @@
 	s.toggleSum(e)
 }
 
-// toggleSum adds an item to the sums, or takes it out: exclusive or is its own
-// inverse.
 // toggleSum adds an entry to the checksums or removes it from them: XOR is its
 // own inverse.
 func (s *Store) toggleSum(e *entry) {
--- a/fleet/member/partners.go
+++ b/fleet/member/partners.go
@@ -23,8 +23,8 @@
 	// partner is replaced by another member, so that each member calls each
 	// other one in bounded time.
 	callsPerPartner = 16
-	// callsPerReconnect is how many calls there are per call to an address that
-	// no live member has: of a dead member, a seed, or an instance that the
+	// callsPerReconnect is the number of calls of which one goes to an address
+	// that no live member has: a dead member's, a seed's, or one that the
 	// platform lists. These calls join the two sides again after a partition.
 	callsPerReconnect = 8
 )
@@ -81,7 +81,7 @@
 	return list
 }
 
-// partnerNames returns the names of the present partners.
+// partnerNames returns the names of the current partners.
 func (t *Table) partnerNames() []string {
 	t.fillRing()
 	t.fillPartners()
--- a/fleet/member/table.go
+++ b/fleet/member/table.go
@@ -208,7 +208,7 @@
 // itself.
 func (t *Table) Len() int { return len(t.members) }
 
-// View returns a snapshot of the present members.
+// View returns a snapshot of the current members.
 func (t *Table) View() *View {
 	v := &View{Self: t.self.Name, Members: make([]Member, 0, len(t.members)+1)}
 	v.Members = append(v.Members, t.self)
--- a/fleet/node.go
+++ b/fleet/node.go
@@ -193,8 +193,8 @@
 // published again only after half of its TTL, and never without one.
 func (n *Node) PublishNext(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error {
 	return n.events.Put(ctx, func(c *core, now time.Time) []outgoing {
-		old, held := c.store.Get(key)
-		if held && bytes.Equal(old.Value, value) && (ttl == 0 || c.store.Remaining(key, now) > ttl/2) {
+		old, ok := c.store.Get(key)
+		if ok && bytes.Equal(old.Value, value) && (ttl == 0 || c.store.Remaining(key, now) > ttl/2) {
 			return nil
 		}
 		c.put(now, exchange.Item{Key: key, Epoch: old.Epoch, Version: old.Version + 1, Value: value, TTL: ttl})
--- a/fleet/node_test.go
+++ b/fleet/node_test.go
@@ -148,7 +148,7 @@
 		second, received := startNode(ctx, t, w, 1, false)
 		begin := time.Now()
 		if !second.Pull(ctx, []string{"unreachable", address(0)}) {
-			t.Fatal("no peer with all records returned them")
+			t.Fatal("the peer's records are not complete")
 		}
 		if took := time.Since(begin); took >= time.Second {
 			t.Fatalf("the pull took %v", took)
--- a/fleet/start.go
+++ b/fleet/start.go
@@ -29,7 +29,7 @@
 	tried := 0
 	next := time.NewTimer(0)
 	defer next.Stop()
-	for open := 0; tried < len(addresses) || open > 0; {
+	for running := 0; tried < len(addresses) || running > 0; {
 		select {
 		case <-next.C:
 			if tried == len(addresses) {
@@ -37,11 +37,11 @@
 			}
 			address := addresses[tried]
 			tried++
-			open++
+			running++
 			next.Reset(pullStagger)
 			go func() { results <- address != n.cfg.Self.Address && n.pullAll(ctx, address) }()
 		case complete := <-results:
-			open--
+			running--
 			if complete {
 				return true
 			}
@@ -95,7 +95,7 @@
 	Budget  int             `json:"budget_bytes"`
 }
 
-// Dump returns the present state. Counts are missing if ctx is done or the node
+// Dump returns the current state. Counts are missing if ctx is done or the node
 // has stopped before its goroutine counted the items.
 func (n *Node) Dump(ctx context.Context) Dump {
 	view := n.View()
