--- a/fleet/transport/client.go
+++ b/fleet/transport/client.go
@@ -165,7 +165,7 @@
 
 // wrapFailure counts the failure of a call without an answer and wraps its error.
 func (c *Client) wrapFailure(err error, address string) error {
-	c.traffic.CallsLost.Add(1)
+	c.traffic.CallsFailed.Add(1)
 	callFailures.Inc()
 	return fault.Wrap(err, fault.Unavailable, "check that the instance runs and can be reached", "call instance %s", address)
 }
--- a/fleet/transport/metrics.go
+++ b/fleet/transport/metrics.go
@@ -23,10 +23,10 @@
 // Traffic counts what an instance sends to its peers and receives from them. Sent
 // and Received are bytes of TCP payload: TLS is included, packet headers are not.
 type Traffic struct {
-	Sent, Received   atomic.Uint64
-	Writes, Reads    atomic.Uint64
-	Dials, Accepts   atomic.Uint64
-	Calls, CallsLost atomic.Uint64
+	Sent, Received     atomic.Uint64
+	Writes, Reads      atomic.Uint64
+	Dials, Accepts     atomic.Uint64
+	Calls, CallsFailed atomic.Uint64
 }
 
 // countedConn counts the bytes, reads and writes of one connection.
