--- a/fleet/exchange/store.go
+++ b/fleet/exchange/store.go
@@ -113,8 +113,8 @@
 }
 
 // Put stores an item received from the peer source, or published by this
-// instance if source is empty. It reports whether the item was stored, that is,
-// newer than the stored one. An older one is ignored, so that no order of
+// instance if source is empty. It reports whether the item was stored. An item
+// that is not newer than the one in the store is ignored, so that no order of
 // messages can revert state.
 func (s *Store) Put(it Item, source string, now time.Time) bool {
 	old := s.items[it.Key]
