--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -20,22 +20,22 @@
 	return exchange.Item{Key: exchange.Key{Kind: kind, Name: name}, Epoch: epoch, Version: version, Value: []byte(value)}
 }
 
-// compare runs one full compare from a to b, as two instances do it.
+// compare runs one full compare begun by a with b, as two instances do.
 func compare(a, b *exchange.Store) {
 	summaries, covered := b.Differing(a.BucketSums(), 0)
 	var toB exchange.Bundle
-	a.Answer(&toB, nil, summaries, start)
-	a.Missing(&toB, covered, summaries, start)
-	b.Take(toB.Items, "a", start)
+	a.Reconcile(&toB, nil, summaries, start)
+	a.AddMissing(&toB, covered, summaries, start)
+	b.Merge(toB.Items, "a", start)
 	var toA exchange.Bundle
-	b.Answer(&toA, toB.Want, nil, start)
-	a.Take(toA.Items, "b", start)
+	b.Reconcile(&toA, toB.Want, nil, start)
+	a.Merge(toA.Items, "b", start)
 }
 
-// Messages between instances are lost, doubled and come in any order, some of
-// them from a peer that was cut off for long. If an old one could win, an
-// operator would see a change come into force and go again.
-func TestNothingReverts(t *testing.T) {
+// Messages between instances are lost, duplicated and reordered, and some come from a
+// peer that was partitioned for long. If an old version could replace a newer one, an
+// operator would see a change come into force and be reverted.
+func TestNoItemReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stores := []*exchange.Store{exchange.NewStore(), exchange.NewStore(), exchange.NewStore()}
 		highest := make([]map[string][2]uint64, len(stores))
@@ -62,7 +62,7 @@
 			},
 			"send": func(t *rapid.T) {
 				var b exchange.Bundle
-				stores[rapid.IntRange(0, 2).Draw(t, "from")].Next(&b, "", 3, rapid.IntRange(1, 500).Draw(t, "bytes"), start)
+				stores[rapid.IntRange(0, 2).Draw(t, "from")].AddPending(&b, "", 3, rapid.IntRange(1, 500).Draw(t, "bytes"), start)
 				sent = append(sent, b.Items)
 			},
 			"deliver": func(t *rapid.T) {
@@ -70,7 +70,7 @@
 					t.Skip("nothing was sent")
 				}
 				i := rapid.IntRange(0, 2).Draw(t, "to")
-				stores[i].Take(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "message")], "peer", start)
+				stores[i].Merge(sent[rapid.IntRange(0, len(sent)-1).Draw(t, "message")], "peer", start)
 				check(i)
 			},
 			"compare": func(t *rapid.T) {
@@ -86,29 +86,29 @@
 	})
 }
 
-// A record of a large pool is changed. If each peer sent its copy unasked, one
-// change would cost the value's size times the number of transmissions.
+// A record of a large pool is changed. If each peer sent the value without a request,
+// one change would cost the value's size times the number of sends.
 func TestLargeValueIsAnnouncedAndFetchedOnce(t *testing.T) {
 	a, b := exchange.NewStore(), exchange.NewStore()
 	large := string(bytes.Repeat([]byte("x"), 100_000))
 	a.Put(item("pool", 0, 7, large), "", start)
 	var first exchange.Bundle
-	a.Next(&first, "b", 8, 1000, start)
+	a.AddPending(&first, "b", 8, 1000, start)
 	if len(first.Items) != 0 || len(first.Summaries) != 1 {
-		t.Fatalf("sent %d items, %d summaries", len(first.Items), len(first.Summaries))
+		t.Fatalf("sent %d items and %d summaries, want 0 and 1", len(first.Items), len(first.Summaries))
 	}
 	var want exchange.Bundle
-	b.Answer(&want, nil, first.Summaries, start)
+	b.Reconcile(&want, nil, first.Summaries, start)
 	var answer exchange.Bundle
-	a.Answer(&answer, want.Want, nil, start)
-	b.Take(answer.Items, "a", start)
+	a.Reconcile(&answer, want.Want, nil, start)
+	b.Merge(answer.Items, "a", start)
 	if got, _ := b.Get(exchange.Key{Kind: kind, Name: "pool"}); string(got.Value) != large {
-		t.Fatalf("got %d bytes", len(got.Value))
+		t.Fatalf("got a value of %d bytes, want the whole", len(got.Value))
 	}
 	var again exchange.Bundle
-	b.Answer(&again, nil, first.Summaries, start)
+	b.Reconcile(&again, nil, first.Summaries, start)
 	if !again.Empty() {
-		t.Fatal("the value is fetched a second time")
+		t.Fatal("the value would be fetched a second time")
 	}
 }
 
@@ -116,9 +116,9 @@
 	s := exchange.NewStore()
 	s.Put(item("a", 0, 1, "v"), "", start)
 	sends := 0
-	for s.HasHot(8) {
+	for s.HasPending(8) {
 		var b exchange.Bundle
-		s.Next(&b, "peer", 8, 1000, start)
+		s.AddPending(&b, "peer", 8, 1000, start)
 		sends += len(b.Items)
 	}
 	if want := exchange.SendLimit(8); sends != want {
@@ -126,17 +126,17 @@
 	}
 }
 
-func TestItemWithTTLIsForgotten(t *testing.T) {
+func TestItemWithTTLExpires(t *testing.T) {
 	s := exchange.NewStore()
 	it := item("a", 0, 1, "v")
 	it.TTL = time.Second
 	s.Put(it, "", start)
 	s.Expire(start.Add(999 * time.Millisecond))
 	if s.Len() != 1 {
-		t.Fatal("forgotten too early")
+		t.Fatal("the item expired too early")
 	}
 	s.Expire(start.Add(time.Second))
 	if s.Len() != 0 || s.Root() != 0 {
-		t.Fatal("not forgotten")
+		t.Fatal("the item has not expired")
 	}
 }
--- a/fleet/transport/metrics.go
+++ b/fleet/transport/metrics.go
@@ -20,16 +20,16 @@
 	receivedBytes      = metrics.GetOrCreateCounter(`sardinedock_fleet_received_bytes_total`)
 )
 
-// Traffic counts what an instance sends to its peers and gets from them. The
-// counts are of TCP payload, TLS included; packet headers are not in them.
+// Traffic counts what an instance sends to its peers and receives from them. Sent
+// and Received are bytes of TCP payload: TLS is included, packet headers are not.
 type Traffic struct {
-	Sent, Received   atomic.Uint64
-	Writes, Reads    atomic.Uint64
-	Dials, Accepts   atomic.Uint64
-	Calls, CallsLost atomic.Uint64
+	Sent, Received     atomic.Uint64
+	Writes, Reads      atomic.Uint64
+	Dials, Accepts     atomic.Uint64
+	Calls, CallsFailed atomic.Uint64
 }
 
-// countedConn counts the bytes of one connection.
+// countedConn counts the bytes, reads and writes of one connection.
 type countedConn struct {
 	net.Conn
 	traffic *Traffic
--- a/instance/fleet_run.go
+++ b/instance/fleet_run.go
@@ -156,7 +156,7 @@
 		case <-time.After(every):
 		case <-i.publishNow:
 		}
-		_ = i.peers.node.Tell(ctx, i.keeper.Version(), i.provider.StoreReachable())
+		_ = i.peers.node.PublishStatus(ctx, i.keeper.Version(), i.provider.StoreReachable())
 		if time.Since(swept) >= sweepInterval {
 			swept = time.Now()
 			i.peers.client.Sweep()
@@ -177,7 +177,7 @@
 // stopFleet announces to peers that this instance has left and stops the components of the
 // fleet.
 func (i *Instance) stopFleet(ctx context.Context) {
-	_ = i.peers.node.Left(ctx)
+	_ = i.peers.node.FinishLeave(ctx)
 	i.peers.stop()
 	i.peers.wg.Wait()
 	i.peers.client.Close()
