--- a/emulator/answer.go
+++ b/emulator/answer.go
@@ -11,27 +11,28 @@
 )
 
 const (
-	// defaultMaxTokens is the published API's default for completions.
+	// defaultMaxTokens is the OpenAI API's default for completions.
 	defaultMaxTokens = 16
-	// hashDigits is the length of a token's hash. Forty bits tell the answers
-	// of all requests of a long run apart.
+	// hashDigits is the number of hex digits of a token's hash. Forty bits keep the answers of all
+	// requests of a long run distinct.
 	hashDigits = 10
-	// roleLine heads the message that a chat answer goes on with.
+	// roleLine is the assistant header that precedes the partial answer in a continued chat.
 	roleLine = "assistant\n"
 )
 
-// Answer returns the tokens that every engine stand-in answers a prompt with.
+// Answer returns the tokens with which every emulated engine answers a prompt.
 //
-// Token i is the hash of the prompt, a dot, i and a space. A prompt that ends
-// in tokens 0 to k-1 of the text before them is a continuation and is answered
-// from token k on. So a stream that broke off after k tokens is completed by
-// any engine that is given the prompt with those tokens appended.
+// Token i is the hash of the prompt, a dot, i and a space. A prompt that ends in tokens 0 to k-1 of
+// the answer to the text before them is a continuation and is answered from token k on. A stream
+// that was interrupted after k tokens can therefore be completed by any engine that gets the prompt
+// with those tokens appended.
 func Answer(prompt string, maxTokens int) []string {
 	base, from := splitContinuation(prompt)
 	return tokensOf(base, from, maxTokens)
 }
 
-// ChatPrompt is the text of a chat for Answer: each message as "role\ncontent\n".
+// ChatPrompt returns the prompt text of a chat as Answer expects it: each message as
+// "role\ncontent\n".
 func ChatPrompt(messages []Message) string {
 	var b strings.Builder
 	for _, m := range messages {
@@ -60,8 +61,9 @@
 	return fmt.Sprintf("%0*x", hashDigits, xxh3.HashString(base)&(1<<(4*hashDigits)-1))
 }
 
-// splitContinuation cuts the tokens off that a prompt ends in and returns the
-// index of the next one.
+// splitContinuation removes the answer tokens at the end of a prompt and returns the original
+// prompt and the index of the next token. A prompt that is no continuation is returned unchanged
+// with index 0.
 func splitContinuation(prompt string) (base string, next int) {
 	rest, hash, last, ok := cutToken(prompt)
 	for index := last; ok && index > 0; {
@@ -77,13 +79,14 @@
 	if hashOf(rest) == hash {
 		return rest, last + 1
 	}
-	if asked, cut := strings.CutSuffix(rest, roleLine); cut && hashOf(asked) == hash {
-		return asked, last + 1
+	if chat, found := strings.CutSuffix(rest, roleLine); found && hashOf(chat) == hash {
+		return chat, last + 1
 	}
 	return prompt, 0
 }
 
-// cutToken cuts the last token off a text.
+// cutToken removes the last token of a text and returns its hash and index. It returns false if the
+// text does not end in a token.
 func cutToken(text string) (before, hash string, index int, ok bool) {
 	body, ok := strings.CutSuffix(text, " ")
 	if !ok {
@@ -106,7 +109,7 @@
 	Content string `json:"content"`
 }
 
-// body is the part of the OpenAI-style body that matters here.
+// body holds the fields of an OpenAI-style request body that the emulator uses.
 type body struct {
 	Model               string          `json:"model"`
 	Prompt              json.RawMessage `json:"prompt"`
@@ -119,7 +122,7 @@
 	ContinueFinal       bool            `json:"continue_final_message"`
 }
 
-// text returns what is cut into blocks and answered.
+// text returns the prompt text, which is split into cache blocks and answered.
 func (b *body) text(chat bool) (string, error) {
 	if !chat {
 		var prompt string
@@ -134,7 +137,7 @@
 	return ChatPrompt(b.Messages), nil
 }
 
-// answer returns the tokens of the whole answer to the body.
+// answer returns all tokens of the answer to the request with the given prompt text.
 func (b *body) answer(text string) []string {
 	limit := b.MaxTokens
 	if limit == 0 {
--- a/emulator/bucket.go
+++ b/emulator/bucket.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// bucket is a token bucket that holds one second's worth. A zero rate lets
-// everything pass.
+// bucket is a token bucket with a capacity of one second's tokens. A zero rate sets no limit.
 type bucket struct {
 	rate   float64
 	tokens float64
@@ -12,6 +11,7 @@
 
 func newBucket(rate float64) bucket { return bucket{rate: rate, tokens: rate} }
 
+// take removes a token and reports whether there was one.
 func (b *bucket) take(now time.Time) bool {
 	if b.rate == 0 {
 		return true
--- a/emulator/cache.go
+++ b/emulator/cache.go
@@ -6,16 +6,16 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// blockCache is an engine's prefix cache: a bounded number of blocks, of which
-// the least recently used goes first. The engine's mutex guards it.
+// blockCache is an engine's prefix cache: a bounded number of blocks with least-recently-used
+// eviction. The engine's mutex guards it.
 type blockCache struct {
 	limit   int
 	order   *list.List
 	entries map[prefix.Hash]*list.Element
 }
 
-// cachedBlock remembers under what a block was computed, so that any use under
-// something else is noticed.
+// cachedBlock records the salt, model and version for which a block was computed, so that a match
+// under any other is detected.
 type cachedBlock struct {
 	hash    prefix.Hash
 	salt    string
@@ -27,17 +27,17 @@
 	return &blockCache{limit: limit, order: list.New(), entries: map[prefix.Hash]*list.Element{}}
 }
 
-// match returns how many of the blocks are cached from the first one on, and
-// how many of those were computed under another salt or version.
-func (c *blockCache) match(blocks []prefix.Hash, like cachedBlock) (depth, stale int) {
+// match returns the number of leading blocks that are cached, and how many of those were computed
+// under another salt, model or version than origin's.
+func (c *blockCache) match(blocks []prefix.Hash, origin cachedBlock) (depth, stale int) {
 	for _, b := range blocks {
 		element, ok := c.entries[b]
 		if !ok {
 			break
 		}
 		entry := element.Value.(cachedBlock)
-		like.hash = b
-		if entry != like {
+		origin.hash = b
+		if entry != origin {
 			stale++
 		}
 		depth++
@@ -46,8 +46,8 @@
 	return depth, stale
 }
 
-// touch makes blocks the most recent ones. The first block comes last, so that
-// the end of a prompt goes before its start.
+// touch marks blocks as the most recently used. The first block is touched last, so that the end of
+// a prompt is evicted before its start.
 func (c *blockCache) touch(blocks []prefix.Hash) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		if element, ok := c.entries[blocks[i]]; ok {
@@ -56,8 +56,8 @@
 	}
 }
 
-// insert adds blocks and returns those that were new and those that went.
-func (c *blockCache) insert(blocks []prefix.Hash, like cachedBlock) (stored, evicted []prefix.Hash) {
+// insert adds blocks and returns those that are new and those that were evicted.
+func (c *blockCache) insert(blocks []prefix.Hash, origin cachedBlock) (stored, evicted []prefix.Hash) {
 	if len(blocks) > c.limit {
 		blocks = blocks[:c.limit]
 	}
@@ -65,8 +65,8 @@
 		if _, ok := c.entries[b]; ok {
 			continue
 		}
-		like.hash = b
-		c.entries[b] = c.order.PushFront(like)
+		origin.hash = b
+		c.entries[b] = c.order.PushFront(origin)
 		stored = append(stored, b)
 	}
 	c.touch(blocks)
--- a/emulator/emulator.go
+++ b/emulator/emulator.go
@@ -1,6 +1,6 @@
-// Package emulator holds small stand-ins of the platform's object API, of
-// model engines and of a plain service, for tests and for the demo. Every fault
-// can be ordered through Go methods and through the HTTP path /control/.
+// Package emulator provides small in-process stand-ins of the platform's object API, of model
+// engines and of plain services, for tests and for the demo. Every fault can be injected through Go
+// methods and through the HTTP path /control/.
 package emulator
 
 import (
@@ -8,46 +8,46 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// Config shapes all stand-ins of one deployment.
+// Config configures all stand-ins of one deployment.
 type Config struct {
 	Store StoreConfig
-	// Engine is what engines have in common; names, sizes and the fencing
-	// check come from the pools' records.
+	// Engine holds the settings that all engines share. Names, sizes and the fencing check come
+	// from the pools' records.
 	Engine EngineConfig
-	// Service is what plain services have in common.
+	// Service holds the settings that all plain services share.
 	Service ServiceConfig
 }
 
-// Emulator is a platform and its endpoints.
+// Emulator runs an object API and the endpoints of one deployment.
 type Emulator struct {
 	Store    *Store
 	Engines  []*Engine
 	Services []*Service
-	// Runs counts at all endpoints.
+	// Runs counts the request runs at all endpoints.
 	Runs *Ledger
 
 	cfg Config
 }
 
-// Start serves the object API at storeAddr, with the records in it, and a
-// stand-in at each address that the pools and services name.
+// Start serves the object API at storeAddr, with the records stored in it, and a stand-in at each
+// address that the pools and services name.
 func Start(storeAddr string, records []*recordspb.Record) (*Emulator, error) {
 	return StartWith(storeAddr, records, Config{})
 }
 
-// StartWith is Start with a shape. It writes the addresses that are listened
-// on into the records.
+// StartWith is Start with a configuration. It sets the endpoints' addresses in the records to those
+// that are listened on.
 func StartWith(storeAddr string, records []*recordspb.Record, cfg Config) (*Emulator, error) {
 	store, err := StartStoreWith(storeAddr, cfg.Store)
 	if err != nil {
 		return nil, err
 	}
 	e := &Emulator{Store: store, Runs: NewLedger(), cfg: cfg}
-	blocks, kept := NewBlockLedger(), NewKVStore()
+	blocks, kv := NewBlockLedger(), NewKVStore()
 	for _, r := range records {
 		shared := &Shared{
 			Weights: NewWeights(int(r.GetPool().GetLoadsAtOnce())),
-			KV:      kept,
+			KV:      kv,
 			Runs:    e.Runs,
 			Blocks:  blocks,
 		}
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// modelOf names a model that the pool serves, and its version.
+// modelOf returns the name and the version of a model that the pool serves.
 func modelOf(pool string, all []*recordspb.Record) (model, version string) {
 	for _, r := range all {
 		if r.GetModel().GetPool() == pool {
@@ -124,7 +124,7 @@
 	return "", ""
 }
 
-// Close stops everything.
+// Close stops the object API and all endpoints.
 func (e *Emulator) Close() {
 	_ = e.Store.Close()
 	for _, engine := range e.Engines {
--- a/emulator/engine.go
+++ b/emulator/engine.go
@@ -14,47 +14,47 @@
 	"github.com/sardinedock/sardinedock/endpoint"
 )
 
-// EngineConfig describes one engine stand-in. Fields that are zero get the
-// defaults of withDefaults.
+// EngineConfig configures one emulated engine. Zero fields get the defaults of withDefaults.
 type EngineConfig struct {
 	// Name is the endpoint's name.
 	Name string
 	// Model and Version are loaded at start.
 	Model, Version string
-	// TokenTime is the time from one token of a request to the next.
+	// TokenTime is the decoding time of one token.
 	TokenTime time.Duration
-	// Slots is how many requests run at a time, Queue how many wait for one.
+	// Slots is how many requests run concurrently, Queue how many may wait for a slot.
 	Slots, Queue int
-	// BlockTokens and CacheBlocks size the prefix cache.
+	// BlockTokens is the size of a block of the prefix cache in tokens, CacheBlocks the number of
+	// blocks in it.
 	BlockTokens, CacheBlocks int
-	// PrefillRate is the uncached prompt tokens that are computed in a second,
-	// one request after the other.
+	// PrefillRate is the number of uncached prompt tokens computed per second. Prefill runs for one
+	// request at a time.
 	PrefillRate float64
-	// ImportRate is the tokens of kept KV cache that are taken in in a second.
+	// ImportRate is the number of tokens of exported KV cache that are imported per second.
 	ImportRate float64
-	// ChecksFencing refuses orders with an old fencing number.
+	// ChecksFencing rejects orders whose fencing number is lower than the highest one received.
 	ChecksFencing bool
-	// LoadLag and EventLag are how old load reports and cache events are, and
-	// EventLoss is the share of cache events that are lost.
+	// LoadLag and EventLag are the delays of load reports and cache events. EventLoss is the share
+	// of cache events that are lost.
 	LoadLag, EventLag time.Duration
 	EventLoss         float64
-	// LoadTime is how long weights take to load.
+	// LoadTime is how long it takes to load a model's weights.
 	LoadTime time.Duration
-	// Heartbeat is the time between the comment lines of a stream that waits.
+	// Heartbeat is the interval between the comment lines of an idle stream.
 	Heartbeat time.Duration
-	// DownTime is how long the engine stays away when a request crashes it.
+	// DownTime is how long the engine stays down after a request has crashed it.
 	DownTime time.Duration
-	// FirstIncarnation is the number of the first start.
+	// FirstIncarnation is the incarnation number of the first start.
 	FirstIncarnation uint64
 	// Pace scales all durations and rates.
 	Pace Pace
-	// Seed of the faults that come with a probability.
+	// Seed seeds the faults that occur with a probability.
 	Seed int64
-	// Shared is what engines have in common; nil makes one of its own.
+	// Shared is the state that engines share; nil gives the engine a state of its own.
 	Shared *Shared
 }
 
-// Shared is what the endpoints of one deployment have in common.
+// Shared is the state that the endpoints of one deployment share.
 type Shared struct {
 	Weights *Weights
 	KV      *KVStore
@@ -62,14 +62,14 @@
 	Blocks  *BlockLedger
 }
 
-// NewShared returns the common parts, with a weight store that serves
-// loadsAtOnce loads at full pace.
+// NewShared returns an empty shared state, with a weight store that serves loadsAtOnce loads at
+// full speed.
 func NewShared(loadsAtOnce int) *Shared {
 	return &Shared{Weights: NewWeights(loadsAtOnce), KV: NewKVStore(), Runs: NewLedger(), Blocks: NewBlockLedger()}
 }
 
-// withDefaults fills in a mid-sized engine that decodes at a large model's
-// usual pace.
+// withDefaults sets zero fields to the values of a mid-sized engine that decodes at a large model's
+// usual speed.
 func (c EngineConfig) withDefaults() EngineConfig {
 	setDefault(&c.TokenTime, 20*time.Millisecond)
 	setDefault(&c.Slots, 16)
@@ -95,15 +95,15 @@
 	}
 }
 
-// Engine is a model engine's stand-in. It answers each prompt with a text that
-// is a function of the prompt, so that a caller can tell its own answer.
+// Engine emulates a model engine. It answers each prompt with a text that is a function of the
+// prompt, so that a caller can verify that the answer is its own.
 type Engine struct {
-	cfg  EngineConfig
-	gate *gate
+	cfg      EngineConfig
+	listener *listener
 
 	mu       sync.Mutex
-	life     *life
-	lives    uint64
+	process  *process
+	starts   uint64
 	eventSeq uint64
 	closed   bool
 	faults   EngineFaults
@@ -113,15 +113,16 @@
 	leaving  time.Time
 }
 
-// TokenStats counts runs and what was computed for them.
+// TokenStats counts runs and the prompt tokens processed for them.
 type TokenStats struct {
-	// Runs is how many requests got a slot.
+	// Runs is the number of requests that got a slot.
 	Runs int `json:"runs"`
-	// PromptTokens of all runs, and of them CachedTokens found in the cache.
+	// PromptTokens is the total of all runs; CachedTokens is the part of it that was found in the
+	// cache.
 	PromptTokens int64 `json:"prompt_tokens"`
 	CachedTokens int64 `json:"cached_tokens"`
-	// RecomputedTokens are those of blocks that some engine had computed
-	// before under the same name.
+	// RecomputedTokens are the tokens of blocks that an engine computed although some engine had
+	// computed the same block before.
 	RecomputedTokens int64 `json:"recomputed_tokens"`
 }
 
@@ -133,29 +134,29 @@
 	s.RecomputedTokens += other.RecomputedTokens
 }
 
-// maxGroups bounds the groups of requests that are counted apart.
+// maxGroups bounds the request groups that are counted separately.
 const maxGroups = 64
 
-// EngineStats counts what an engine did since it was made, over all starts.
+// EngineStats counts what an engine did since it was created, across restarts.
 type EngineStats struct {
 	TokenStats
-	// Groups counts by the part of the callers' markers before the first
+	// Groups counts by request group, which is the part of the caller's marker before the first
 	// slash.
 	Groups map[string]TokenStats `json:"groups"`
-	// Refused is how many were refused unstarted.
+	// Refused is the number of requests that were rejected before they started.
 	Refused int `json:"refused"`
 	Crashes int `json:"crashes"`
-	// StaleBlocks were matched under another salt, model or version than they
+	// StaleBlocks counts blocks that were matched under another salt, model or version than they
 	// were computed under. It must stay 0.
 	StaleBlocks int `json:"stale_blocks"`
-	// LastStartAfterLeaving is how long after the engine said that it leaves
-	// its last request came, not counting a wait while it was frozen.
+	// LastStartAfterLeaving is the time from the engine's leaving notice to the arrival of its last
+	// accepted request. Time that a request waited while the engine was frozen does not count.
 	LastStartAfterLeaving time.Duration `json:"last_start_after_leaving_ns"`
 }
 
-// life is the time from one start of the engine to the next. All that an
-// engine loses in a crash is in here; the engine's mutex guards it.
-type life struct {
+// process is the state of the engine from one start to the next, all of which a crash loses. The
+// engine's mutex guards it.
+type process struct {
 	incarnation uint64
 	done        chan struct{}
 	slots       *semaphore
@@ -178,21 +179,21 @@
 func StartEngine(addr string, cfg EngineConfig) (*Engine, error) {
 	cfg = cfg.withDefaults()
 	e := &Engine{cfg: cfg, rng: rand.New(rand.NewPCG(uint64(cfg.Seed), 3)), thawed: make(chan struct{})}
-	e.lives = cfg.FirstIncarnation - 1
-	e.begin()
-	gate, err := openGate(addr, e.handle)
+	e.starts = cfg.FirstIncarnation - 1
+	e.startProcess()
+	listener, err := listenHTTP(addr, e.handle)
 	if err != nil {
 		return nil, err
 	}
-	e.gate = gate
+	e.listener = listener
 	return e, nil
 }
 
-// begin starts an empty life.
-func (e *Engine) begin() {
-	e.lives++
-	e.life = &life{
-		incarnation: e.lives,
+// startProcess replaces the engine's process by an empty one with the next incarnation number.
+func (e *Engine) startProcess() {
+	e.starts++
+	e.process = &process{
+		incarnation: e.starts,
 		done:        make(chan struct{}),
 		slots:       newSemaphore(e.cfg.Slots),
 		prefill:     newSemaphore(1),
@@ -201,33 +202,33 @@
 		jobs:        map[string]*job{},
 		events:      newEventLog(),
 	}
-	e.publish(e.life, endpoint.CacheClear, nil)
-	e.sampleLoad(e.life)
+	e.publish(e.process, endpoint.CacheClear, nil)
+	e.sampleLoad(e.process)
 }
 
 // Name returns the endpoint's name.
 func (e *Engine) Name() string { return e.cfg.Name }
 
 // Addr returns the address that the engine listens on.
-func (e *Engine) Addr() string { return e.gate.addr }
+func (e *Engine) Addr() string { return e.listener.addr }
 
-// Close stops the engine and cuts its connections.
+// Close stops the engine and closes its connections.
 func (e *Engine) Close() error {
 	e.mu.Lock()
 	if !e.closed {
 		e.closed = true
-		e.endLife()
+		e.endProcess()
 	}
 	e.mu.Unlock()
-	e.gate.close()
+	e.listener.close()
 	return nil
 }
 
-// Runs returns how often each request was started, by the router's id, at all
-// engines that share a ledger with this one.
+// Runs returns how often each request was started at all engines that share a ledger with this one,
+// by the request id that the router assigned.
 func (e *Engine) Runs() map[string]int { return e.cfg.Shared.Runs.copyIDs() }
 
-// Stats returns the engine's counts.
+// Stats returns a copy of the engine's counters.
 func (e *Engine) Stats() EngineStats {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -236,7 +237,7 @@
 	return stats
 }
 
-// count adds to the counts of all requests and of the request's group.
+// count adds s to the engine's totals and to the totals of the job's group.
 func (e *Engine) count(j *job, s TokenStats) {
 	e.stats.Add(s)
 	group, _, _ := strings.Cut(j.marker, "/")
@@ -251,18 +252,18 @@
 	e.stats.Groups[group] = sum
 }
 
-// Incarnation returns the number of the present start.
+// Incarnation returns the number of the current start.
 func (e *Engine) Incarnation() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life.incarnation
+	return e.process.incarnation
 }
 
-// current returns the present life.
-func (e *Engine) current() *life {
+// current returns the current process.
+func (e *Engine) current() *process {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.life
+	return e.process
 }
 
 func (e *Engine) handle(ctx *fasthttp.RequestCtx) {
@@ -271,60 +272,60 @@
 		e.control(ctx, rest)
 		return
 	}
-	l := e.current()
+	p := e.current()
 	arrived := time.Now()
-	if !e.awake(l.done) {
+	if !e.waitWhileFrozen(p.done) {
 		drop(ctx)
 		return
 	}
-	ctx.Response.Header.Set("X-Engine-Incarnation", strconv.FormatUint(l.incarnation, 10))
+	ctx.Response.Header.Set("X-Engine-Incarnation", strconv.FormatUint(p.incarnation, 10))
 	switch path {
 	case "/v1/completions":
-		e.generate(ctx, l, false, arrived)
+		e.generate(ctx, p, false, arrived)
 	case "/v1/chat/completions":
-		e.generate(ctx, l, true, arrived)
+		e.generate(ctx, p, true, arrived)
 	case "/v1/state":
-		writeJSON(ctx, e.state(l))
+		writeJSON(ctx, e.state(p))
 	case "/v1/load":
-		writeJSON(ctx, e.load(l))
+		writeJSON(ctx, e.load(p))
 	case "/v1/cache/events":
-		e.cacheEvents(ctx, l)
+		e.cacheEvents(ctx, p)
 	case "/v1/kv/export", "/v1/kv/import":
-		e.transfer(ctx, l, path == "/v1/kv/export")
+		e.transfer(ctx, p, path == "/v1/kv/export")
 	case "/v1/orders":
-		e.order(ctx, l)
+		e.order(ctx, p)
 	default:
-		e.streamPath(ctx, l, path)
+		e.streamPath(ctx, p, path)
 	}
 }
 
 // streamPath serves /v1/streams/ID and /v1/streams/ID/resume.
-func (e *Engine) streamPath(ctx *fasthttp.RequestCtx, l *life, path string) {
+func (e *Engine) streamPath(ctx *fasthttp.RequestCtx, p *process, path string) {
 	id, ok := strings.CutPrefix(path, "/v1/streams/")
 	if !ok {
 		writeAPIError(ctx, fasthttp.StatusNotFound, "no_such_path", "no such path")
 		return
 	}
 	if id, ok := strings.CutSuffix(id, "/resume"); ok && ctx.IsPost() {
-		e.resume(ctx, l, id)
+		e.resume(ctx, p, id)
 		return
 	}
-	if !ctx.IsDelete() || !e.cancel(l, id) {
+	if !ctx.IsDelete() || !e.cancel(p, id) {
 		writeAPIError(ctx, fasthttp.StatusNotFound, "no_such_stream", "no such stream")
 	}
 }
 
-func (e *Engine) state(l *life) endpoint.State {
+func (e *Engine) state(p *process) endpoint.State {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return endpoint.State{
 		Endpoint:    e.cfg.Name,
-		Incarnation: l.incarnation,
-		Role:        l.role,
+		Incarnation: p.incarnation,
+		Role:        p.role,
 		Leaving:     !e.leaving.IsZero(),
-		Models:      append([]endpoint.ModelState(nil), l.models...),
-		Loading:     append([]endpoint.ModelState(nil), l.loading...),
-		Fence:       l.fence,
+		Models:      append([]endpoint.ModelState(nil), p.models...),
+		Loading:     append([]endpoint.ModelState(nil), p.loading...),
+		Fence:       p.fence,
 		BlockTokens: int64(e.cfg.BlockTokens),
 		CacheBlocks: int64(e.cfg.CacheBlocks),
 		Slots:       e.cfg.Slots,
@@ -341,7 +342,7 @@
 	ctx.SetBody(data)
 }
 
-// apiError is the published API's error body.
+// apiError is the OpenAI API's error body.
 type apiError struct {
 	Error apiErrorBody `json:"error"`
 }
--- a/emulator/enginefaults.go
+++ b/emulator/enginefaults.go
@@ -6,29 +6,29 @@
 	"github.com/valyala/fasthttp"
 )
 
-// EngineFaults are the faults that are in force at an engine.
+// EngineFaults are the faults injected at an engine.
 type EngineFaults struct {
-	// Slow multiplies the time of prefill and decoding; 0 is the usual pace.
+	// Slow multiplies the time of prefill and decoding; 0 means normal speed.
 	Slow float64 `json:"slow"`
-	// Frozen stands still: connections stay open and bring nothing.
+	// Frozen stops all progress: connections stay open and deliver no data.
 	Frozen bool `json:"frozen"`
-	// Of the pieces to come, the first CrossNext are preceded by a piece of
-	// another stream, the next RepeatNext come twice, LoseNext do not come and
-	// LateNext come LateMS later.
+	// Of the pieces (streamed events) to come, the first CrossNext are preceded by a piece of
+	// another stream, the next RepeatNext are sent twice, the next LoseNext are dropped and the
+	// next LateNext are delayed by LateMS.
 	CrossNext  int   `json:"cross_next"`
 	RepeatNext int   `json:"repeat_next"`
 	LoseNext   int   `json:"lose_next"`
 	LateNext   int   `json:"late_next"`
 	LateMS     int64 `json:"late_ms"`
-	// Cross, Repeat, Lose and Late are the shares of all pieces that are
-	// treated so.
+	// Cross, Repeat, Lose and Late are the shares of all pieces to which these faults apply at
+	// random.
 	Cross  float64 `json:"cross"`
 	Repeat float64 `json:"repeat"`
 	Lose   float64 `json:"lose"`
 	Late   float64 `json:"late"`
 }
 
-// pieceFault is what is wrong with the delivery of one piece.
+// pieceFault is the fault applied to the delivery of one piece.
 type pieceFault int
 
 const (
@@ -39,7 +39,7 @@
 	pieceLate
 )
 
-// SetFaults puts faults in force in place of all earlier ones.
+// SetFaults replaces all injected faults by f.
 func (e *Engine) SetFaults(f EngineFaults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -50,15 +50,15 @@
 	e.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (e *Engine) Faults() EngineFaults {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.faults
 }
 
-// awake blocks while the engine is frozen; false once done is closed.
-func (e *Engine) awake(done <-chan struct{}) bool {
+// waitWhileFrozen blocks while the engine is frozen. It returns false once done is closed.
+func (e *Engine) waitWhileFrozen(done <-chan struct{}) bool {
 	for {
 		e.mu.Lock()
 		frozen, thawed := e.faults.Frozen, e.thawed
@@ -79,7 +79,7 @@
 	}
 }
 
-// pieceFault takes what is ordered for the next piece.
+// pieceFault returns the fault for the next piece and decrements the counter that it came from.
 func (e *Engine) pieceFault() pieceFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,53 +109,53 @@
 	return pieceGood
 }
 
-// Crash cuts every connection and comes back after down, with nothing in it
-// and the next incarnation. It returns once the engine is back.
+// Crash closes every connection and drops all state. It restarts the engine with the next
+// incarnation number after down, and returns once the engine accepts connections again.
 func (e *Engine) Crash(down time.Duration) {
 	e.mu.Lock()
-	l := e.life
+	p := e.process
 	select {
-	case <-l.done:
+	case <-p.done:
 		e.mu.Unlock()
 		return
 	default:
 	}
 	e.stats.Crashes++
-	e.endLife()
+	e.endProcess()
 	e.mu.Unlock()
-	_ = e.gate.down()
+	_ = e.listener.down()
 	time.Sleep(e.cfg.Pace.Scale(down))
 	e.mu.Lock()
 	if e.closed {
 		e.mu.Unlock()
 		return
 	}
-	e.begin()
+	e.startProcess()
 	e.mu.Unlock()
-	_ = e.gate.up()
+	_ = e.listener.up()
 }
 
-// endLife stops all work of the present life.
-func (e *Engine) endLife() {
+// endProcess stops all work of the current process.
+func (e *Engine) endProcess() {
 	select {
-	case <-e.life.done:
+	case <-e.process.done:
 		return
 	default:
 	}
-	close(e.life.done)
-	for _, j := range e.life.jobs {
+	close(e.process.done)
+	for _, j := range e.process.jobs {
 		e.halt(j)
 	}
 }
 
-// SilenceOpen makes the connections that are open now silent for good; new
-// ones work.
-func (e *Engine) SilenceOpen() { e.gate.silenceOpen() }
+// SilenceOpen makes the currently open connections unresponsive without closing them; new ones
+// work.
+func (e *Engine) SilenceOpen() { e.listener.stallOpen() }
 
-// CutOpen closes the connections that are open now; the work goes on.
-func (e *Engine) CutOpen() { e.gate.cut() }
+// CutOpen closes the currently open connections; running requests go on.
+func (e *Engine) CutOpen() { e.listener.cut() }
 
-// SetLeaving makes the engine say that it leaves, or that it stays.
+// SetLeaving sets whether the engine reports in its state that it is leaving.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,17 +168,17 @@
 	}
 }
 
-// crashOrder and leavingOrder are bodies of the control path.
-type crashOrder struct {
+// crashRequest and leavingRequest are request bodies of the control path.
+type crashRequest struct {
 	DownMS int64 `json:"down_ms"`
 }
 
-type leavingOrder struct {
+type leavingRequest struct {
 	Leaving bool `json:"leaving"`
 }
 
-// control serves /control: GET or POST faults, GET counts, POST crash,
-// leaving, connections/cut and connections/silence.
+// control serves /control/: GET and POST faults, GET counts, POST crash, leaving, connections/cut
+// and connections/silence.
 func (e *Engine) control(ctx *fasthttp.RequestCtx, what string) {
 	switch what {
 	case "faults":
@@ -192,12 +192,12 @@
 	case "counts":
 		writeJSON(ctx, e.Stats())
 	case "crash":
-		var o crashOrder
+		var o crashRequest
 		if readJSON(ctx, &o) {
 			go e.Crash(time.Duration(o.DownMS) * time.Millisecond)
 		}
 	case "leaving":
-		var o leavingOrder
+		var o leavingRequest
 		if readJSON(ctx, &o) {
 			e.SetLeaving(o.Leaving)
 		}
--- a/emulator/events.go
+++ b/emulator/events.go
@@ -13,15 +13,16 @@
 )
 
 const (
-	// keptEvents bounds the cache events that can be asked for again.
-	keptEvents = 4096
-	// keptLoads bounds the load samples between now and the lag.
-	keptLoads = 4096
-	// leastHeartbeat bounds what readers may ask for.
-	leastHeartbeat = 10 * time.Millisecond
+	// maxEvents bounds the cache events that a reader can request again.
+	maxEvents = 4096
+	// maxLoadSamples bounds the load samples kept for reports that lag.
+	maxLoadSamples = 4096
+	// minHeartbeat is the shortest heartbeat interval that a reader may request.
+	minHeartbeat = 10 * time.Millisecond
 )
 
-// eventLog is the newest cache events of a life.
+// eventLog holds the newest cache events of a process. The channel changed is closed and replaced
+// at each new event.
 type eventLog struct {
 	events  []timedEvent
 	changed chan struct{}
@@ -34,58 +35,61 @@
 
 func newEventLog() eventLog { return eventLog{changed: make(chan struct{})} }
 
-// publish numbers an event and keeps it, or loses it where that is ordered.
-func (e *Engine) publish(l *life, op endpoint.CacheOp, blocks []prefix.Hash) {
+// publish assigns a sequence number to an event and appends it to the log, or drops it at the rate
+// of EventLoss. A clear event is never dropped.
+func (e *Engine) publish(p *process, op endpoint.CacheOp, blocks []prefix.Hash) {
 	e.eventSeq++
 	if op != endpoint.CacheClear && e.cfg.EventLoss > 0 && e.rng.Float64() < e.cfg.EventLoss {
 		return
 	}
-	event := endpoint.CacheEvent{Seq: e.eventSeq, Incarnation: l.incarnation, Op: op, Blocks: make([]string, 0, len(blocks))}
+	event := endpoint.CacheEvent{Seq: e.eventSeq, Incarnation: p.incarnation, Op: op, Blocks: make([]string, 0, len(blocks))}
 	for _, b := range blocks {
 		event.Blocks = append(event.Blocks, b.String())
 	}
-	log := &l.events
+	log := &p.events
 	log.events = append(log.events, timedEvent{time.Now(), event})
-	if over := len(log.events) - keptEvents; over > 0 {
+	if over := len(log.events) - maxEvents; over > 0 {
 		log.events = log.events[over:]
 	}
 	close(log.changed)
 	log.changed = make(chan struct{})
 }
 
-// cacheEvents streams the events after a number, each not before its lag.
-func (e *Engine) cacheEvents(ctx *fasthttp.RequestCtx, l *life) {
+// cacheEvents streams the events after a sequence number, each one delayed by EventLag.
+func (e *Engine) cacheEvents(ctx *fasthttp.RequestCtx, p *process) {
 	after, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("after")), 10, 64)
 	if err != nil {
 		writeAPIError(ctx, fasthttp.StatusBadRequest, "bad_request", "after is not a number")
 		return
 	}
-	beat := e.heartbeatOf(ctx)
+	interval := e.heartbeatInterval(ctx)
 	ctx.SetContentType("application/x-ndjson")
 	conn := ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		e.followEvents(w, l, after, beat)
+		e.streamEvents(w, p, after, interval)
 		cutConn(conn)
 	})
 }
 
-// heartbeatOf returns the time between heartbeats, before the pace: the
-// engine's own, or the shorter one that the reader asked for.
-func (e *Engine) heartbeatOf(ctx *fasthttp.RequestCtx) time.Duration {
+// heartbeatInterval returns the interval between heartbeats, before pace scaling: the engine's own,
+// or the shorter one that the reader requested.
+func (e *Engine) heartbeatInterval(ctx *fasthttp.RequestCtx) time.Duration {
 	ms := ctx.QueryArgs().GetUintOrZero("heartbeat_ms")
 	if ms == 0 {
 		return e.cfg.Heartbeat
 	}
-	asked := max(time.Duration(ms)*time.Millisecond, leastHeartbeat)
-	return min(e.cfg.Pace.unscale(asked), e.cfg.Heartbeat)
+	requested := max(time.Duration(ms)*time.Millisecond, minHeartbeat)
+	return min(e.cfg.Pace.unscale(requested), e.cfg.Heartbeat)
 }
 
-func (e *Engine) followEvents(w *bufio.Writer, l *life, after uint64, beat time.Duration) {
+// streamEvents writes events as they become due, and a heartbeat when no event was due for an
+// interval.
+func (e *Engine) streamEvents(w *bufio.Writer, p *process, after uint64, interval time.Duration) {
 	if !heartbeat(w) {
 		return
 	}
-	for e.awake(l.done) {
-		ready, wait, changed := e.eventsAfter(l, after)
+	for e.waitWhileFrozen(p.done) {
+		ready, wait, changed := e.eventsAfter(p, after)
 		for _, event := range ready {
 			line, err := json.Marshal(event)
 			if err != nil {
@@ -98,71 +102,71 @@
 			return
 		}
 		if wait > 0 {
-			changed = l.done
+			changed = p.done
 		}
-		whole := wait == 0 || wait > beat
-		if whole {
-			wait = beat
+		idle := wait == 0 || wait > interval
+		if idle {
+			wait = interval
 		}
-		if e.cfg.Pace.sleep(wait, changed) && whole && !heartbeat(w) {
+		if e.cfg.Pace.sleep(wait, changed) && idle && !heartbeat(w) {
 			return
 		}
 	}
 }
 
-// eventsAfter returns the events that are due, the time until the next one is
-// (0 if there is none), and a channel that is closed at the next event.
-func (e *Engine) eventsAfter(l *life, after uint64) ([]endpoint.CacheEvent, time.Duration, chan struct{}) {
+// eventsAfter returns the events that are due, the time until the next one is due (0 if there is
+// none), and a channel that is closed at the next event.
+func (e *Engine) eventsAfter(p *process, after uint64) ([]endpoint.CacheEvent, time.Duration, chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var ready []endpoint.CacheEvent
 	lag := e.cfg.Pace.Scale(e.cfg.EventLag)
-	for _, t := range l.events.events {
+	for _, t := range p.events.events {
 		if t.event.Seq <= after {
 			continue
 		}
 		if left := lag - time.Since(t.at); left > 0 {
-			return ready, e.cfg.Pace.unscale(left), l.events.changed
+			return ready, e.cfg.Pace.unscale(left), p.events.changed
 		}
 		ready = append(ready, t.event)
 	}
-	return ready, 0, l.events.changed
+	return ready, 0, p.events.changed
 }
 
-// loadSample is the load from a moment on.
+// loadSample is the load from a point in time on.
 type loadSample struct {
 	at     time.Time
 	report endpoint.LoadReport
 }
 
-// sampleLoad notes a change of the load.
-func (e *Engine) sampleLoad(l *life) {
+// sampleLoad records the current load.
+func (e *Engine) sampleLoad(p *process) {
 	now := time.Now()
-	l.loads = append(l.loads, loadSample{now, endpoint.LoadReport{
-		Incarnation:   l.incarnation,
+	p.loads = append(p.loads, loadSample{now, endpoint.LoadReport{
+		Incarnation:   p.incarnation,
 		MeasuredAt:    now,
-		Running:       l.running,
-		Waiting:       l.waiting,
-		WaitingTokens: l.waitTokens,
-		FreeBlocks:    l.cache.free(),
+		Running:       p.running,
+		Waiting:       p.waiting,
+		WaitingTokens: p.waitTokens,
+		FreeBlocks:    p.cache.free(),
 	}})
-	if over := len(l.loads) - keptLoads; over > 0 {
-		l.loads = l.loads[over:]
+	if over := len(p.loads) - maxLoadSamples; over > 0 {
+		p.loads = p.loads[over:]
 	}
 }
 
-// load returns the load as it was at the lag.
-func (e *Engine) load(l *life) endpoint.LoadReport {
+// load returns the load as it was LoadLag ago.
+func (e *Engine) load(p *process) endpoint.LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	seen := time.Now().Add(-e.cfg.Pace.Scale(e.cfg.LoadLag))
+	asOf := time.Now().Add(-e.cfg.Pace.Scale(e.cfg.LoadLag))
 	last := 0
-	for i, sample := range l.loads {
-		if sample.at.After(seen) {
+	for i, sample := range p.loads {
+		if sample.at.After(asOf) {
 			break
 		}
 		last = i
 	}
-	l.loads = l.loads[last:]
-	return l.loads[0].report
+	p.loads = p.loads[last:]
+	return p.loads[0].report
 }
--- a/emulator/gate.go
+++ b/emulator/gate.go
@@ -12,108 +12,108 @@
 	"github.com/valyala/fasthttp"
 )
 
-// silentLimit ends a silent connection at last, so that long runs do not
-// collect them without bound.
-const silentLimit = 2 * time.Minute
+// unresponsiveTimeout closes an unresponsive connection in the end, so that long runs do not
+// accumulate them without bound.
+const unresponsiveTimeout = 2 * time.Minute
 
-// gate is a stand-in's listener. It can cut its connections, make the open
-// ones silent while new ones work, and go down and come back on one address.
-type gate struct {
+// listener is a stand-in's TCP listener with fault injection. It can close its connections, make
+// the open ones unresponsive while new ones work, and go down and come back on the same address.
+type listener struct {
 	run  func(net.Listener) error
 	addr string
 
 	mu       sync.Mutex
 	ln       net.Listener
 	reserved int
-	conns    map[*gateConn]struct{}
+	conns    map[*faultConn]struct{}
 	closed   bool
 }
 
-// noReservation says that no socket holds the address.
+// noReservation means that no socket reserves the address.
 const noReservation = -1
 
-// openGate serves HTTP behind a gate.
-func openGate(addr string, handler fasthttp.RequestHandler) (*gate, error) {
+// listenHTTP serves HTTP on a listener with fault injection.
+func listenHTTP(addr string, handler fasthttp.RequestHandler) (*listener, error) {
 	srv := &fasthttp.Server{
 		Handler:               handler,
 		NoDefaultServerHeader: true,
 		MaxRequestBodySize:    64 << 20,
-		Logger:                silentLogger{},
+		Logger:                discardLogger{},
 	}
-	return openGateWith(addr, srv.Serve)
+	return listenWith(addr, srv.Serve)
 }
 
-// openGateWith runs any server behind a gate.
-func openGateWith(addr string, run func(net.Listener) error) (*gate, error) {
+// listenWith runs any server on a listener with fault injection.
+func listenWith(addr string, run func(net.Listener) error) (*listener, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	g := &gate{run: run, addr: ln.Addr().String(), reserved: noReservation, conns: map[*gateConn]struct{}{}}
-	g.serve(ln)
-	return g, nil
+	l := &listener{run: run, addr: ln.Addr().String(), reserved: noReservation, conns: map[*faultConn]struct{}{}}
+	l.serve(ln)
+	return l, nil
 }
 
-// silentLogger keeps the lines of ordered faults out of the output.
-type silentLogger struct{}
+// discardLogger keeps fasthttp's log lines about injected faults out of the output.
+type discardLogger struct{}
 
-func (silentLogger) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-func (g *gate) serve(ln net.Listener) {
-	g.ln = ln
-	go func() { _ = g.run(&gateListener{Listener: ln, gate: g}) }()
+func (l *listener) serve(ln net.Listener) {
+	l.ln = ln
+	go func() { _ = l.run(&acceptListener{Listener: ln, listener: l}) }()
 }
 
-// down closes the listener and every connection. The address stays bound, so
-// that nothing else takes it and connecting is refused, as with a dead process.
-func (g *gate) down() error {
-	g.mu.Lock()
-	if g.ln == nil || g.closed {
-		g.mu.Unlock()
+// down closes the listener and every connection. The address stays bound, so that no other process
+// takes it and connections are refused, as with a dead process.
+func (l *listener) down() error {
+	l.mu.Lock()
+	if l.ln == nil || l.closed {
+		l.mu.Unlock()
 		return nil
 	}
-	_ = g.ln.Close()
-	g.ln = nil
-	fd, err := reserve(g.addr)
+	_ = l.ln.Close()
+	l.ln = nil
+	fd, err := reserve(l.addr)
 	if err == nil {
-		g.reserved = fd
+		l.reserved = fd
 	}
-	g.mu.Unlock()
-	g.cut()
+	l.mu.Unlock()
+	l.cut()
 	return err
 }
 
 // up listens again after down.
-func (g *gate) up() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.ln != nil || g.closed {
+func (l *listener) up() error {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.ln != nil || l.closed {
 		return nil
 	}
-	ln, err := g.relisten()
+	ln, err := l.relisten()
 	if err != nil {
 		return err
 	}
-	g.serve(ln)
+	l.serve(ln)
 	return nil
 }
 
-func (g *gate) relisten() (net.Listener, error) {
-	if g.reserved == noReservation {
-		return net.Listen("tcp", g.addr)
+func (l *listener) relisten() (net.Listener, error) {
+	if l.reserved == noReservation {
+		return net.Listen("tcp", l.addr)
 	}
-	fd := g.reserved
-	g.reserved = noReservation
+	fd := l.reserved
+	l.reserved = noReservation
 	if err := syscall.Listen(fd, syscall.SOMAXCONN); err != nil {
 		_ = syscall.Close(fd)
-		return nil, fmt.Errorf("listen again on %s: %w", g.addr, err)
+		return nil, fmt.Errorf("listen again on %s: %w", l.addr, err)
 	}
-	file := os.NewFile(uintptr(fd), g.addr)
+	file := os.NewFile(uintptr(fd), l.addr)
 	defer func() { _ = file.Close() }()
 	return net.FileListener(file)
 }
 
-// reserve binds the address without listening.
+// reserve binds the address without listening and returns the socket.
 func reserve(addr string) (int, error) {
 	tcp, err := net.ResolveTCPAddr("tcp4", addr)
 	if err != nil {
@@ -130,90 +130,91 @@
 	}
 	if err != nil {
 		_ = syscall.Close(fd)
-		return noReservation, fmt.Errorf("hold the address %s: %w", addr, err)
+		return noReservation, fmt.Errorf("reserve address %s: %w", addr, err)
 	}
 	return fd, nil
 }
 
 // cut closes every open connection.
-func (g *gate) cut() {
-	for _, c := range g.open() {
+func (l *listener) cut() {
+	for _, c := range l.open() {
 		_ = c.Close()
 	}
 }
 
-// silenceOpen makes the open connections silent for good, both ways, as when
-// something between the two ends has forgotten them. New ones work.
-func (g *gate) silenceOpen() {
-	for _, c := range g.open() {
-		c.silent.Store(true)
+// stallOpen makes the open connections unresponsive in both directions until they are closed, as
+// when a middlebox has dropped their state. New connections work.
+func (l *listener) stallOpen() {
+	for _, c := range l.open() {
+		c.stalled.Store(true)
 	}
 }
 
-func (g *gate) open() []*gateConn {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	conns := make([]*gateConn, 0, len(g.conns))
-	for c := range g.conns {
+func (l *listener) open() []*faultConn {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	conns := make([]*faultConn, 0, len(l.conns))
+	for c := range l.conns {
 		conns = append(conns, c)
 	}
 	return conns
 }
 
-// close ends the gate for good.
-func (g *gate) close() {
-	g.mu.Lock()
-	g.closed = true
-	if g.ln != nil {
-		_ = g.ln.Close()
+// close shuts the listener down permanently.
+func (l *listener) close() {
+	l.mu.Lock()
+	l.closed = true
+	if l.ln != nil {
+		_ = l.ln.Close()
 	}
-	if g.reserved != noReservation {
-		_ = syscall.Close(g.reserved)
-		g.reserved = noReservation
+	if l.reserved != noReservation {
+		_ = syscall.Close(l.reserved)
+		l.reserved = noReservation
 	}
-	g.mu.Unlock()
-	g.cut()
+	l.mu.Unlock()
+	l.cut()
 }
 
-type gateListener struct {
+// acceptListener registers accepted connections with the listener, which injects the faults.
+type acceptListener struct {
 	net.Listener
-	gate *gate
+	listener *listener
 }
 
-func (l *gateListener) Accept() (net.Conn, error) {
+func (l *acceptListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &gateConn{Conn: conn, gate: l.gate, ended: make(chan struct{})}
-	l.gate.mu.Lock()
-	defer l.gate.mu.Unlock()
-	if l.gate.closed || l.gate.ln != l.Listener {
+	c := &faultConn{Conn: conn, listener: l.listener, ended: make(chan struct{})}
+	l.listener.mu.Lock()
+	defer l.listener.mu.Unlock()
+	if l.listener.closed || l.listener.ln != l.Listener {
 		_ = conn.Close()
 		return c, nil
 	}
-	l.gate.conns[c] = struct{}{}
+	l.listener.conns[c] = struct{}{}
 	return c, nil
 }
 
-// gateConn is a connection that can go silent: it takes what is written to it
-// and brings nothing.
-type gateConn struct {
+// faultConn is a connection that can become unresponsive: it then discards what is written to it,
+// and reads block.
+type faultConn struct {
 	net.Conn
-	gate   *gate
-	silent atomic.Bool
-	once   sync.Once
-	ended  chan struct{}
+	listener *listener
+	stalled  atomic.Bool
+	once     sync.Once
+	ended    chan struct{}
 }
 
-func (c *gateConn) Read(p []byte) (int, error) {
-	if !c.silent.Load() {
+func (c *faultConn) Read(p []byte) (int, error) {
+	if !c.stalled.Load() {
 		n, err := c.Conn.Read(p)
-		if !c.silent.Load() {
+		if !c.stalled.Load() {
 			return n, err
 		}
 	}
-	t := time.NewTimer(silentLimit)
+	t := time.NewTimer(unresponsiveTimeout)
 	defer t.Stop()
 	select {
 	case <-c.ended:
@@ -222,25 +223,24 @@
 	return 0, net.ErrClosed
 }
 
-func (c *gateConn) Write(p []byte) (int, error) {
-	if c.silent.Load() {
+func (c *faultConn) Write(p []byte) (int, error) {
+	if c.stalled.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
 // Close implements net.Conn.
-func (c *gateConn) Close() error {
+func (c *faultConn) Close() error {
 	c.once.Do(func() { close(c.ended) })
-	c.gate.mu.Lock()
-	delete(c.gate.conns, c)
-	c.gate.mu.Unlock()
+	c.listener.mu.Lock()
+	delete(c.listener.conns, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// ReservePort holds a free loopback port until release, so that nothing else
-// takes it while the process that is to listen there is away. It can be
-// listened on meanwhile.
+// ReservePort reserves a free loopback port until release is called, so that no other process takes
+// it while the process that is to listen there is down. The port can be listened on meanwhile.
 func ReservePort() (addr string, release func(), err error) {
 	fd, err := reserve("127.0.0.1:0")
 	if err != nil {
@@ -255,7 +255,7 @@
 	bound, ok := name.(*syscall.SockaddrInet4)
 	if !ok {
 		release()
-		return "", nil, fmt.Errorf("hold a port: the socket's address is %T", name)
+		return "", nil, fmt.Errorf("reserve a port: unexpected socket address type %T", name)
 	}
 	return fmt.Sprintf("127.0.0.1:%d", bound.Port), release, nil
 }
--- a/emulator/job.go
+++ b/emulator/job.go
@@ -12,13 +12,14 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// endedJobs is how many ended requests an engine keeps for resuming.
-const endedJobs = 1024
+// maxEndedJobs is how many ended requests an engine keeps for resuming.
+const maxEndedJobs = 1024
 
-// codeNotStarted is an engine's word that a request was not started.
+// codeNotStarted is the error code with which an engine states that a request was not started.
 const codeNotStarted = "not_started"
 
-// job is one request at an engine. The engine's mutex guards what changes.
+// job is one request at an engine. The engine's mutex guards the fields that change: cached,
+// emitted, done, stopped and changed.
 type job struct {
 	id       string
 	chat     bool
@@ -29,7 +30,7 @@
 	tokens   []string
 	blocks   []prefix.Hash
 	prompt   int64
-	like     cachedBlock
+	origin   cachedBlock
 
 	cached  int64
 	emitted int
@@ -39,8 +40,8 @@
 	changed chan struct{}
 }
 
-// generate takes a request in.
-func (e *Engine) generate(ctx *fasthttp.RequestCtx, l *life, chat bool, arrived time.Time) {
+// generate serves a completion or a chat completion.
+func (e *Engine) generate(ctx *fasthttp.RequestCtx, p *process, chat bool, arrived time.Time) {
 	var b body
 	if err := json.Unmarshal(ctx.PostBody(), &b); err != nil {
 		writeAPIError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
@@ -51,7 +52,7 @@
 		writeAPIError(ctx, fasthttp.StatusBadRequest, "bad_request", err.Error())
 		return
 	}
-	version, ok := e.loaded(l, b.Model)
+	version, ok := e.loaded(p, b.Model)
 	if !ok {
 		writeAPIError(ctx, fasthttp.StatusNotFound, "no_such_model", "the model is not loaded")
 		return
@@ -62,24 +63,25 @@
 		j.id = fmt.Sprintf("%s-%d", e.cfg.Name, ctx.ID())
 	}
 	ctx.Response.Header.Set("X-Model-Version", version)
-	if !e.enqueue(l, j, arrived) {
+	if !e.enqueue(p, j, arrived) {
 		writeAPIError(ctx, fasthttp.StatusTooManyRequests, codeNotStarted, "the queue is full")
 		return
 	}
-	go e.run(l, j)
+	go e.run(p, j)
 	if b.Stream {
-		e.stream(ctx, l, j, 0)
+		e.stream(ctx, p, j, 0)
 		return
 	}
-	e.answerWhole(ctx, l, j)
+	e.writeCompletion(ctx, p, j)
 }
 
-// loaded returns the version of a model, named as model or model:adapter.
-func (e *Engine) loaded(l *life, name string) (string, bool) {
+// loaded returns the version of a loaded model, given as model or model:adapter, and reports
+// whether the model and the adapter are loaded.
+func (e *Engine) loaded(p *process, name string) (string, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	model, adapter, hasAdapter := strings.Cut(name, ":")
-	for _, m := range l.models {
+	for _, m := range p.models {
 		if m.Model != model {
 			continue
 		}
@@ -107,45 +109,46 @@
 		tokens:   b.answer(text),
 		blocks:   prefix.Blocks(nil, salt, []byte(text), e.cfg.BlockTokens),
 		prompt:   prefix.Tokens([]byte(text)),
-		like:     cachedBlock{salt: salt.String(), model: b.Model, version: version},
+		origin:   cachedBlock{salt: salt.String(), model: b.Model, version: version},
 		stop:     make(chan struct{}),
 		changed:  make(chan struct{}),
 	}
 }
 
-// enqueue takes the request into the queue, or refuses it.
-func (e *Engine) enqueue(l *life, j *job, arrived time.Time) bool {
+// enqueue adds the job to the queue. It returns false if the queue is full or the process has
+// ended.
+func (e *Engine) enqueue(p *process, j *job, arrived time.Time) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if l.waiting >= e.cfg.Queue || e.life != l || e.closed {
+	if p.waiting >= e.cfg.Queue || e.process != p || e.closed {
 		e.stats.Refused++
 		return false
 	}
 	if !e.leaving.IsZero() {
 		e.stats.LastStartAfterLeaving = max(e.stats.LastStartAfterLeaving, arrived.Sub(e.leaving))
 	}
-	l.jobs[j.id] = j
-	l.waiting++
-	l.waitTokens += j.prompt
-	e.sampleLoad(l)
+	p.jobs[j.id] = j
+	p.waiting++
+	p.waitTokens += j.prompt
+	e.sampleLoad(p)
 	return true
 }
 
-// run takes the request through slot, prefill and decoding.
-func (e *Engine) run(l *life, j *job) {
-	got := l.slots.acquire(j.priority, j.stop)
-	e.started(l, j, got)
+// run processes the job: it waits for a slot, then does prefill and decoding.
+func (e *Engine) run(p *process, j *job) {
+	got := p.slots.acquire(j.priority, j.stop)
+	e.started(p, j, got)
 	if !got {
 		return
 	}
-	defer e.finished(l, j)
-	defer l.slots.release()
-	if !e.prefill(l, j) {
+	defer e.finished(p, j)
+	defer p.slots.release()
+	if !e.prefill(p, j) {
 		return
 	}
 	if j.poison {
 		go e.Crash(e.cfg.DownTime)
-		<-l.done
+		<-p.done
 		return
 	}
 	for range j.tokens {
@@ -156,31 +159,32 @@
 	}
 }
 
-func (e *Engine) started(l *life, j *job, got bool) {
+func (e *Engine) started(p *process, j *job, got bool) {
 	e.mu.Lock()
-	l.waiting--
-	l.waitTokens -= j.prompt
+	p.waiting--
+	p.waitTokens -= j.prompt
 	if got {
-		l.running++
+		p.running++
 		e.count(j, TokenStats{Runs: 1})
 	} else {
-		e.forget(l, j)
+		e.retainEnded(p, j)
 	}
-	e.sampleLoad(l)
+	e.sampleLoad(p)
 	e.mu.Unlock()
 	if got {
 		e.cfg.Shared.Runs.run(j.id, j.marker, "")
 	}
 }
 
-// prefill computes the part of the prompt that is not cached.
-func (e *Engine) prefill(l *life, j *job) bool {
-	if !l.prefill.acquire(j.priority, j.stop) {
+// prefill computes the part of the prompt that is not cached. It returns false if the job was
+// stopped.
+func (e *Engine) prefill(p *process, j *job) bool {
+	if !p.prefill.acquire(j.priority, j.stop) {
 		return false
 	}
-	defer l.prefill.release()
+	defer p.prefill.release()
 	e.mu.Lock()
-	depth, stale := l.cache.match(j.blocks, j.like)
+	depth, stale := p.cache.match(j.blocks, j.origin)
 	j.cached = int64(depth * e.cfg.BlockTokens)
 	e.count(j, TokenStats{PromptTokens: j.prompt, CachedTokens: j.cached})
 	e.stats.StaleBlocks += stale
@@ -193,24 +197,25 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.count(j, TokenStats{RecomputedTokens: int64(again * e.cfg.BlockTokens)})
-	e.store(l, j.blocks, j.like)
+	e.store(p, j.blocks, j.origin)
 	return true
 }
 
-// store puts blocks into the cache and publishes what changed.
-func (e *Engine) store(l *life, blocks []prefix.Hash, like cachedBlock) {
-	stored, evicted := l.cache.insert(blocks, like)
+// store adds blocks to the cache and publishes the changes.
+func (e *Engine) store(p *process, blocks []prefix.Hash, origin cachedBlock) {
+	stored, evicted := p.cache.insert(blocks, origin)
 	if len(evicted) > 0 {
-		e.publish(l, endpoint.CacheEvict, evicted)
+		e.publish(p, endpoint.CacheEvict, evicted)
 	}
 	if len(stored) > 0 {
-		e.publish(l, endpoint.CacheStore, stored)
+		e.publish(p, endpoint.CacheStore, stored)
 	}
 }
 
-// compute takes the time of some work at the engine's present pace.
+// compute sleeps for the duration d of some work at the engine's current speed. It returns false if
+// stop was closed first.
 func (e *Engine) compute(d time.Duration, stop <-chan struct{}) bool {
-	if !e.awake(stop) {
+	if !e.waitWhileFrozen(stop) {
 		return false
 	}
 	e.mu.Lock()
@@ -221,44 +226,45 @@
 	return e.cfg.Pace.sleep(d, stop)
 }
 
+// emit marks the next token as generated.
 func (e *Engine) emit(j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	j.emitted++
 	j.done = j.emitted == len(j.tokens)
-	e.wake(j)
+	e.notifyChange(j)
 }
 
-// wake tells the writers of a request's streams that something has changed.
-func (e *Engine) wake(j *job) {
+// notifyChange wakes the writers of the job's streams.
+func (e *Engine) notifyChange(j *job) {
 	close(j.changed)
 	j.changed = make(chan struct{})
 }
 
-func (e *Engine) finished(l *life, j *job) {
+func (e *Engine) finished(p *process, j *job) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l.running--
-	e.forget(l, j)
-	e.sampleLoad(l)
+	p.running--
+	e.retainEnded(p, j)
+	e.sampleLoad(p)
 }
 
-// forget keeps an ended request for resuming, and gives up the oldest.
-func (e *Engine) forget(l *life, j *job) {
-	l.ended = append(l.ended, j.id)
-	if len(l.ended) > endedJobs {
-		if old, ok := l.jobs[l.ended[0]]; ok && (old.done || old.stopped) {
-			delete(l.jobs, l.ended[0])
+// retainEnded keeps an ended job for resuming and drops the oldest one above the limit.
+func (e *Engine) retainEnded(p *process, j *job) {
+	p.ended = append(p.ended, j.id)
+	if len(p.ended) > maxEndedJobs {
+		if old, ok := p.jobs[p.ended[0]]; ok && (old.done || old.stopped) {
+			delete(p.jobs, p.ended[0])
 		}
-		l.ended = l.ended[1:]
+		p.ended = p.ended[1:]
 	}
 }
 
-// cancel ends the work on a request; false where there is none of that id.
-func (e *Engine) cancel(l *life, id string) bool {
+// cancel stops a job. It returns false if there is none with that id.
+func (e *Engine) cancel(p *process, id string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	j, ok := l.jobs[id]
+	j, ok := p.jobs[id]
 	if !ok {
 		return false
 	}
@@ -266,12 +272,12 @@
 	return true
 }
 
-// halt ends a request unless it has ended.
+// halt stops a job unless it has ended.
 func (e *Engine) halt(j *job) {
 	if j.done || j.stopped {
 		return
 	}
 	j.stopped = true
 	close(j.stop)
-	e.wake(j)
+	e.notifyChange(j)
 }
--- a/emulator/kvstore.go
+++ b/emulator/kvstore.go
@@ -6,48 +6,48 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// kvLimit bounds the kept prefixes; the oldest goes first.
-const kvLimit = 4096
+// maxPrefixes bounds the stored prefixes; the oldest is dropped first.
+const maxPrefixes = 4096
 
-// KVStore keeps exported KV cache. Any goroutine may use it.
+// KVStore stores exported KV cache by handle. It is safe for concurrent use.
 type KVStore struct {
-	mu    sync.Mutex
-	kept  map[string]keptPrefix
-	order []string
+	mu       sync.Mutex
+	prefixes map[string]storedPrefix
+	order    []string
 }
 
-// keptPrefix is one exported prefix, with what it was computed under.
-type keptPrefix struct {
-	like   cachedBlock
+// storedPrefix is one exported prefix with the salt, model and version that it was computed under.
+type storedPrefix struct {
+	origin cachedBlock
 	blocks []prefix.Hash
 }
 
 // NewKVStore returns an empty store.
-func NewKVStore() *KVStore { return &KVStore{kept: map[string]keptPrefix{}} }
+func NewKVStore() *KVStore { return &KVStore{prefixes: map[string]storedPrefix{}} }
 
-func (s *KVStore) put(handle string, p keptPrefix) {
+func (s *KVStore) put(handle string, p storedPrefix) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, ok := s.kept[handle]; !ok {
+	if _, ok := s.prefixes[handle]; !ok {
 		s.order = append(s.order, handle)
 	}
-	s.kept[handle] = p
-	if len(s.order) > kvLimit {
-		delete(s.kept, s.order[0])
+	s.prefixes[handle] = p
+	if len(s.order) > maxPrefixes {
+		delete(s.prefixes, s.order[0])
 		s.order = s.order[1:]
 	}
 }
 
-func (s *KVStore) get(handle string) (keptPrefix, bool) {
+func (s *KVStore) get(handle string) (storedPrefix, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p, ok := s.kept[handle]
+	p, ok := s.prefixes[handle]
 	return p, ok
 }
 
-// Len returns how many prefixes are kept.
+// Len returns the number of stored prefixes.
 func (s *KVStore) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.kept)
+	return len(s.prefixes)
 }
--- a/emulator/ledger.go
+++ b/emulator/ledger.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// ledgerLimit bounds the requests, and the blocks, that are remembered.
+	// ledgerLimit bounds the names that each counter, and the blocks that a BlockLedger, keeps.
 	ledgerLimit = 1 << 20
 
 	markerOpen  = "[[caller-request "
@@ -18,11 +18,11 @@
 	PoisonText = "[[crash the engine]]"
 )
 
-// Marker returns the text by which endpoints count the runs of a caller's
-// request, whatever ids the router gives it.
+// Marker returns the text to put into a prompt or a body so that endpoints count the runs of a
+// caller's request, whichever ids the router assigns to it.
 func Marker(name string) string { return markerOpen + name + markerClose }
 
-// markerOf returns the name in a text's last marker, or an empty string.
+// markerOf returns the name in the last marker of a text, or an empty string.
 func markerOf(text string) string {
 	at := strings.LastIndex(text, markerOpen)
 	if at < 0 {
@@ -35,12 +35,13 @@
 	return name
 }
 
-// Ledger counts the runs of requests at all endpoints that share it. It
-// remembers a bounded number of them. Any goroutine may use it.
+// Ledger counts the runs of requests at all endpoints that share it, for a bounded number of
+// requests. It is safe for concurrent use.
 type Ledger struct {
 	mu  sync.Mutex
 	ids runCounter
-	// attempts counts by the id of the caller's attempt, whatever number its sends have.
+	// attempts counts by the request id of the caller's attempt, without the number that the router
+	// appends to the ids of its resends.
 	attempts runCounter
 	markers  runCounter
 	keys     runCounter
@@ -51,7 +52,7 @@
 	return &Ledger{ids: runCounter{}, attempts: runCounter{}, markers: runCounter{}, keys: runCounter{}}
 }
 
-// runCounter counts by name. Once it is full, new names are not counted.
+// runCounter counts runs by name. Once it is full, new names are not counted.
 type runCounter map[string]int
 
 func (c runCounter) add(name string) {
@@ -74,20 +75,19 @@
 	l.keys.add(key)
 }
 
-// ByID returns how often requests of the router's id were started.
+// ByID returns how often requests with the router's id were started.
 func (l *Ledger) ByID(id string) int { return l.runs(l.ids, id) }
 
-// ByAttempt returns how often a caller's attempt was started, by the id that the router
-// gave it. Its second send and later ones have that id and a number.
+// ByAttempt returns how often a caller's attempt was started, by the id that the router assigned to
+// it. The router's second and later sends of an attempt have that id and a number.
 func (l *Ledger) ByAttempt(id string) int { return l.runs(l.attempts, id) }
 
-// ByMarker returns how often a caller's request was started.
+// ByMarker returns how often requests with the marker name were started.
 func (l *Ledger) ByMarker(name string) int { return l.runs(l.markers, name) }
 
 // ByKey returns how often requests with the Idempotency-Key were started.
 func (l *Ledger) ByKey(key string) int { return l.runs(l.keys, key) }
 
-// runs reads one of the counters.
 func (l *Ledger) runs(c runCounter, name string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,8 +104,8 @@
 	return runs
 }
 
-// BlockLedger remembers which blocks any of the engines that share it has
-// computed.
+// BlockLedger records which blocks have been computed by any of the engines that share it. It is
+// safe for concurrent use.
 type BlockLedger struct {
 	mu   sync.Mutex
 	seen map[prefix.Hash]struct{}
@@ -116,7 +116,7 @@
 	return &BlockLedger{seen: map[prefix.Hash]struct{}{}}
 }
 
-// compute remembers blocks and returns how many had been computed before.
+// compute records blocks and returns how many of them had been computed before.
 func (l *BlockLedger) compute(blocks []prefix.Hash) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// linkDialTimeout bounds the opening of a forwarded connection.
+// linkDialTimeout bounds connecting to the target.
 const linkDialTimeout = time.Second
 
-// Link forwards connections between two processes and can forget them, as a
-// middlebox does.
+// Link forwards TCP connections to a target and can silently drop them, as a middlebox does that
+// has lost their state.
 type Link struct {
-	gate   *gate
-	target string
+	listener *listener
+	target   string
 }
 
 // StartLink listens on addr and forwards to target until Close.
 func StartLink(addr, target string) (*Link, error) {
 	l := &Link{target: target}
-	gate, err := openGateWith(addr, l.serve)
+	listener, err := listenWith(addr, l.serve)
 	if err != nil {
 		return nil, err
 	}
-	l.gate = gate
+	l.listener = listener
 	return l, nil
 }
 
 // Addr returns the address that the link listens on.
-func (l *Link) Addr() string { return l.gate.addr }
+func (l *Link) Addr() string { return l.listener.addr }
 
-// SilenceOpen makes the connections that are open now silent for good; new
-// ones work.
-func (l *Link) SilenceOpen() { l.gate.silenceOpen() }
+// SilenceOpen makes the currently open connections unresponsive without closing them; new ones
+// work.
+func (l *Link) SilenceOpen() { l.listener.stallOpen() }
 
-// CutOpen closes the connections that are open now.
-func (l *Link) CutOpen() { l.gate.cut() }
+// CutOpen closes the currently open connections.
+func (l *Link) CutOpen() { l.listener.cut() }
 
-// Close ends the link and its connections.
-func (l *Link) Close() { l.gate.close() }
+// Close closes the listener and all connections.
+func (l *Link) Close() { l.listener.close() }
 
 func (l *Link) serve(ln net.Listener) error {
 	for {
@@ -51,7 +51,7 @@
 	}
 }
 
-// forward copies both ways until either end closes.
+// forward copies in both directions until either end closes.
 func (l *Link) forward(near net.Conn) {
 	defer func() { _ = near.Close() }()
 	far, err := net.DialTimeout("tcp", l.target, linkDialTimeout)
--- a/emulator/orders.go
+++ b/emulator/orders.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// transferAnswer is the answer of export and import.
-type transferAnswer struct {
+// transferResponse is the response of export and import.
+type transferResponse struct {
 	Blocks int `json:"blocks"`
 }
 
-// transfer serves the export and the import of kept KV cache.
-func (e *Engine) transfer(ctx *fasthttp.RequestCtx, l *life, export bool) {
+// transfer serves the export and the import of KV cache.
+func (e *Engine) transfer(ctx *fasthttp.RequestCtx, p *process, export bool) {
 	var h endpoint.KVHandle
 	if !readJSON(ctx, &h) {
 		return
@@ -32,60 +32,59 @@
 		blocks = append(blocks, hash)
 	}
 	if export {
-		e.export(ctx, l, h, blocks)
+		e.export(ctx, p, h, blocks)
 		return
 	}
-	e.importKept(ctx, l, h)
+	e.importPrefix(ctx, p, h)
 }
 
-func (e *Engine) export(ctx *fasthttp.RequestCtx, l *life, h endpoint.KVHandle, blocks []prefix.Hash) {
+func (e *Engine) export(ctx *fasthttp.RequestCtx, p *process, h endpoint.KVHandle, blocks []prefix.Hash) {
 	e.mu.Lock()
-	var like cachedBlock
+	var origin cachedBlock
 	depth := 0
 	for _, b := range blocks {
-		element, ok := l.cache.entries[b]
+		element, ok := p.cache.entries[b]
 		if !ok {
 			break
 		}
-		like = element.Value.(cachedBlock)
+		origin = element.Value.(cachedBlock)
 		depth++
 	}
 	e.mu.Unlock()
-	if depth > 0 && like.salt != h.Salt {
+	if depth > 0 && origin.salt != h.Salt {
 		writeAPIError(ctx, fasthttp.StatusConflict, "other_salt", "the blocks were computed under another salt")
 		return
 	}
 	if depth > 0 {
-		e.cfg.Shared.KV.put(h.Handle, keptPrefix{like, blocks[:depth]})
+		e.cfg.Shared.KV.put(h.Handle, storedPrefix{origin, blocks[:depth]})
 	}
-	writeJSON(ctx, transferAnswer{depth})
+	writeJSON(ctx, transferResponse{depth})
 }
 
-func (e *Engine) importKept(ctx *fasthttp.RequestCtx, l *life, h endpoint.KVHandle) {
-	kept, ok := e.cfg.Shared.KV.get(h.Handle)
+func (e *Engine) importPrefix(ctx *fasthttp.RequestCtx, p *process, h endpoint.KVHandle) {
+	stored, ok := e.cfg.Shared.KV.get(h.Handle)
 	if !ok {
 		writeAPIError(ctx, fasthttp.StatusNotFound, "no_such_handle", "no such handle")
 		return
 	}
-	version, loaded := e.loaded(l, kept.like.model)
-	if kept.like.salt != h.Salt || !loaded || version != kept.like.version {
+	version, loaded := e.loaded(p, stored.origin.model)
+	if stored.origin.salt != h.Salt || !loaded || version != stored.origin.version {
 		writeAPIError(ctx, fasthttp.StatusConflict, "other_salt", "kept under another salt, model or version")
 		return
 	}
-	tokens := float64(len(kept.blocks) * e.cfg.BlockTokens)
-	if !e.compute(time.Duration(tokens/e.cfg.ImportRate*float64(time.Second)), l.done) {
+	tokens := float64(len(stored.blocks) * e.cfg.BlockTokens)
+	if !e.compute(time.Duration(tokens/e.cfg.ImportRate*float64(time.Second)), p.done) {
 		drop(ctx)
 		return
 	}
 	e.mu.Lock()
-	e.store(l, kept.blocks, kept.like)
+	e.store(p, stored.blocks, stored.origin)
 	e.mu.Unlock()
-	writeJSON(ctx, transferAnswer{len(kept.blocks)})
+	writeJSON(ctx, transferResponse{len(stored.blocks)})
 }
 
-// order takes an order. Orders state a wanted end, so the same one may come
-// twice.
-func (e *Engine) order(ctx *fasthttp.RequestCtx, l *life) {
+// order applies an order. An order states the desired state, so it is idempotent.
+func (e *Engine) order(ctx *fasthttp.RequestCtx, p *process) {
 	var o endpoint.Order
 	if !readJSON(ctx, &o) {
 		return
@@ -93,23 +92,23 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ChecksFencing {
-		if o.Fence < l.fence {
+		if o.Fence < p.fence {
 			writeAPIError(ctx, fasthttp.StatusConflict, "stale_fence", "the fencing number is old")
 			return
 		}
-		l.fence = o.Fence
+		p.fence = o.Fence
 	}
 	switch o.Kind {
 	case endpoint.OrderLoadModel:
-		e.loadModel(l, endpoint.ModelState{Model: o.Model, Version: o.Version})
+		e.loadModel(p, endpoint.ModelState{Model: o.Model, Version: o.Version})
 	case endpoint.OrderUnloadModel:
-		l.models = slices.DeleteFunc(l.models, func(m endpoint.ModelState) bool { return m.Model == o.Model })
+		p.models = slices.DeleteFunc(p.models, func(m endpoint.ModelState) bool { return m.Model == o.Model })
 	case endpoint.OrderLoadAdapter:
-		if !addAdapter(l.models, o.Model, o.Adapter) {
+		if !addAdapter(p.models, o.Model, o.Adapter) {
 			writeAPIError(ctx, fasthttp.StatusConflict, "no_such_model", "the adapter's model is not loaded")
 		}
 	case endpoint.OrderSetRole:
-		l.role = o.Role
+		p.role = o.Role
 	default:
 		writeAPIError(ctx, fasthttp.StatusBadRequest, "bad_request", "no such order")
 	}
@@ -128,29 +127,29 @@
 	return false
 }
 
-// loadModel begins to load weights unless they are there or on their way.
-func (e *Engine) loadModel(l *life, want endpoint.ModelState) {
+// loadModel starts loading weights unless they are loaded or being loaded.
+func (e *Engine) loadModel(p *process, want endpoint.ModelState) {
 	same := func(m endpoint.ModelState) bool { return m.Model == want.Model && m.Version == want.Version }
-	if slices.ContainsFunc(l.models, same) || slices.ContainsFunc(l.loading, same) {
+	if slices.ContainsFunc(p.models, same) || slices.ContainsFunc(p.loading, same) {
 		return
 	}
-	l.loading = append(l.loading, want)
+	p.loading = append(p.loading, want)
 	go func() {
-		whole := e.cfg.Shared.Weights.load(e.cfg.LoadTime, e.cfg.Pace, l.done)
+		completed := e.cfg.Shared.Weights.load(e.cfg.LoadTime, e.cfg.Pace, p.done)
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		l.loading = slices.DeleteFunc(l.loading, same)
-		if whole {
-			e.replaceModel(l, want)
+		p.loading = slices.DeleteFunc(p.loading, same)
+		if completed {
+			e.replaceModel(p, want)
 		}
 	}()
 }
 
-// replaceModel puts weights in place of the model's earlier ones and empties
-// the cache, which belongs to those.
-func (e *Engine) replaceModel(l *life, want endpoint.ModelState) {
-	l.models = slices.DeleteFunc(l.models, func(m endpoint.ModelState) bool { return m.Model == want.Model })
-	l.models = append(l.models, want)
-	l.cache = newBlockCache(e.cfg.CacheBlocks)
-	e.publish(l, endpoint.CacheClear, nil)
+// replaceModel replaces the model's previous weights and clears the cache, which was computed with
+// those.
+func (e *Engine) replaceModel(p *process, want endpoint.ModelState) {
+	p.models = slices.DeleteFunc(p.models, func(m endpoint.ModelState) bool { return m.Model == want.Model })
+	p.models = append(p.models, want)
+	p.cache = newBlockCache(e.cfg.CacheBlocks)
+	e.publish(p, endpoint.CacheClear, nil)
 }
--- a/emulator/pace.go
+++ b/emulator/pace.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Pace divides durations, so that a run with minutes of work in it takes
+// Pace is a speed-up factor that divides durations, so that a run with minutes of work in it takes
 // seconds. The zero Pace is real time.
 type Pace float64
 
-// Scale returns the wall-clock time that stands for d.
+// Scale converts an emulated duration to wall-clock time.
 func (p Pace) Scale(d time.Duration) time.Duration {
 	if p <= 0 || p == 1 {
 		return d
@@ -14,8 +14,8 @@
 	return time.Duration(float64(d) / float64(p))
 }
 
-// sleep waits for the scaled d, or until done is closed; it reports whether
-// the whole time has passed.
+// sleep waits for the scaled d or until done is closed. It reports whether the whole time has
+// passed.
 func (p Pace) sleep(d time.Duration, done <-chan struct{}) bool {
 	if d <= 0 {
 		select {
@@ -35,7 +35,7 @@
 	}
 }
 
-// unscale returns the time that a wall-clock time stands for.
+// unscale converts a wall-clock duration to emulated time.
 func (p Pace) unscale(d time.Duration) time.Duration {
 	if p <= 0 || p == 1 {
 		return d
--- a/emulator/semaphore.go
+++ b/emulator/semaphore.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// semaphore hands out slots by priority, lower first, then by arrival.
+// semaphore grants slots by priority, lower values first, then by arrival.
 type semaphore struct {
 	mu      sync.Mutex
 	free    int
@@ -22,7 +22,7 @@
 
 func newSemaphore(slots int) *semaphore { return &semaphore{free: slots} }
 
-// acquire blocks for a slot until done is closed; it reports whether it has one.
+// acquire waits for a slot until done is closed. It reports whether it got one.
 func (s *semaphore) acquire(priority int, done <-chan struct{}) bool {
 	s.mu.Lock()
 	if s.free > 0 {
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -10,37 +10,37 @@
 	"github.com/zeebo/xxh3"
 )
 
-// ServiceConfig describes a plain service's stand-in.
+// ServiceConfig configures an emulated plain service.
 type ServiceConfig struct {
 	Name string
-	// WorkTime is how long one call takes.
+	// WorkTime is the duration of one call.
 	WorkTime time.Duration
-	// Runs is shared by the endpoints of one service; nil makes one of its own.
+	// Runs is shared by the endpoints of one service; nil creates a separate one.
 	Runs *Ledger
 	Pace Pace
 }
 
-// ServiceFaults are the faults that are in force at a plain service.
+// ServiceFaults are the faults injected at a plain service.
 type ServiceFaults struct {
-	// CrashBefore calls end in a crash before they take effect, CrashAfter
-	// calls after it and before the answer. Each crash takes DownMS.
+	// The next CrashBefore calls crash the service before they take effect, the next CrashAfter
+	// calls after they took effect and before the response. Each crash lasts DownMS.
 	CrashBefore int   `json:"crash_before"`
 	CrashAfter  int   `json:"crash_after"`
 	DownMS      int64 `json:"down_ms"`
-	// SlowMS is added to every call.
+	// SlowMS is added to the duration of every call.
 	SlowMS int64 `json:"slow_ms"`
-	// Silent takes calls, without effect, and never answers.
+	// Silent accepts calls, without effect, and never responds.
 	Silent bool `json:"silent"`
-	// SilentAfter calls take effect and are never answered.
+	// The next SilentAfter calls take effect and get no response.
 	SilentAfter int `json:"silent_after"`
 }
 
-// Service is a plain service's stand-in. It counts the runs of each request by
-// Idempotency-Key and by the marker in the body.
+// Service emulates a plain service. It counts the runs of each request by Idempotency-Key and by
+// the marker in the body.
 type Service struct {
-	cfg  ServiceConfig
-	gate *gate
-	done chan struct{}
+	cfg      ServiceConfig
+	listener *listener
+	done     chan struct{}
 
 	mu     sync.Mutex
 	faults ServiceFaults
@@ -54,11 +54,11 @@
 		cfg.Runs = NewLedger()
 	}
 	s := &Service{cfg: cfg, done: make(chan struct{})}
-	gate, err := openGate(addr, s.handle)
+	listener, err := listenHTTP(addr, s.handle)
 	if err != nil {
 		return nil, err
 	}
-	s.gate = gate
+	s.listener = listener
 	return s, nil
 }
 
@@ -66,9 +66,9 @@
 func (s *Service) Name() string { return s.cfg.Name }
 
 // Addr returns the address that the service listens on.
-func (s *Service) Addr() string { return s.gate.addr }
+func (s *Service) Addr() string { return s.listener.addr }
 
-// Close stops the service and cuts its connections.
+// Close stops the service and closes its connections.
 func (s *Service) Close() error {
 	s.mu.Lock()
 	if !s.closed {
@@ -76,58 +76,58 @@
 		close(s.done)
 	}
 	s.mu.Unlock()
-	s.gate.close()
+	s.listener.close()
 	return nil
 }
 
-// Runs returns how many calls took effect here.
+// Runs returns how many calls took effect at this service.
 func (s *Service) Runs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs
 }
 
-// SetFaults puts faults in force in place of all earlier ones.
+// SetFaults replaces all injected faults by f.
 func (s *Service) SetFaults(f ServiceFaults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (s *Service) Faults() ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// SilenceOpen makes the connections that are open now silent for good.
-func (s *Service) SilenceOpen() { s.gate.silenceOpen() }
+// SilenceOpen makes the currently open connections unresponsive without closing them.
+func (s *Service) SilenceOpen() { s.listener.stallOpen() }
 
-// CutOpen closes the connections that are open now.
-func (s *Service) CutOpen() { s.gate.cut() }
+// CutOpen closes the currently open connections.
+func (s *Service) CutOpen() { s.listener.cut() }
 
-// Crash cuts every connection and refuses new ones for a time.
+// Crash closes every connection and refuses new ones for the duration down.
 func (s *Service) Crash(down time.Duration) {
-	_ = s.gate.down()
+	_ = s.listener.down()
 	s.restart(down)
 }
 
 func (s *Service) restart(down time.Duration) {
 	s.cfg.Pace.sleep(down, s.done)
-	_ = s.gate.up()
+	_ = s.listener.up()
 }
 
-// crashUnder crashes the service under a call. It is down before the call's
-// connection ends: a crash that came later would hit the caller's next call,
-// which nobody ordered.
-func (s *Service) crashUnder(ctx *fasthttp.RequestCtx, down time.Duration) {
-	_ = s.gate.down()
+// crashDuring crashes the service during a call. The service is down before the call's connection
+// is closed: a crash that came later would also hit the caller's next call, which no fault was
+// injected for.
+func (s *Service) crashDuring(ctx *fasthttp.RequestCtx, down time.Duration) {
+	_ = s.listener.down()
 	go s.restart(down)
 	drop(ctx)
 }
 
-// ServiceAnswer is the text that the service answers a call with.
+// ServiceAnswer returns the text with which the service responds to a call.
 func ServiceAnswer(method, path string, body []byte) string {
 	return fmt.Sprintf("%s %s %016x", method, path, xxh3.Hash(body))
 }
@@ -137,34 +137,35 @@
 		s.control(ctx, what)
 		return
 	}
-	f := s.take()
+	f := s.nextFaults()
 	if f.Silent {
-		hold(ctx)
+		neverRespond(ctx)
 		return
 	}
 	down := time.Duration(f.DownMS) * time.Millisecond
 	if f.CrashBefore > 0 {
-		s.crashUnder(ctx, down)
+		s.crashDuring(ctx, down)
 		return
 	}
 	if !s.cfg.Pace.sleep(s.cfg.WorkTime+time.Duration(f.SlowMS)*time.Millisecond, s.done) {
 		drop(ctx)
 		return
 	}
-	s.effect(ctx)
+	s.recordRun(ctx)
 	switch {
 	case f.CrashAfter > 0:
-		s.crashUnder(ctx, down)
+		s.crashDuring(ctx, down)
 	case f.SilentAfter > 0:
-		hold(ctx)
+		neverRespond(ctx)
 	default:
 		ctx.SetContentType("text/plain")
 		ctx.SetBodyString(ServiceAnswer(string(ctx.Method()), string(ctx.Path()), ctx.PostBody()))
 	}
 }
 
-// take returns the faults for one call and counts the ordered ones down.
-func (s *Service) take() ServiceFaults {
+// nextFaults returns the faults for one call and decrements the counter of the fault that applies
+// to it.
+func (s *Service) nextFaults() ServiceFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f := s.faults
@@ -179,7 +180,8 @@
 	return f
 }
 
-func (s *Service) effect(ctx *fasthttp.RequestCtx) {
+// recordRun counts a call that took effect.
+func (s *Service) recordRun(ctx *fasthttp.RequestCtx) {
 	h := &ctx.Request.Header
 	s.cfg.Runs.run(string(h.Peek("X-Request-Id")), markerOf(string(ctx.PostBody())), string(h.Peek("Idempotency-Key")))
 	s.mu.Lock()
@@ -187,7 +189,7 @@
 	s.runs++
 }
 
-// control serves /control: GET or POST faults, POST crash, connections/cut and
+// control serves /control/: GET and POST faults, POST crash, connections/cut and
 // connections/silence.
 func (s *Service) control(ctx *fasthttp.RequestCtx, what string) {
 	switch what {
@@ -200,7 +202,7 @@
 			writeJSON(ctx, s.Faults())
 		}
 	case "crash":
-		var o crashOrder
+		var o crashRequest
 		if readJSON(ctx, &o) {
 			go s.Crash(time.Duration(o.DownMS) * time.Millisecond)
 		}
--- a/emulator/store.go
+++ b/emulator/store.go
@@ -14,8 +14,7 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// headerInstance names the calling instance, by which one caller's faults are
-// told from another's.
+// headerInstance names the calling instance, so that faults can be injected for single callers.
 const headerInstance = "X-Instance"
 
 const (
@@ -23,34 +22,34 @@
 	defaultHeartbeat = time.Second
 )
 
-// StoreConfig describes the object API's stand-in.
+// StoreConfig configures the emulated object API.
 type StoreConfig struct {
-	// ReadsPerSecond and WritesPerSecond are the rates over which calls get
-	// 429; 0 sets no limit. A watch counts as a read when it is opened.
+	// ReadsPerSecond and WritesPerSecond are the rates above which calls get status 429; 0 sets no
+	// limit. Opening a watch counts as a read.
 	ReadsPerSecond, WritesPerSecond float64
-	// History is how many changes a watch can start from; 0 means 4096.
+	// History is the number of past changes that a watch can start from; 0 means 4096.
 	History int
-	// Heartbeat is the time between a watch's empty lines; 0 means a second.
+	// Heartbeat is the interval between a watch's empty lines; 0 means one second.
 	Heartbeat time.Duration
-	// ListLag is how old the list of instances is.
+	// ListLag is the delay after which a change of the instance list becomes visible.
 	ListLag time.Duration
 	// Pace scales all durations.
 	Pace Pace
-	// Seed of the faults that come with a probability.
+	// Seed seeds the faults that occur with a probability.
 	Seed int64
 }
 
-// Store is the object API's stand-in.
+// Store emulates the platform's object API.
 type Store struct {
-	cfg  StoreConfig
-	gate *gate
-	done chan struct{}
+	cfg      StoreConfig
+	listener *listener
+	done     chan struct{}
 
 	mu        sync.Mutex
 	version   objectapi.Version
 	objects   map[objectKey]objectapi.Object
 	history   []objectapi.Object
-	forgotten objectapi.Version
+	compacted objectapi.Version
 	changed   chan struct{}
 	lists     []instanceList
 	counts    StoreCounts
@@ -61,20 +60,20 @@
 
 type objectKey struct{ kind, name string }
 
-// instanceList is the list of instances as it stood from a moment on.
+// instanceList is the list of instances from a point in time on.
 type instanceList struct {
 	from    time.Time
 	entries []objectapi.InstanceEntry
 }
 
-// StoreCounts says what the object API was asked for.
+// StoreCounts counts the calls to the object API.
 type StoreCounts struct {
 	// Reads include opened watches.
 	Reads  int `json:"reads"`
 	Writes int `json:"writes"`
-	// Watches are open now.
+	// Watches is the number of watches that are open now.
 	Watches int `json:"watches"`
-	// RateLimited, Refused and Lost calls are among the reads and writes.
+	// RateLimited, Refused and Lost calls are included in Reads and Writes.
 	RateLimited int `json:"rate_limited"`
 	Refused     int `json:"refused"`
 	Lost        int `json:"lost"`
@@ -83,7 +82,7 @@
 // StartStore listens on addr and serves until Close.
 func StartStore(addr string) (*Store, error) { return StartStoreWith(addr, StoreConfig{}) }
 
-// StartStoreWith is StartStore with rates, lags and a time scale.
+// StartStoreWith is StartStore with a configuration.
 func StartStoreWith(addr string, cfg StoreConfig) (*Store, error) {
 	if cfg.History == 0 {
 		cfg.History = defaultHistory
@@ -100,18 +99,18 @@
 		writes:  newBucket(cfg.WritesPerSecond),
 		faults:  newStoreFaults(cfg.Seed),
 	}
-	gate, err := openGate(addr, s.handle)
+	listener, err := listenHTTP(addr, s.handle)
 	if err != nil {
 		return nil, err
 	}
-	s.gate = gate
+	s.listener = listener
 	return s, nil
 }
 
 // Addr returns the address that the store listens on.
-func (s *Store) Addr() string { return s.gate.addr }
+func (s *Store) Addr() string { return s.listener.addr }
 
-// Close stops the store and cuts its connections.
+// Close stops the store and closes its connections.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	select {
@@ -120,17 +119,17 @@
 		close(s.done)
 	}
 	s.mu.Unlock()
-	s.gate.close()
+	s.listener.close()
 	return nil
 }
 
-// Calls returns how many reads and writes were asked for.
+// Calls returns the numbers of reads and writes received.
 func (s *Store) Calls() (reads, writes int) {
 	c := s.Counts()
 	return c.Reads, c.Writes
 }
 
-// Counts returns what the store was asked for.
+// Counts returns the call counters.
 func (s *Store) Counts() StoreCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -144,7 +143,7 @@
 	return s.put(objectapi.Object{Kind: kind, Name: name, Value: value})
 }
 
-// Object returns a stored object, past all faults and counts.
+// Object returns a stored object directly, without faults and counting.
 func (s *Store) Object(kind, name string) (objectapi.Object, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +151,7 @@
 	return obj, ok
 }
 
-// SetInstances replaces the list of instances; readers see it after the lag.
+// SetInstances replaces the list of instances. Readers see the new one after ListLag.
 func (s *Store) SetInstances(entries []objectapi.InstanceEntry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,11 +159,11 @@
 }
 
 func (s *Store) instances() []objectapi.InstanceEntry {
-	seen := time.Now().Add(-s.cfg.Pace.Scale(s.cfg.ListLag))
-	for len(s.lists) > 1 && !s.lists[1].from.After(seen) {
+	asOf := time.Now().Add(-s.cfg.Pace.Scale(s.cfg.ListLag))
+	for len(s.lists) > 1 && !s.lists[1].from.After(asOf) {
 		s.lists = s.lists[1:]
 	}
-	if len(s.lists) == 0 || s.lists[0].from.After(seen) {
+	if len(s.lists) == 0 || s.lists[0].from.After(asOf) {
 		return []objectapi.InstanceEntry{}
 	}
 	return s.lists[0].entries
@@ -184,18 +183,18 @@
 	s.record(objectapi.Object{Kind: key.kind, Name: key.name, Version: s.version, Deleted: true})
 }
 
-// record keeps a change for the watches and tells them.
+// record appends a change to the history and wakes the watches.
 func (s *Store) record(obj objectapi.Object) {
 	s.history = append(s.history, obj)
 	if over := len(s.history) - s.cfg.History; over > 0 {
-		s.forgotten = s.history[over-1].Version
+		s.compacted = s.history[over-1].Version
 		s.history = s.history[over:]
 	}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// handle serves one call.
+// handle serves one HTTP request.
 func (s *Store) handle(ctx *fasthttp.RequestCtx) {
 	parts := strings.Split(strings.Trim(string(ctx.URI().PathOriginal()), "/"), "/")
 	if parts[0] == "control" {
--- a/emulator/storefaults.go
+++ b/emulator/storefaults.go
@@ -13,32 +13,32 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// OutageKind says how a stand-in behaves while it is down.
+// OutageKind is the way in which a stand-in fails during an outage.
 type OutageKind string
 
 // The kinds of outage.
 const (
-	// OutageNone: it works.
+	// OutageNone means no outage.
 	OutageNone OutageKind = ""
-	// OutageRefuse answers 503 and ends open watches.
+	// OutageRefuse responds with status 503 and ends open watches.
 	OutageRefuse OutageKind = "refuse"
-	// OutageSilent takes calls and never answers.
+	// OutageSilent accepts calls and never responds.
 	OutageSilent OutageKind = "silent"
 )
 
-// StoreFaults are the faults that are in force at the object API.
+// StoreFaults are the faults injected at the object API.
 type StoreFaults struct {
 	Outage OutageKind `json:"outage"`
-	// SlowMS is added to every call.
+	// SlowMS is added to the duration of every call.
 	SlowMS int64 `json:"slow_ms"`
-	// LoseNext writes take effect and their replies are lost.
+	// The next LoseNext writes take effect, but their responses are lost.
 	LoseNext int `json:"lose_next"`
-	// LoseProbability is the share of writes whose replies are lost.
+	// LoseProbability is the share of writes that take effect but whose responses are lost.
 	LoseProbability float64 `json:"lose_probability"`
-	// LoseSilently leaves the connection open, without a word, where a reply
-	// is lost; otherwise it is cut.
+	// LoseSilently leaves the connection of a lost response open and unresponsive; otherwise it is
+	// closed.
 	LoseSilently bool `json:"lose_silently"`
-	// CutInstances get no answer; see header X-Instance.
+	// CutInstances are the names of instances that get no response; see header X-Instance.
 	CutInstances []string `json:"cut_instances"`
 }
 
@@ -51,11 +51,11 @@
 	return storeFaults{rng: rand.New(rand.NewPCG(uint64(seed), 2))}
 }
 
-func (f *storeFaults) cuts(instance string) bool {
+func (f *storeFaults) isCut(instance string) bool {
 	return instance != "" && slices.Contains(f.CutInstances, instance)
 }
 
-// SetFaults puts faults in force in place of all earlier ones.
+// SetFaults replaces all injected faults by f.
 func (s *Store) SetFaults(f StoreFaults) {
 	s.mu.Lock()
 	s.faults.StoreFaults = f
@@ -63,32 +63,32 @@
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
 	if f.Outage == OutageSilent {
-		s.gate.silenceOpen()
+		s.listener.stallOpen()
 	}
 }
 
-// Faults returns the faults in force.
+// Faults returns the injected faults.
 func (s *Store) Faults() StoreFaults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults.StoreFaults
 }
 
-// SilenceOpen makes the connections that are open now silent for good.
-func (s *Store) SilenceOpen() { s.gate.silenceOpen() }
+// SilenceOpen makes the currently open connections unresponsive without closing them.
+func (s *Store) SilenceOpen() { s.listener.stallOpen() }
 
-// Down ends the process, as it were: connecting is refused until Up. What is
-// stored stays.
-func (s *Store) Down() error { return s.gate.down() }
+// Down emulates a stopped process: connections are refused until Up is called. Stored objects are
+// kept.
+func (s *Store) Down() error { return s.listener.down() }
 
-// Up ends Down.
-func (s *Store) Up() error { return s.gate.up() }
+// Up accepts connections again after Down.
+func (s *Store) Up() error { return s.listener.up() }
 
-// CutOpen closes the connections that are open now.
-func (s *Store) CutOpen() { s.gate.cut() }
+// CutOpen closes the currently open connections.
+func (s *Store) CutOpen() { s.listener.cut() }
 
-// admit counts a call and applies the faults and the rates before its effect.
-// It reports whether the call goes on.
+// admit counts a call and applies faults and rate limits before the call takes effect. It reports
+// whether to process the call.
 func (s *Store) admit(ctx *fasthttp.RequestCtx, write bool) bool {
 	s.mu.Lock()
 	limit := &s.reads
@@ -99,7 +99,7 @@
 		s.counts.Reads++
 	}
 	f := s.faults.StoreFaults
-	cut := s.faults.cuts(string(ctx.Request.Header.Peek(headerInstance)))
+	cut := s.faults.isCut(string(ctx.Request.Header.Peek(headerInstance)))
 	limited := !limit.take(time.Now())
 	switch {
 	case cut || f.Outage != OutageNone:
@@ -110,7 +110,7 @@
 	s.mu.Unlock()
 	switch {
 	case cut || f.Outage == OutageSilent:
-		hold(ctx)
+		neverRespond(ctx)
 		return false
 	case f.Outage == OutageRefuse:
 		ctx.Error("outage", fasthttp.StatusServiceUnavailable)
@@ -123,7 +123,7 @@
 	return slow == 0 || s.cfg.Pace.sleep(slow, s.done)
 }
 
-// loseReply drops the answer of a write that took effect, where ordered.
+// loseReply drops the response of a write that took effect, if the faults say so.
 func (s *Store) loseReply(ctx *fasthttp.RequestCtx) {
 	s.mu.Lock()
 	lose := s.faults.LoseNext > 0
@@ -141,17 +141,17 @@
 		return
 	}
 	if silently {
-		hold(ctx)
+		neverRespond(ctx)
 		return
 	}
 	drop(ctx)
 }
 
-// hold leaves the connection open and never answers.
-func hold(ctx *fasthttp.RequestCtx) {
+// neverRespond leaves the connection open and sends no response.
+func neverRespond(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(conn net.Conn) {
-		_ = conn.SetReadDeadline(time.Now().Add(silentLimit))
+		_ = conn.SetReadDeadline(time.Now().Add(unresponsiveTimeout))
 		var b [512]byte
 		for {
 			if _, err := conn.Read(b[:]); err != nil {
@@ -161,14 +161,14 @@
 	})
 }
 
-// drop cuts the connection without an answer.
+// drop closes the connection without a response.
 func drop(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(func(net.Conn) {})
 }
 
-// control serves /control: GET or POST faults, GET counts, PUT instances, POST
-// connections/cut and connections/silence.
+// control serves /control/: GET and POST faults, GET counts, PUT instances, POST connections/cut
+// and connections/silence.
 func (s *Store) control(ctx *fasthttp.RequestCtx, parts []string) {
 	switch strings.Join(parts, "/") {
 	case "faults":
@@ -195,7 +195,8 @@
 	}
 }
 
-// readJSON decodes the body; it answers 400 and returns false where it cannot.
+// readJSON decodes the request body into into. If it cannot, it responds with status 400 and
+// returns false.
 func readJSON(ctx *fasthttp.RequestCtx, into any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
--- a/emulator/storewatch.go
+++ b/emulator/storewatch.go
@@ -12,7 +12,7 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// watch streams the changes of a kind after a version, one JSON object a line.
+// watch streams the changes of a kind after a version, one JSON object per line.
 func (s *Store) watch(ctx *fasthttp.RequestCtx, kind string) {
 	from, err := strconv.ParseUint(string(ctx.QueryArgs().Peek("from")), 10, 64)
 	if err != nil {
@@ -23,28 +23,28 @@
 	instance := string(ctx.Request.Header.Peek(headerInstance))
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if position < s.forgotten {
+	if position < s.compacted {
 		ctx.Error("version too old", fasthttp.StatusGone)
 		return
 	}
 	s.counts.Watches++
 	ctx.SetContentType("application/x-ndjson")
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		s.follow(w, kind, instance, position)
+		s.streamChanges(w, kind, instance, position)
 		s.mu.Lock()
 		s.counts.Watches--
 		s.mu.Unlock()
 	})
 }
 
-// follow writes changes until the reader is gone, an outage begins, or the
-// position has been forgotten.
-func (s *Store) follow(w *bufio.Writer, kind, instance string, position objectapi.Version) {
+// streamChanges writes changes until the reader disconnects, an outage begins, or the position is
+// older than the retained history.
+func (s *Store) streamChanges(w *bufio.Writer, kind, instance string, position objectapi.Version) {
 	// The first line is a heartbeat, so that the reader gets the header at once.
 	if !heartbeat(w) {
 		return
 	}
-	beat := time.Now()
+	lastBeat := time.Now()
 	for {
 		events, seen, changed, ok := s.since(kind, instance, position)
 		if !ok {
@@ -61,13 +61,13 @@
 		if len(events) > 0 && w.Flush() != nil {
 			return
 		}
-		// Changes of other kinds end the wait and must not put the heartbeat
-		// off, or a reader would take the watch for silent.
-		left := s.cfg.Heartbeat - s.cfg.Pace.unscale(time.Since(beat))
-		if left > 0 && !s.cfg.Pace.sleep(left, either(changed, s.done)) {
+		// Changes of other kinds end the wait, but must not postpone the heartbeat, or the reader
+		// would take the watch for dead.
+		left := s.cfg.Heartbeat - s.cfg.Pace.unscale(time.Since(lastBeat))
+		if left > 0 && !s.cfg.Pace.sleep(left, changedOrDone(changed, s.done)) {
 			continue
 		}
-		beat = time.Now()
+		lastBeat = time.Now()
 		if !heartbeat(w) {
 			return
 		}
@@ -79,9 +79,9 @@
 	return w.Flush() == nil
 }
 
-// either returns the channel whose closing ends a wait. A closed store changes
-// too, so that its watches look again and end.
-func either(changed, done chan struct{}) <-chan struct{} {
+// changedOrDone returns the channel to wait on: done if the store is closed already, so that the
+// watch checks again at once and ends, otherwise changed.
+func changedOrDone(changed, done chan struct{}) <-chan struct{} {
 	select {
 	case <-done:
 		return done
@@ -90,9 +90,8 @@
 	}
 }
 
-// since returns the changes of a kind after position, the version up to which
-// it looked, and a channel that is closed at the next change of anything. It
-// returns false where the watch ends.
+// since returns the changes of a kind after position, the version up to which it looked, and a
+// channel that is closed at the next change of any kind. It returns false if the watch has to end.
 func (s *Store) since(kind, instance string, position objectapi.Version) ([]objectapi.Object, objectapi.Version, chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +100,7 @@
 		return nil, 0, nil, false
 	default:
 	}
-	if position < s.forgotten || s.faults.cuts(instance) || s.faults.Outage != OutageNone {
+	if position < s.compacted || s.faults.isCut(instance) || s.faults.Outage != OutageNone {
 		return nil, 0, nil, false
 	}
 	i := sort.Search(len(s.history), func(i int) bool { return s.history[i].Version > position })
--- a/emulator/stream.go
+++ b/emulator/stream.go
@@ -10,7 +10,7 @@
 	"github.com/valyala/fasthttp"
 )
 
-// usage is the token counts of an answer, as the published API has them.
+// usage holds the token counts of an answer as the OpenAI API reports them.
 type usage struct {
 	PromptTokens     int64         `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -29,7 +29,7 @@
 }
 
 // resume streams the pieces after the one that Last-Event-ID names.
-func (e *Engine) resume(ctx *fasthttp.RequestCtx, l *life, id string) {
+func (e *Engine) resume(ctx *fasthttp.RequestCtx, p *process, id string) {
 	last := string(ctx.Request.Header.Peek("Last-Event-ID"))
 	index, err := strconv.Atoi(strings.TrimPrefix(last, id+"/"))
 	if err != nil || index < -1 {
@@ -37,46 +37,46 @@
 		return
 	}
 	e.mu.Lock()
-	j, ok := l.jobs[id]
+	j, ok := p.jobs[id]
 	ok = ok && !j.stopped && index < len(j.tokens)
 	e.mu.Unlock()
 	if !ok {
 		writeAPIError(ctx, fasthttp.StatusNotFound, "no_such_stream", "no such stream")
 		return
 	}
-	ctx.Response.Header.Set("X-Model-Version", j.like.version)
-	e.stream(ctx, l, j, index+1)
+	ctx.Response.Header.Set("X-Model-Version", j.origin.version)
+	e.stream(ctx, p, j, index+1)
 }
 
-// stream answers with the pieces of a request from an index on.
-func (e *Engine) stream(ctx *fasthttp.RequestCtx, l *life, j *job, from int) {
+// stream responds with the pieces of a job from an index on.
+func (e *Engine) stream(ctx *fasthttp.RequestCtx, p *process, j *job, from int) {
 	ctx.SetContentType("text/event-stream")
 	conn := ctx.Conn()
 	ctx.SetBodyStreamWriter(func(w *bufio.Writer) {
-		if !e.relay(w, l, j, from) {
+		if !e.writePieces(w, p, j, from) {
 			cutConn(conn)
 		}
 	})
 }
 
-// cutConn ends an answer without its proper end, as a crash does.
+// cutConn ends a response without its last chunk, as a crash does.
 func cutConn(conn net.Conn) { _ = conn.Close() }
 
-// relay writes pieces as they come; it reports whether the answer was whole.
-func (e *Engine) relay(w *bufio.Writer, l *life, j *job, next int) bool {
+// writePieces writes pieces as they are generated. It reports whether the response was complete.
+func (e *Engine) writePieces(w *bufio.Writer, p *process, j *job, next int) bool {
 	_, _ = w.WriteString(": accepted\n\n")
 	if w.Flush() != nil {
 		return false
 	}
 	for {
-		if !e.awake(l.done) {
+		if !e.waitWhileFrozen(p.done) {
 			return false
 		}
 		e.mu.Lock()
 		emitted, done, stopped, changed := j.emitted, j.done, j.stopped, j.changed
 		e.mu.Unlock()
 		for ; next < emitted; next++ {
-			if !e.deliver(w, l, j, next) {
+			if !e.deliver(w, p, j, next) {
 				return false
 			}
 		}
@@ -96,19 +96,20 @@
 	}
 }
 
-// deliver writes one piece, with the faults that are ordered for it.
-func (e *Engine) deliver(w *bufio.Writer, l *life, j *job, index int) bool {
+// deliver writes one piece with the fault injected for it. It returns false if the stream has to
+// end.
+func (e *Engine) deliver(w *bufio.Writer, p *process, j *job, index int) bool {
 	switch e.pieceFault() {
 	case pieceLost:
 		return true
 	case pieceRepeated:
 		e.writePiece(w, j, index)
 	case pieceCrossed:
-		other := e.otherJob(l, j)
+		other := e.otherJob(p, j)
 		e.writePiece(w, other, min(index, len(other.tokens)-1))
 	case pieceLate:
 		late := time.Duration(e.Faults().LateMS) * time.Millisecond
-		if w.Flush() != nil || !e.cfg.Pace.sleep(late, l.done) {
+		if w.Flush() != nil || !e.cfg.Pace.sleep(late, p.done) {
 			return false
 		}
 	}
@@ -116,12 +117,11 @@
 	return w.Flush() == nil
 }
 
-// otherJob returns another request to take a piece of, a made-up one if there
-// is none.
-func (e *Engine) otherJob(l *life, j *job) *job {
+// otherJob returns another job to take a crossed piece from, or a made-up one if there is none.
+func (e *Engine) otherJob(p *process, j *job) *job {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, other := range l.jobs {
+	for _, other := range p.jobs {
 		if other != j && other.chat == j.chat {
 			return other
 		}
@@ -129,8 +129,8 @@
 	return &job{id: "other-" + j.id, chat: j.chat, model: j.model, tokens: tokensOf("another prompt", 0, len(j.tokens))}
 }
 
-// writePiece writes one event. The JSON is put together by hand: all texts in
-// it are plain ASCII, and at full load this is the engine's hottest path.
+// writePiece writes one event. The JSON is assembled by hand: all texts in it are plain ASCII, and
+// at full load this is the engine's hottest path.
 func (e *Engine) writePiece(w *bufio.Writer, j *job, index int) {
 	b := w.AvailableBuffer()
 	b = append(b, "id: "...)
@@ -185,30 +185,30 @@
 	return append(b, "}}"...)
 }
 
-// wholeAnswer is the published API's answer that is not streamed.
-type wholeAnswer struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Created int64         `json:"created"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   usage         `json:"usage"`
+// completion is the OpenAI API's response without streaming.
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   usage              `json:"usage"`
 }
 
-type wholeChoice struct {
+type completionChoice struct {
 	Index        int      `json:"index"`
 	Text         string   `json:"text,omitempty"`
 	Message      *Message `json:"message,omitempty"`
 	FinishReason string   `json:"finish_reason"`
 }
 
-// answerWhole waits for the end and answers at once.
-func (e *Engine) answerWhole(ctx *fasthttp.RequestCtx, l *life, j *job) {
+// writeCompletion waits for the job's end and responds with the complete answer.
+func (e *Engine) writeCompletion(ctx *fasthttp.RequestCtx, p *process, j *job) {
 	for {
 		e.mu.Lock()
 		done, stopped, changed := j.done, j.stopped, j.changed
 		e.mu.Unlock()
-		if stopped || !e.awake(l.done) {
+		if stopped || !e.waitWhileFrozen(p.done) {
 			drop(ctx)
 			return
 		}
@@ -218,11 +218,11 @@
 		<-changed
 	}
 	text := strings.Join(j.tokens, "")
-	choice := wholeChoice{Text: text, FinishReason: "length"}
+	choice := completionChoice{Text: text, FinishReason: "length"}
 	object := "text_completion"
 	if j.chat {
-		choice = wholeChoice{Message: &Message{Role: "assistant", Content: text}, FinishReason: "length"}
+		choice = completionChoice{Message: &Message{Role: "assistant", Content: text}, FinishReason: "length"}
 		object = "chat.completion"
 	}
-	writeJSON(ctx, wholeAnswer{ID: j.id, Object: object, Created: 1, Model: j.model, Choices: []wholeChoice{choice}, Usage: e.usage(j)})
+	writeJSON(ctx, completion{ID: j.id, Object: object, Created: 1, Model: j.model, Choices: []completionChoice{choice}, Usage: e.usage(j)})
 }
--- a/emulator/weights.go
+++ b/emulator/weights.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// weightSteps is into how many steps a load is cut, so that its pace follows
-// the number of loads that run beside it.
-const weightSteps = 20
+// loadSteps is the number of steps of a load. The time of each step depends on the number of loads
+// that run concurrently at its start, so that a load's speed follows that number.
+const loadSteps = 20
 
-// Weights is the weight store that engines load from. Past its number of loads
-// at a time each load takes longer in proportion. Any goroutine may use it.
+// Weights emulates the weight store that engines load from. When more loads run than it serves at
+// full speed, each one takes proportionally longer. It is safe for concurrent use.
 type Weights struct {
-	atOnce int
+	concurrency int
 
 	mu     sync.Mutex
 	active int
 	peak   int
 }
 
-// NewWeights returns a weight store that serves atOnce loads at full pace.
-func NewWeights(atOnce int) *Weights { return &Weights{atOnce: max(1, atOnce)} }
+// NewWeights returns a weight store that serves concurrency loads at full speed.
+func NewWeights(concurrency int) *Weights { return &Weights{concurrency: max(1, concurrency)} }
 
-// Peak returns the highest number of loads that ran at a time.
+// Peak returns the highest number of loads that ran concurrently.
 func (w *Weights) Peak() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.peak
 }
 
-// load takes the time of one load; it reports whether the load came to its end.
+// load sleeps for the duration of one load. It reports whether the load completed before done was
+// closed.
 func (w *Weights) load(d time.Duration, pace Pace, done <-chan struct{}) bool {
 	w.mu.Lock()
 	w.active++
@@ -40,7 +41,7 @@
 		w.active--
 		w.mu.Unlock()
 	}()
-	for range weightSteps {
+	for range loadSteps {
 		if !pace.sleep(w.step(d), done) {
 			return false
 		}
@@ -48,12 +49,13 @@
 	return true
 }
 
+// step returns the duration of the next step of a load that takes d at full speed.
 func (w *Weights) step(d time.Duration) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	d /= weightSteps
-	if w.active <= w.atOnce {
+	d /= loadSteps
+	if w.active <= w.concurrency {
 		return d
 	}
-	return d * time.Duration(w.active) / time.Duration(w.atOnce)
+	return d * time.Duration(w.active) / time.Duration(w.concurrency)
 }
--- a/emulator/work_test.go
+++ b/emulator/work_test.go
@@ -72,17 +72,17 @@
 func TestLoadReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{cfg: EngineConfig{LoadLag: time.Second}.withDefaults()}
-		e.begin()
+		e.startProcess()
 		e.mu.Lock()
-		e.life.waiting = 5
+		e.process.waiting = 5
 		time.Sleep(time.Minute)
-		e.sampleLoad(e.life)
+		e.sampleLoad(e.process)
 		e.mu.Unlock()
-		if got := e.load(e.life).Waiting; got != 0 {
+		if got := e.load(e.process).Waiting; got != 0 {
 			t.Fatalf("%d waiting at once", got)
 		}
 		time.Sleep(time.Second)
-		if got := e.load(e.life).Waiting; got != 5 {
+		if got := e.load(e.process).Waiting; got != 5 {
 			t.Fatalf("%d waiting after the lag, want 5", got)
 		}
 	})
