--- a/emulator/engine_test.go
+++ b/emulator/engine_test.go
@@ -14,7 +14,7 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// testPace makes the waits of a test short.
+// testPace speeds up the emulated durations.
 const testPace = 100
 
 func startEngine(t *testing.T, cfg emulator.EngineConfig) *emulator.Engine {
@@ -33,7 +33,8 @@
 
 type event struct{ id, data string }
 
-// post returns the events of a streamed answer.
+// post sends a POST request and returns the status and the events of the streamed response. The
+// status is 0 if there was no response.
 func post(t *testing.T, url string, header http.Header, body string) (int, []event) {
 	t.Helper()
 	req, err := http.NewRequest("POST", url, strings.NewReader(body))
@@ -62,7 +63,7 @@
 	return resp.StatusCode, events
 }
 
-func ask(t *testing.T, e *emulator.Engine, id, prompt string, tokens int) (int, []event) {
+func complete(t *testing.T, e *emulator.Engine, id, prompt string, tokens int) (int, []event) {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":"counter","prompt":%q,"max_tokens":%d,"stream":true}`, prompt, tokens)
 	return post(t, "http://"+e.Addr()+"/v1/completions", http.Header{"X-Request-Id": {id}}, body)
@@ -95,7 +96,7 @@
 	prompt := strings.Repeat("M12 anchor, grade 8.8; ", 100)
 	for run, cached := range []int64{0, int64(len(prompt)) / 4 / 64 * 64} {
 		id := fmt.Sprintf("req-%d", run)
-		status, events := ask(t, e, id, prompt, 3)
+		status, events := complete(t, e, id, prompt, 3)
 		if status != 200 || len(events) != 4 || events[3].data != "[DONE]" {
 			t.Fatalf("status %d, events %v", status, events)
 		}
@@ -117,12 +118,12 @@
 	}
 }
 
-// Pieces come crossed, twice, or not at all. A reader that trusts the order of
-// arrival would show a caller a part of another's answer.
+// Pieces arrive from another stream, twice, or not at all. A reader that relies on the order of
+// arrival would pass a part of another caller's answer on.
 func TestPieceFaults(t *testing.T) {
 	e := startEngine(t, emulator.EngineConfig{})
 	e.SetFaults(emulator.EngineFaults{CrossNext: 1, RepeatNext: 1, LoseNext: 1, LateNext: 1, LateMS: 1})
-	_, events := ask(t, e, "req", "prompt", 5)
+	_, events := complete(t, e, "req", "prompt", 5)
 	var ids []string
 	for _, ev := range events[:len(events)-1] {
 		ids = append(ids, ev.id)
@@ -133,16 +134,16 @@
 	}
 	_, again := post(t, "http://"+e.Addr()+"/v1/streams/req/resume", http.Header{"Last-Event-Id": {"req/1"}}, "")
 	if len(again) != 4 || again[0].id != "req/2" {
-		t.Fatalf("resumed with %v", again)
+		t.Fatalf("events after resuming: %v", again)
 	}
 }
 
-// An engine crashes and comes back on its address with nothing in it. A stream
-// of before is unknown, and its cached blocks are gone.
-func TestCrashComesBackEmpty(t *testing.T) {
+// An engine that restarts after a crash on the same address has lost its streams and its cached
+// blocks.
+func TestCrashLosesStreamsAndCache(t *testing.T) {
 	e := startEngine(t, emulator.EngineConfig{})
 	prompt := strings.Repeat("price sheet ", 100)
-	ask(t, e, "first", prompt, 2)
+	complete(t, e, "first", prompt, 2)
 	e.Crash(time.Millisecond)
 	if e.Incarnation() != 2 {
 		t.Fatalf("incarnation %d, want 2", e.Incarnation())
@@ -151,20 +152,20 @@
 	if status != 404 {
 		t.Fatalf("resume: status %d, want 404", status)
 	}
-	_, events := ask(t, e, "second", prompt, 2)
+	_, events := complete(t, e, "second", prompt, 2)
 	if p := decode(t, events[0]); p.Usage.Details.Cached != 0 {
-		t.Fatalf("cached %d tokens over a crash", p.Usage.Details.Cached)
+		t.Fatalf("%d tokens still cached after a crash", p.Usage.Details.Cached)
 	}
 	if e.Stats().RecomputedTokens == 0 {
-		t.Fatal("the blocks computed a second time were not counted")
+		t.Fatal("the recomputed blocks were not counted")
 	}
 }
 
-// One request crashes each engine that runs it. Its connection breaks without
-// an answer, and so do those of its neighbours.
-func TestPoisonCrashesTheEngine(t *testing.T) {
+// A prompt with the poison text crashes the engine that runs it. Its connection, like those of the
+// engine's other requests, is closed without a response.
+func TestPoisonTextCrashesTheEngine(t *testing.T) {
 	e := startEngine(t, emulator.EngineConfig{})
-	_, events := ask(t, e, "poison", "prompt "+emulator.PoisonText, 2)
+	_, events := complete(t, e, "poison", "prompt "+emulator.PoisonText, 2)
 	if len(events) != 0 {
 		t.Fatalf("events %v", events)
 	}
@@ -173,14 +174,14 @@
 	}
 }
 
-// Kept cache of another organisation, or of older weights, is offered to an
-// engine. Taking it in would let one caller see another's prompt work.
-func TestImportIsRefusedOnAnyDifference(t *testing.T) {
+// An engine is asked to import KV cache of another organisation or of older weights. Importing it
+// would let one caller observe what was computed for another's prompts.
+func TestImportRejectsOtherSaltOrVersion(t *testing.T) {
 	shared := emulator.NewShared(1)
 	from := startEngine(t, emulator.EngineConfig{Shared: shared})
 	to := startEngine(t, emulator.EngineConfig{Shared: shared, ChecksFencing: true})
 	prompt := strings.Repeat("catalogue ", 100)
-	ask(t, from, "req", prompt, 1)
+	complete(t, from, "req", prompt, 1)
 	salt := prefix.Salt("", "counter", "1")
 	h := endpoint.KVHandle{Handle: "kept", Salt: salt.String()}
 	for _, b := range prefix.Blocks(nil, salt, []byte(prompt), 64) {
@@ -204,7 +205,7 @@
 	if status, body := send(to, "/v1/kv/import", h); status != 200 || body != `{"blocks":3}` {
 		t.Fatalf("import: %d %s", status, body)
 	}
-	if _, events := ask(t, to, "other", prompt, 1); decode(t, events[0]).Usage.Details.Cached != 192 {
+	if _, events := complete(t, to, "other", prompt, 1); decode(t, events[0]).Usage.Details.Cached != 192 {
 		t.Fatalf("imported blocks were not used: %v", events[0])
 	}
 	load := endpoint.Order{Fence: 7, Kind: endpoint.OrderLoadModel, Model: "counter", Version: "2"}
@@ -218,14 +219,15 @@
 	}
 	load.Fence = 6
 	if status, body := send(to, "/v1/orders", load); status != 409 || !strings.Contains(body, "stale_fence") {
-		t.Fatalf("old fence: %d %s", status, body)
+		t.Fatalf("order with an old fencing number: %d %s", status, body)
 	}
 }
 
-// Cache events come late and some never. A reader sees the gap in the numbers.
+// Cache events are delayed and some are lost. A lost event must leave a gap in the sequence numbers
+// that readers can detect.
 func TestCacheEventsHaveGaps(t *testing.T) {
 	e := startEngine(t, emulator.EngineConfig{EventLoss: 1, EventLag: time.Second})
-	ask(t, e, "req", strings.Repeat("datasheet ", 100), 1)
+	complete(t, e, "req", strings.Repeat("datasheet ", 100), 1)
 	resp, err := http.Get("http://" + e.Addr() + "/v1/cache/events?after=0")
 	if err != nil {
 		t.Fatal(err)
@@ -243,9 +245,9 @@
 	}
 }
 
-// An engine's queue is full. Its word that the request was not started is the
-// only refusal that may be passed on as not run, so nothing may have run.
-func TestFullQueueRefusesUnstarted(t *testing.T) {
+// Only an engine's error code not_started may be reported to callers as not run. A request that is
+// rejected with it because the queue is full must not run.
+func TestFullQueueRejectsBeforeStart(t *testing.T) {
 	e := startEngine(t, emulator.EngineConfig{Slots: 1, Queue: 1, TokenTime: time.Hour, Pace: 1})
 	url := "http://" + e.Addr() + "/v1/completions"
 	const body = `{"model":"counter","prompt":"p","max_tokens":1,"stream":true}`
@@ -260,7 +262,7 @@
 				_ = resp.Body.Close()
 			}
 		}()
-		for waitsFor(t, e) != id {
+		for newestAccepted(t, e) != id {
 		}
 	}
 	status, answer := call(t, "POST", url, body)
@@ -277,8 +279,8 @@
 	}
 }
 
-// waitsFor names the newest request that the engine has accepted.
-func waitsFor(t *testing.T, e *emulator.Engine) string {
+// newestAccepted returns the id of the request that the engine has accepted last.
+func newestAccepted(t *testing.T, e *emulator.Engine) string {
 	t.Helper()
 	_, text := call(t, "GET", "http://"+e.Addr()+"/v1/load", "")
 	var report endpoint.LoadReport
@@ -294,7 +296,7 @@
 	return ""
 }
 
-// Faults of engines that run as a process of their own are ordered over HTTP.
+// Faults of engines that run in another process are injected over HTTP.
 func TestEngineControlPath(t *testing.T) {
 	e := startEngine(t, emulator.EngineConfig{})
 	control := "http://" + e.Addr() + "/control/"
@@ -302,10 +304,10 @@
 		t.Fatalf("faults: %d %s", status, body)
 	}
 	if got := e.Faults(); got.Slow != 3 || got.CrossNext != 2 {
-		t.Fatalf("faults in force: %+v", got)
+		t.Fatalf("injected faults: %+v", got)
 	}
 	if status, _ := call(t, "POST", control+"faults", `{"slow":`); status != 400 {
-		t.Fatalf("half a body: status %d", status)
+		t.Fatalf("truncated body: status %d", status)
 	}
 	if status, _ := call(t, "POST", control+"leaving", `{"leaving":true}`); status != 200 {
 		t.Fatalf("leaving: status %d", status)
@@ -313,7 +315,7 @@
 	if _, body := call(t, "GET", "http://"+e.Addr()+"/v1/state", ""); !strings.Contains(body, `"leaving":true`) {
 		t.Fatalf("state %s", body)
 	}
-	// The crash may cut the answer to its own order.
+	// The crash may cut off the response to its own request.
 	call(t, "POST", control+"crash", `{"down_ms":1}`)
 	for e.Stats().Crashes == 0 {
 	}
--- a/emulator/events_test.go
+++ b/emulator/events_test.go
@@ -9,10 +9,10 @@
 	"github.com/sardinedock/sardinedock/endpoint"
 )
 
-// A reader of cache events needs heartbeats more often than the engine sends
-// them by itself. Without them it would take the engine for silent, so that it
-// asks for them; both ends must agree on how.
-func TestHeartbeatsComeAsOftenAsAskedFor(t *testing.T) {
+// A reader of cache events needs heartbeats at a shorter interval than the engine's own, or it
+// would take the engine for unresponsive. It requests the interval; client and engine must agree on
+// how.
+func TestHeartbeatsUseTheRequestedInterval(t *testing.T) {
 	e, err := emulator.StartEngine("127.0.0.1:0", emulator.EngineConfig{Name: "e", Heartbeat: time.Hour, FirstIncarnation: 7})
 	if err != nil {
 		t.Fatal(err)
--- a/emulator/link_test.go
+++ b/emulator/link_test.go
@@ -8,9 +8,9 @@
 	"github.com/sardinedock/sardinedock/emulator"
 )
 
-// Something between two processes forgets a connection. Writes go nowhere and
-// nothing comes back, while a new connection works.
-func TestLinkForgetsOpenConnections(t *testing.T) {
+// A middlebox between two processes drops the state of a connection. What is written to it is lost
+// and nothing comes back, while a new connection works.
+func TestLinkDropsOpenConnectionsSilently(t *testing.T) {
 	echo, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -62,6 +62,6 @@
 	defer func() { _ = fresh.Close() }()
 	send(fresh, "c")
 	if got := <-received; got != "c" {
-		t.Fatalf("got %q over a forgotten connection", got)
+		t.Fatalf("got %q, want only what the new connection sent", got)
 	}
 }
--- a/emulator/gate_test.go
+++ b/emulator/listener_test.go
@@ -9,9 +9,9 @@
 	"github.com/sardinedock/sardinedock/emulator"
 )
 
-// A process that is away for a moment must find its port free when it comes
-// back, and its callers must be refused meanwhile.
-func TestReservedPortIsRefusedUntilListenedOn(t *testing.T) {
+// A process that restarts must find its port free, and connections must be refused while it is
+// down.
+func TestReservedPortRefusesUntilListenedOn(t *testing.T) {
 	addr, release, err := emulator.ReservePort()
 	if err != nil {
 		t.Fatal(err)
--- a/emulator/service_test.go
+++ b/emulator/service_test.go
@@ -9,9 +9,9 @@
 	"github.com/sardinedock/sardinedock/emulator"
 )
 
-// A plain service crashes after the effect of a call and before its answer. A
-// caller that sends again would have the effect twice, and the count tells.
-func TestServiceCountsRunsOverCrashes(t *testing.T) {
+// A plain service crashes after a call took effect and before its response. A caller that retries
+// causes the effect twice, and the service's count must show that.
+func TestServiceCountsRunsAcrossCrashes(t *testing.T) {
 	s, err := emulator.StartService("127.0.0.1:0", emulator.ServiceConfig{Name: "ordering-1", Pace: testPace, WorkTime: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 		return resp.Body.Close()
 	}
 	if send() == nil {
-		t.Fatal("the crash was answered")
+		t.Fatal("the call during which the service crashed got a response")
 	}
 	if s.Runs() != 1 {
 		t.Fatalf("%d runs, want the effect of the call that crashed", s.Runs())
--- a/emulator/store_test.go
+++ b/emulator/store_test.go
@@ -26,7 +26,7 @@
 	return s
 }
 
-// call returns the status, or 0 where no answer came.
+// call returns the status and the body of the response. The status is 0 if there was no response.
 func call(t *testing.T, method, url, body string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
@@ -48,8 +48,8 @@
 	return fmt.Sprintf("http://%s/objects/claims/%s?expected=%d", s.Addr(), name, expected)
 }
 
-// Two writers race for one object. Only one of them may win, or two holders of
-// one claim would both send.
+// Two writers race for one object. Only one of them may succeed, or two instances would both own a
+// claim and send its request.
 func TestConditionalWrites(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{})
 	steps := []struct {
@@ -67,36 +67,35 @@
 	}
 }
 
-// The store applies a write and the reply is lost on the way. A caller that
-// takes that for a failure would write, or send, a second time.
-func TestLostReplyTakesEffect(t *testing.T) {
+// A write takes effect and its response is lost. A caller that takes this for a failed write would
+// write, or send a request, a second time.
+func TestWriteWithLostResponseTakesEffect(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{})
 	s.SetFaults(emulator.StoreFaults{LoseNext: 1})
 	if status, _ := call(t, "PUT", putURL(s, "a", 0), `{"attempt":"x"}`); status != 0 {
-		t.Fatalf("status %d, want no answer", status)
+		t.Fatalf("status %d, want no response", status)
 	}
 	if obj, ok := s.Object("claims", "a"); !ok || obj.Attempt != "x" {
-		t.Fatalf("object %+v %v, want the write's effect", obj, ok)
+		t.Fatalf("object %+v %v, want the written object", obj, ok)
 	}
 	if status, _ := call(t, "PUT", putURL(s, "b", 0), `{}`); status != 200 {
-		t.Fatalf("status %d after the ordered loss", status)
+		t.Fatalf("status %d of the write after the lost response", status)
 	}
 }
 
-// The platform is down, or calls come over its rate. Each such call has to be
-// told apart by its status.
-func TestOutageRateAndCounts(t *testing.T) {
+// Calls during an outage and calls above the rate limit must get different status codes.
+func TestOutageAndRateLimitStatusCodes(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{ReadsPerSecond: 0.5})
 	url := "http://" + s.Addr() + "/objects/claims"
 	if status, _ := call(t, "GET", url, ""); status != 429 {
-		t.Fatalf("status %d over the rate", status)
+		t.Fatalf("status %d above the rate limit", status)
 	}
 	control := "http://" + s.Addr() + "/control/faults"
 	if status, _ := call(t, "POST", control, `{"outage":"refuse"}`); status != 200 {
 		t.Fatalf("control: status %d", status)
 	}
 	if status, _ := call(t, "PUT", putURL(s, "a", 0), `{}`); status != 503 {
-		t.Fatalf("status %d in an outage", status)
+		t.Fatalf("status %d during an outage", status)
 	}
 	want := emulator.StoreCounts{Reads: 1, Writes: 1, RateLimited: 1, Refused: 1}
 	if got := s.Counts(); got != want {
@@ -104,7 +103,7 @@
 	}
 }
 
-func TestWatchBringsChangesInOrder(t *testing.T) {
+func TestWatchDeliversChangesInOrder(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{History: 3, Heartbeat: time.Millisecond})
 	from := s.Set("claims", "a", nil)
 	resp, err := http.Get(fmt.Sprintf("http://%s/watch/claims?from=%d", s.Addr(), from))
@@ -131,21 +130,21 @@
 	s.Set("claims", "c", nil)
 	s.Set("claims", "d", nil)
 	if status, _ := call(t, "GET", fmt.Sprintf("http://%s/watch/claims?from=0", s.Addr()), ""); status != 410 {
-		t.Fatalf("status %d for a forgotten version", status)
+		t.Fatalf("status %d for a compacted version", status)
 	}
 }
 
-// An instance is replaced while the platform's list still names the old one.
+// The platform's instance list is stale for a while, for example after an instance was replaced.
 func TestInstanceListLags(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{ListLag: time.Hour})
 	s.SetInstances([]objectapi.InstanceEntry{{Name: "entry-1"}})
 	if _, body := call(t, "GET", "http://"+s.Addr()+"/instances", ""); body != "[]" {
-		t.Fatalf("list %s, want none before the lag is over", body)
+		t.Fatalf("list %s, want an empty one until the lag has passed", body)
 	}
 }
 
-// The platform's process is gone and comes back on its address with all that it
-// stored. Callers are refused at once in between.
+// The platform's process stops and restarts on the same address with all stored objects. In
+// between, connections are refused at once.
 func TestDownAndUp(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{})
 	s.Set("claims", "a", nil)
@@ -161,14 +160,14 @@
 			t.Fatal(err)
 		}
 		if status, _ := call(t, "GET", url, ""); status != 200 {
-			t.Fatalf("status %d after coming back", status)
+			t.Fatalf("status %d after the restart", status)
 		}
 	}
 }
 
-// Other kinds change all the time while a watch's own kind does not. Its reader
-// must still hear that the watch lives, or it would open it again and again.
-func TestHeartbeatsComeBesideOtherChanges(t *testing.T) {
+// Objects of other kinds change all the time while the watched kind does not. The reader must still
+// get heartbeats, or it would open the watch again and again.
+func TestHeartbeatsContinueDuringOtherChanges(t *testing.T) {
 	s := startStore(t, emulator.StoreConfig{Heartbeat: 20 * time.Millisecond})
 	stop := make(chan struct{})
 	defer close(stop)
--- a/emulator/work_test.go
+++ b/emulator/work_test.go
@@ -10,9 +10,9 @@
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
-// Too many engines load weights at the same time and each waits for the others.
-// Operators notice a rollout that takes much longer than its parts.
-func TestLoadsPastTheLimitSlowEachOther(t *testing.T) {
+// More engines load weights concurrently than the weight store serves at full speed. Each load must
+// slow down, as in a rollout that takes much longer than its single loads.
+func TestLoadsAboveTheLimitSlowDown(t *testing.T) {
 	for _, c := range []struct {
 		loads int
 		want  time.Duration
@@ -25,7 +25,7 @@
 				all.Go(func() { w.load(400*time.Millisecond, 1, nil) })
 			}
 			all.Wait()
-			// The first step of the first load runs before the others began.
+			// The first step of the first load is computed before the others have started.
 			if got := time.Since(start); got > c.want || got < c.want*9/10 {
 				t.Errorf("%d loads took %s, want about %s", c.loads, got, c.want)
 			}
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestSlotsGoByPriorityThenArrival(t *testing.T) {
+func TestSlotsAreGrantedByPriorityThenArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newSemaphore(1)
 		s.acquire(0, nil)
@@ -50,14 +50,14 @@
 			})
 			synctest.Wait()
 		}
-		gone := make(chan struct{})
+		cancelled := make(chan struct{})
 		all.Go(func() {
-			if s.acquire(-1, gone) {
-				t.Error("a waiter that has gone got a slot")
+			if s.acquire(-1, cancelled) {
+				t.Error("a cancelled waiter got a slot")
 			}
 		})
 		synctest.Wait()
-		close(gone)
+		close(cancelled)
 		synctest.Wait()
 		s.release()
 		all.Wait()
@@ -67,8 +67,8 @@
 	})
 }
 
-// What engines say of their load is old. A reader that takes it for the present
-// would send everything to the engine that was idle a moment ago.
+// Load reports are stale. A reader that takes them as current would send every request to the
+// engine that was idle a moment ago.
 func TestLoadReportLags(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{cfg: EngineConfig{LoadLag: time.Second}.withDefaults()}
@@ -79,7 +79,7 @@
 		e.sampleLoad(e.process)
 		e.mu.Unlock()
 		if got := e.load(e.process).Waiting; got != 0 {
-			t.Fatalf("%d waiting at once", got)
+			t.Fatalf("%d waiting before the lag has passed, want 0", got)
 		}
 		time.Sleep(time.Second)
 		if got := e.load(e.process).Waiting; got != 5 {
@@ -88,8 +88,7 @@
 	})
 }
 
-// Blocks that were not used for long go first, and of one prompt its end goes
-// before its start.
+// The least recently used blocks are evicted first, and within one prompt its end before its start.
 func TestCacheEvictsTheEndOfTheOldestPrompt(t *testing.T) {
 	c := newBlockCache(4)
 	old, young := [3][16]byte{{1}, {2}, {3}}, [3][16]byte{{4}, {5}, {6}}
