--- a/demo/checks_test.go
+++ b/demo/checks_test.go
@@ -10,11 +10,11 @@
 	"github.com/sardinedock/sardinedock/schema/loadpb"
 )
 
-// A request crashes each engine that runs it, and its caller sends it again; all attempts
-// have the same text, and so one marker. The first attempt runs late, while the second one
-// is refused as not run. The refusal is true, since it is said of the second attempt; it is
-// false once that one has run, also by a second send and after the refusal.
-func TestRefusalOfACrashingRequestIsJudgedByItsAttempt(t *testing.T) {
+// A request crashes each engine that runs it, and its caller sends it again. All attempts have the
+// same text and therefore the same marker. The first attempt runs late, while the second one is
+// refused as not run. The refusal is true, since it refers to the second attempt only. It becomes
+// false once the second attempt runs, even if by a resend of the router and after the refusal.
+func TestRefusalOfCrashingRequestIsCheckedByAttempt(t *testing.T) {
 	e, err := emulator.Start(anyPort, newScenario(Options{Scenario: scenarioFaults, Seconds: 1, Seed: 1, Endpoints: 1}).records)
 	if err != nil {
 		t.Fatal(err)
@@ -45,13 +45,13 @@
 	run("req-first")
 	refused := answer{status: http.StatusServiceUnavailable, requestID: "req-second"}
 	d.check(r, verdictNotRun, refused, call{}, marker, "one", time.Now(), 0)
-	d.settleRefusals()
+	d.checkRefusals()
 	if n := d.classes["sort"].FalseNotRun; n != 0 {
-		t.Errorf("%d refusals count as false though another attempt has run", n)
+		t.Errorf("%d refusals counted as false, want 0: only another attempt has run", n)
 	}
 	run("req-second.2")
-	d.settleRefusals()
+	d.checkRefusals()
 	if n := d.classes["sort"].FalseNotRun; n != 1 {
-		t.Errorf("%d refusals count as false, want the one that has run", n)
+		t.Errorf("%d refusals counted as false, want the one whose attempt has run", n)
 	}
 }
--- a/demo/cost_test.go
+++ b/demo/cost_test.go
@@ -17,10 +17,10 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// openStreams is how many streams the memory is measured at.
+// openStreams is the number of streams at which the memory is measured.
 const openStreams = 1000
 
-// costBench is one engine, and one instance before it.
+// costBench is one engine with one instance in front of it.
 type costBench struct {
 	emulator *emulator.Emulator
 	fleet    *fleet
@@ -59,10 +59,10 @@
 	}
 }
 
-func (c *costBench) routed() string { return c.fleet.members[0].callers }
+func (c *costBench) routed() string { return c.fleet.members[0].callerAddr }
 func (c *costBench) direct() string { return c.emulator.Engines[0].Addr() }
 
-// next returns a request with a prompt that was not used before.
+// next returns a call with a prompt that was not used before.
 func (c *costBench) next(b *testing.B) *call {
 	b.Helper()
 	c.drawn++
@@ -75,28 +75,28 @@
 	return &built
 }
 
-// ask returns the time to the first token.
-func (c *costBench) ask(b *testing.B, target string) time.Duration {
+// timeToFirstToken sends a request and returns the time to the first token.
+func (c *costBench) timeToFirstToken(b *testing.B, target string) time.Duration {
 	b.Helper()
 	sent := c.next(b)
 	start := time.Now()
 	a := do(target, sent, time.Minute)
-	if v := judge(&a, sent, true); v != verdictComplete {
+	if v := classify(&a, sent, true); v != verdictComplete {
 		b.Fatalf("verdict %d: status %d, %s", v, a.status, a.errorCode)
 	}
 	return a.first.Sub(start)
 }
 
-// BenchmarkCost asks the engine directly and through an instance in turns. The
-// differences are what the router adds to a request of 1,024 prompt tokens and
-// 8 answer tokens.
+// BenchmarkCost sends requests to the engine directly and through an instance in turns. The
+// differences are the overhead of the router for a request of 1,024 prompt tokens and 8 answer
+// tokens.
 func BenchmarkCost(b *testing.B) {
 	c := newCostBench(b, emulator.EngineConfig{TokenTime: time.Nanosecond}, 8)
 	direct := hdrhistogram.New(lowestMicros, highestMicros, sigFigures)
 	routed := hdrhistogram.New(lowestMicros, highestMicros, sigFigures)
 	for range b.N {
-		_ = direct.RecordValue(c.ask(b, c.direct()).Microseconds())
-		_ = routed.RecordValue(c.ask(b, c.routed()).Microseconds())
+		_ = direct.RecordValue(c.timeToFirstToken(b, c.direct()).Microseconds())
+		_ = routed.RecordValue(c.timeToFirstToken(b, c.routed()).Microseconds())
 	}
 	for _, q := range []float64{50, 99} {
 		d, r := float64(direct.ValueAtQuantile(q)), float64(routed.ValueAtQuantile(q))
@@ -110,22 +110,22 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// allocations returns how many, and how many bytes, the whole process makes
-// for one request.
+// allocations returns the number and the bytes of the allocations that the whole process makes for
+// one request.
 func (c *costBench) allocations(b *testing.B, target string) (count, bytes float64) {
 	b.Helper()
 	const requests = 300
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for range requests {
-		c.ask(b, target)
+		c.timeToFirstToken(b, target)
 	}
 	runtime.ReadMemStats(&after)
 	return float64(after.Mallocs-before.Mallocs) / requests, float64(after.TotalAlloc-before.TotalAlloc) / requests
 }
 
-// BenchmarkOpenStreams holds 1,000 streams open, first at the engine and then
-// through an instance. The difference is what the router holds for a stream.
+// BenchmarkOpenStreams keeps 1,000 streams open, first directly to the engine and then through an
+// instance. The difference is the memory that the router uses for a stream.
 func BenchmarkOpenStreams(b *testing.B) {
 	for range b.N {
 		direct := streamMemory(b, (*costBench).direct)
@@ -166,7 +166,7 @@
 	return conn
 }
 
-// awaitFirst reads up to the first token, and holds nothing.
+// awaitFirst reads up to the first token and keeps no buffer.
 func awaitFirst(b *testing.B, conn net.Conn) {
 	b.Helper()
 	last := ""
--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,6 +1,6 @@
-// Package demo runs instances and stand-ins in one process over loopback TCP,
-// drives requests through them and counts what callers got and what endpoints
-// ran, independent of the router's own word.
+// Package demo runs instances and emulated endpoints in one process over loopback TCP, sends
+// requests through them, and compares what callers got with what the endpoints ran. It does not
+// rely on the router's own reports.
 package demo
 
 import (
@@ -14,20 +14,21 @@
 	"github.com/sardinedock/sardinedock/schema/loadpb"
 )
 
-// Options are the demo's flags.
+// Options holds the demo's command-line options.
 type Options struct {
 	Instances int
-	// Endpoints is the number of model engines; 0 is the scenario's usual one.
+	// Endpoints is the number of model engines; 0 selects the scenario's default.
 	Endpoints int
 	Seconds   int
 	Seed      int64
 	Scenario  string
 }
 
-// leaveBound is how long after its word a leaving engine may get new work.
-const leaveBound = 3 * time.Second
+// maxStartAfterLeaving is how long after an engine's leaving notice the engine may still get new
+// requests.
+const maxStartAfterLeaving = 3 * time.Second
 
-// Run runs one scenario to its end.
+// Run runs one scenario and returns its report.
 func Run(ctx context.Context, o Options, progress io.Writer) (*Report, error) {
 	s := newScenario(o)
 	e, err := emulator.StartWith(anyPort, s.records, s.emulator)
@@ -56,8 +57,8 @@
 	return r, nil
 }
 
-// RunLoad drives instances that run elsewhere. Nothing is known of the
-// endpoints then, so their counts stay empty.
+// RunLoad drives instances that run elsewhere. The endpoints' counts are not available then and
+// stay empty.
 func RunLoad(ctx context.Context, addr string, l *loadpb.Load, progress io.Writer) *Report {
 	d := newDriver(&workload{load: l}, fixedTarget(addr), nil)
 	d.run(ctx, progress)
@@ -67,19 +68,19 @@
 	return r
 }
 
-// fixedTarget is a balancer, or an instance, at one address.
+// fixedTarget is a balancer with a single address, of an instance or of an external load balancer.
 type fixedTarget string
 
 func (t fixedTarget) choose(*rand.Rand, []string) string { return string(t) }
 func (t fixedTarget) killedSince(string, time.Time) bool { return false }
 
 func (d *driver) fill(r *Report) {
-	d.settleKeys()
-	d.settleRefusals()
+	d.checkKeys()
+	d.checkRefusals()
 	r.Classes, r.Findings = d.classes, d.findings
 }
 
-// fillEndpoints takes over what the stand-ins counted.
+// fillEndpoints copies the counters of the emulated endpoints into the report.
 func fillEndpoints(r *Report, e *emulator.Emulator) {
 	for _, engine := range e.Engines {
 		s := engine.Stats()
@@ -87,7 +88,7 @@
 		r.Endpoints.Refused += s.Refused
 		r.Endpoints.Crashes += s.Crashes
 		r.Endpoints.StaleBlocks += s.StaleBlocks
-		if s.LastStartAfterLeaving > leaveBound {
+		if s.LastStartAfterLeaving > maxStartAfterLeaving {
 			r.Endpoints.LateStarts++
 		}
 		for name, tokens := range s.Groups {
--- a/demo/driver.go
+++ b/demo/driver.go
@@ -14,68 +14,68 @@
 )
 
 const (
-	// progressEvery is the time between two lines of progress.
+	// progressEvery is the interval between progress lines.
 	progressEvery = time.Second
-	// defaultBackoff is how long a caller waits before it sends again, where
-	// the answer does not say.
+	// defaultBackoff is how long a caller waits before it sends again if the answer has no
+	// Retry-After.
 	defaultBackoff = 200 * time.Millisecond
-	// unknownResends is how often a caller asks again what became of a request
-	// of which nobody knew.
+	// unknownResends is how often a caller sends a request again whose outcome is unknown, to learn
+	// the outcome.
 	unknownResends = 3
-	// reachBound is how long a caller that sends again goes on trying when it
-	// reaches no instance at all.
-	reachBound = 15 * time.Second
-	// maxBackoff bounds what a caller takes from Retry-After.
+	// maxUnreachable is how long a caller that sends again keeps trying while it reaches no
+	// instance at all.
+	maxUnreachable = 15 * time.Second
+	// maxBackoff bounds the wait that a caller takes from Retry-After.
 	maxBackoff = 3 * time.Second
 )
 
-// targets is the balancer: it names the instances that callers reach.
-type targets interface {
-	// choose returns an instance, if it can be one that is not in tried.
+// balancer is the load balancer in front of the instances. It selects the instance that a caller
+// connects to.
+type balancer interface {
+	// choose returns the address of an instance, preferably one that is not in tried.
 	choose(rng *rand.Rand, tried []string) string
-	// killedSince reports whether the instance was killed after the time.
+	// killedSince reports whether the instance was killed after the time since or is not running.
 	killedSince(target string, since time.Time) bool
 }
 
-// driver sends a workload on schedule, whether or not earlier answers have
-// come, and counts what the callers got.
+// driver sends a workload on schedule, whether or not earlier requests have been answered, and
+// counts the answers that callers got.
 type driver struct {
 	workload *workload
-	targets  targets
-	// runs is what the endpoints counted; nil where they are not ours.
+	balancer balancer
+	// runs holds the endpoints' counts; nil if the endpoints are not emulated by this process.
 	runs *emulator.Ledger
-	// resends is how often a caller sends again after an answer that is not
-	// complete.
+	// resends is how often a caller sends again after an answer that is not complete.
 	resends int
 
 	mu       sync.Mutex
 	classes  map[string]*Counts
 	open     int
 	findings []string
-	keys     map[string]*keyed
+	keys     map[string]*keyedRequest
 	refusals []refusal
 }
 
-// refusal is a word of "not run" that has to be true to the end.
+// refusal records an answer "not run", which must still be true at the end of the run.
 type refusal struct {
 	class, marker, key string
 	runs               int
-	// attempt is the id of the attempt that was refused, where only its own runs count;
-	// else empty.
+	// attempt is the id of the refused attempt if only the runs of that attempt count, otherwise
+	// empty.
 	attempt string
-	// said tells of the refusal in a finding: to whom, when and why.
-	said string
+	// detail describes the refusal in a finding: for which attempt, when and why.
+	detail string
 }
 
-func newDriver(w *workload, t targets, runs *emulator.Ledger) *driver {
-	d := &driver{workload: w, targets: t, runs: runs, classes: map[string]*Counts{}, keys: map[string]*keyed{}}
+func newDriver(w *workload, b balancer, runs *emulator.Ledger) *driver {
+	d := &driver{workload: w, balancer: b, runs: runs, classes: map[string]*Counts{}, keys: map[string]*keyedRequest{}}
 	for _, work := range w.load.GetWork() {
 		d.classes[work.GetName()] = newCounts()
 	}
 	return d
 }
 
-// run sends until the load or ctx ends, and waits for the answers.
+// run sends requests until the load or ctx ends, and waits for the answers.
 func (d *driver) run(ctx context.Context, progress io.Writer) {
 	stop := d.showProgress(progress)
 	defer stop()
@@ -91,7 +91,7 @@
 		}
 		wg.Go(func() {
 			d.perform(ctx, r, start.Add(due))
-			d.leave()
+			d.release()
 		})
 	}
 	wg.Wait()
@@ -108,8 +108,8 @@
 	}
 }
 
-// admit keeps the number of open requests bounded, so that a target that has
-// stopped answering cannot make the driver hold everything that is due.
+// admit bounds the number of open requests, so that the driver does not accumulate all requests
+// that are due when a target has stopped answering. It reports whether to send the request.
 func (d *driver) admit(r *request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,18 +121,18 @@
 	d.open++
 	c.Sent++
 	if r.key != "" {
-		d.keys[r.key] = &keyed{class: r.work.GetName(), marker: r.markerName(d.workload.load.GetSeed(), 0)}
+		d.keys[r.key] = &keyedRequest{class: r.work.GetName(), marker: r.markerName(d.workload.load.GetSeed(), 0)}
 	}
 	return true
 }
 
-func (d *driver) leave() {
+func (d *driver) release() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.open--
 }
 
-// perform sends one request until it is complete or the caller gives up.
+// perform sends one request until the answer is complete or the caller has used up its resends.
 func (d *driver) perform(ctx context.Context, r *request, due time.Time) {
 	var second sync.WaitGroup
 	if r.resend == resendAtOnce {
@@ -152,15 +152,15 @@
 		if last == verdictComplete || ctx.Err() != nil {
 			break
 		}
-		if last != verdictUnsent {
+		if last != verdictNotReached {
 			reached = time.Now()
 		}
 		// Nothing was sent, so the attempt does not count.
-		unreached := last == verdictUnsent && d.resends > 0 && time.Since(reached) < reachBound
-		if unreached {
+		notReached := last == verdictNotReached && d.resends > 0 && time.Since(reached) < maxUnreachable
+		if notReached {
 			n--
 		}
-		if !unreached && n >= d.resendsAfter(r, last) {
+		if !notReached && n >= d.resendsAfter(r, last) {
 			break
 		}
 		tried = append(tried, target)
@@ -171,11 +171,12 @@
 		d.attempt(r, rng, 0, nil)
 	}
 	second.Wait()
-	d.settle(r, last)
+	d.countOutcome(r, last)
 }
 
-// resendsAfter is how often the caller sends again after such an answer. One
-// that is told that nobody knows asks with the same key, as it is advised to.
+// resendsAfter returns how often the caller sends again after an answer with the verdict. A caller
+// whose request has an unknown outcome sends it again with the same key, as the API's error
+// advises.
 func (d *driver) resendsAfter(r *request, v verdict) int {
 	if v == verdictHungUp {
 		return max(d.resends, 1)
@@ -190,15 +191,14 @@
 	return rand.New(rand.NewPCG(uint64(d.workload.load.GetSeed())<<8+stream, uint64(r.number)))
 }
 
-// attempt sends a request once and checks the answer against what the
-// endpoints counted.
+// attempt sends a request once and checks the answer against the endpoints' counts.
 func (d *driver) attempt(r *request, rng *rand.Rand, n int, tried []string) (verdict, string, answer) {
 	marker := r.markerName(d.workload.load.GetSeed(), n)
 	c, err := r.build(marker)
 	if err != nil {
 		return verdictFailed, "", answer{}
 	}
-	target := d.targets.choose(rng, tried)
+	target := d.balancer.choose(rng, tried)
 	begun := time.Now()
 	before := d.runsOf(r, marker)
 	timeout := time.Duration(d.workload.load.GetTimeoutMs()) * time.Millisecond
@@ -206,18 +206,18 @@
 		timeout = r.hangUp
 	}
 	a := do(target, &c, timeout)
-	v := judge(&a, &c, d.workload.load.GetCheckAnswers())
+	v := classify(&a, &c, d.workload.load.GetCheckAnswers())
 	if v == verdictIncomplete && a.ending == endTimeout && timeout == r.hangUp {
 		v = verdictHungUp
 	}
-	if v == verdictIncomplete && a.ending != endTimeout && a.ending != endShort && d.targets.killedSince(target, begun) {
-		v = verdictCut
+	if v == verdictIncomplete && a.ending != endTimeout && a.ending != endTruncated && d.balancer.killedSince(target, begun) {
+		v = verdictCutByKill
 	}
 	d.check(r, v, a, c, marker, target, begun, before)
 	return v, target, a
 }
 
-// observe records the time to the first token, from the due time on.
+// observe records the time from the due time to the first token.
 func (d *driver) observe(r *request, a answer, due time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -225,22 +225,22 @@
 	_ = d.classes[r.work.GetName()].hist.RecordValue(micros)
 }
 
-// settle counts the last word that the caller got.
-func (d *driver) settle(r *request, v verdict) {
+// countOutcome counts a request by the verdict on its last answer.
+func (d *driver) countOutcome(r *request, v verdict) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c := d.classes[r.work.GetName()]
 	switch v {
 	case verdictComplete:
 		c.Complete++
-	case verdictUnsent:
+	case verdictNotReached:
 		c.NotReached++
 	case verdictNotRun:
 		c.RefusedNotRun++
-		// A second attempt that was open beside this one may still run.
+		// A second attempt that was open concurrently may still run.
 		if r.key != "" && r.resend == resendNever {
 			marker := r.markerName(d.workload.load.GetSeed(), 0)
-			d.refuse(r, marker, d.runsOf(r, marker))
+			d.addKeyRefusal(r, marker, d.runsOf(r, marker))
 		}
 	case verdictUnknown:
 		c.UnknownOutcome++
@@ -249,12 +249,12 @@
 		}
 	case verdictFailed:
 		c.Failed++
-	case verdictCut:
+	case verdictCutByKill:
 		c.CutByKill++
 	}
 }
 
-// showProgress writes a line a second where a person watches.
+// showProgress writes a progress line every second if w is a terminal.
 func (d *driver) showProgress(w io.Writer) (stop func()) {
 	if !isTerminal(w) {
 		return func() {}
--- a/demo/faultkinds.go
+++ b/demo/faultkinds.go
@@ -9,28 +9,28 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// faultKind is one kind of fault and how often it is drawn.
+// faultKind is one kind of fault with the relative frequency at which it is drawn.
 type faultKind struct {
 	name   string
 	weight int
-	order  func(*injector)
+	inject func(*injector)
 }
 
-// faultKinds is all that fails, apart from requests that crash engines, which
-// come with the load.
+// faultKinds lists all injected faults. Requests that crash engines are not among them, since they
+// are part of the load.
 var faultKinds = []faultKind{
 	{"engine crash", 3, engineCrash},
 	{"engine connections silent", 3, func(in *injector) { in.engine().SilenceOpen() }},
 	{"engine connections cut", 2, func(in *injector) { in.engine().CutOpen() }},
 	{"engine frozen", 2, engineFrozen},
 	{"engine slow", 2, engineSlow},
-	{"engine pieces disturbed", 3, enginePieces},
+	{"engine pieces disturbed", 3, enginePiecesDisturbed},
 	{"engine leaving", 1, engineLeaving},
 	{"store refuses", 2, func(in *injector) { storeOutage(in, emulator.OutageRefuse) }},
 	{"store silent", 2, func(in *injector) { storeOutage(in, emulator.OutageSilent) }},
 	{"store down", 1, storeDown},
 	{"store slow", 2, storeSlow},
-	{"store replies lost", 4, storeReplies},
+	{"store replies lost", 4, storeRepliesLost},
 	{"store connections silent", 2, func(in *injector) { in.emulator.Store.SilenceOpen() }},
 	{"service crash", 2, serviceCrash},
 	{"service silent", 2, serviceSilent},
@@ -39,7 +39,7 @@
 	{"peer connections silent", 2, func(in *injector) { in.member().link.SilenceOpen() }},
 	{"peer connections cut", 1, func(in *injector) { in.member().link.CutOpen() }},
 	{"instance killed", 3, instanceKilled},
-	{"instances restarted in a herd", 1, herdRestarted},
+	{"instances restarted in a herd", 1, allRestarted},
 	{"instance stopped", 1, instanceStopped},
 }
 
@@ -51,7 +51,7 @@
 func engineFrozen(in *injector) {
 	e := in.engine()
 	in.changeEngine(e, func(f *emulator.EngineFaults) { f.Frozen = true })
-	in.until(200*time.Millisecond, 3*time.Second, func() {
+	in.endAfter(200*time.Millisecond, 3*time.Second, func() {
 		in.changeEngine(e, func(f *emulator.EngineFaults) { f.Frozen = false })
 	})
 }
@@ -59,32 +59,33 @@
 func engineSlow(in *injector) {
 	e, factor := in.engine(), 2+8*in.rng.Float64()
 	in.changeEngine(e, func(f *emulator.EngineFaults) { f.Slow = factor })
-	in.until(time.Second, 3*time.Second, func() {
+	in.endAfter(time.Second, 3*time.Second, func() {
 		in.changeEngine(e, func(f *emulator.EngineFaults) { f.Slow = 0 })
 	})
 }
 
-// enginePieces disturbs the delivery of a small share of the pieces.
-func enginePieces(in *injector) {
+// enginePiecesDisturbed disturbs the delivery of a small share of the pieces.
+func enginePiecesDisturbed(in *injector) {
 	e := in.engine()
 	share := func() float64 { return 0.03 * in.rng.Float64() }
 	cross, repeat, lose, late := share(), share(), share(), share()
 	in.changeEngine(e, func(f *emulator.EngineFaults) {
 		f.Cross, f.Repeat, f.Lose, f.Late, f.LateMS = cross, repeat, lose, late, 300
 	})
-	in.until(time.Second, 4*time.Second, func() {
+	in.endAfter(time.Second, 4*time.Second, func() {
 		in.changeEngine(e, func(f *emulator.EngineFaults) { f.Cross, f.Repeat, f.Lose, f.Late = 0, 0, 0, 0 })
 	})
 }
 
-// engineLeaving has an engine say that it leaves, and the operator write it,
-// for longer than new work may go on coming.
+// engineLeaving has an engine report that it is leaving, and writes the same to the pool's record
+// as an operator would. Both last longer than maxStartAfterLeaving, so that late requests are
+// detected.
 func engineLeaving(in *injector) {
 	e := in.engine()
 	e.SetLeaving(true)
 	in.setLeaving(e.Name(), true)
-	in.until(leaveBound+time.Second, leaveBound+3*time.Second, func() {
-		if late := e.Stats().LastStartAfterLeaving; late > leaveBound {
+	in.endAfter(maxStartAfterLeaving+time.Second, maxStartAfterLeaving+3*time.Second, func() {
+		if late := e.Stats().LastStartAfterLeaving; late > maxStartAfterLeaving {
 			in.mu.Lock()
 			in.late = append(in.late, fmt.Sprintf("late start: %s got new work %s after it said that it leaves", e.Name(), late))
 			in.mu.Unlock()
@@ -96,30 +97,30 @@
 
 func storeOutage(in *injector, kind emulator.OutageKind) {
 	in.changeStore(func(f *emulator.StoreFaults) { f.Outage = kind })
-	in.until(500*time.Millisecond, 4*time.Second, func() {
+	in.endAfter(500*time.Millisecond, 4*time.Second, func() {
 		in.changeStore(func(f *emulator.StoreFaults) { f.Outage = emulator.OutageNone })
 	})
 }
 
 func storeDown(in *injector) {
 	_ = in.emulator.Store.Down()
-	in.until(200*time.Millisecond, 3*time.Second, func() { _ = in.emulator.Store.Up() })
+	in.endAfter(200*time.Millisecond, 3*time.Second, func() { _ = in.emulator.Store.Up() })
 }
 
 func storeSlow(in *injector) {
 	slow := int64(50 + in.rng.IntN(450))
 	in.changeStore(func(f *emulator.StoreFaults) { f.SlowMS = slow })
-	in.until(time.Second, 3*time.Second, func() {
+	in.endAfter(time.Second, 3*time.Second, func() {
 		in.changeStore(func(f *emulator.StoreFaults) { f.SlowMS = 0 })
 	})
 }
 
-// storeReplies loses replies of writes that took effect, with a cut connection
-// or without a word.
-func storeReplies(in *injector) {
+// storeRepliesLost loses responses of writes that took effect. The connection is either closed or
+// left open and unresponsive.
+func storeRepliesLost(in *injector) {
 	share, silently := 0.1+0.6*in.rng.Float64(), in.rng.IntN(2) == 0
 	in.changeStore(func(f *emulator.StoreFaults) { f.LoseProbability, f.LoseSilently = share, silently })
-	in.until(time.Second, 3*time.Second, func() {
+	in.endAfter(time.Second, 3*time.Second, func() {
 		in.changeStore(func(f *emulator.StoreFaults) { f.LoseProbability = 0 })
 	})
 }
@@ -143,7 +144,7 @@
 		return
 	}
 	in.changeService(s, func(f *emulator.ServiceFaults) { f.Silent = true })
-	in.until(300*time.Millisecond, 2*time.Second, func() {
+	in.endAfter(300*time.Millisecond, 2*time.Second, func() {
 		in.changeService(s, func(f *emulator.ServiceFaults) { f.Silent = false })
 	})
 }
@@ -151,30 +152,30 @@
 func serviceSlow(in *injector) {
 	s, slow := in.service(), int64(100+in.rng.IntN(1900))
 	in.changeService(s, func(f *emulator.ServiceFaults) { f.SlowMS = slow })
-	in.until(time.Second, 3*time.Second, func() {
+	in.endAfter(time.Second, 3*time.Second, func() {
 		in.changeService(s, func(f *emulator.ServiceFaults) { f.SlowMS = 0 })
 	})
 }
 
 func instanceKilled(in *injector) {
 	m := in.fleet.kill(in.rng.IntN(len(in.fleet.members)))
-	in.until(100*time.Millisecond, 2*time.Second, func() { in.fleet.restart(m) })
+	in.endAfter(100*time.Millisecond, 2*time.Second, func() { in.fleet.restart(m) })
 }
 
-// herdRestarted kills every instance and starts all of them at once.
-func herdRestarted(in *injector) {
+// allRestarted kills every instance and starts all of them at the same time.
+func allRestarted(in *injector) {
 	killed := make([]*member, 0, len(in.fleet.members))
 	for n := range in.fleet.members {
 		killed = append(killed, in.fleet.kill(n))
 	}
-	in.until(100*time.Millisecond, time.Second, func() {
+	in.endAfter(100*time.Millisecond, time.Second, func() {
 		for _, m := range killed {
 			in.wg.Go(func() { in.fleet.restart(m) })
 		}
 	})
 }
 
-// instanceStopped ends an instance gracefully, which must cut no request.
+// instanceStopped shuts an instance down gracefully, which must not interrupt any request.
 func instanceStopped(in *injector) {
 	n := in.rng.IntN(len(in.fleet.members))
 	in.wg.Go(func() {
@@ -184,7 +185,7 @@
 	})
 }
 
-// storeRecord writes a record as an operator's tool would.
+// storeRecord writes a record without a version check, as an operator's tool would.
 func storeRecord(store *emulator.Store, r *recordspb.Record) {
 	value, err := record.Marshal(r)
 	if err != nil {
--- a/demo/faults.go
+++ b/demo/faults.go
@@ -17,15 +17,14 @@
 const (
 	// faultGap is the mean time between two faults.
 	faultGap = 350 * time.Millisecond
-	// faultResends is how often a caller sends again under faults.
+	// faultResends is how often a caller sends again in the faults scenario.
 	faultResends = 6
-	// poisonShare of the requests to engines crash each engine that runs them.
+	// poisonShare is the share of the requests to engines that crash each engine that runs them.
 	poisonShare = 0.003
 )
 
-// faultScenario is Kwabena's deployment with shorter prompts and bounds, so
-// that many requests are open at every fault, and with requests to the engines
-// that must not run twice.
+// faultScenario is the kwabena deployment with shorter prompts and timeouts, so that many requests
+// are open at every fault, and with requests to the engines that must not run twice.
 func faultScenario(o Options) *scenario {
 	s := &scenario{dataCentres: []string{"accra-1", "accra-2", "accra-3"}}
 	s.addClass("quote", &recordspb.RequestClass{Priority: 10, MaxWaitMs: 8000, TimeoutMs: 20000})
@@ -53,31 +52,32 @@
 	return s
 }
 
-// injector orders faults, any of them at any time, and ends each after a while.
+// injector injects faults, which may overlap, and ends each one after a while.
 type injector struct {
 	emulator *emulator.Emulator
 	fleet    *fleet
 	records  []*recordspb.Record
 
-	// rng belongs to the goroutine that draws.
-	rng  *rand.Rand
-	heal chan struct{}
-	wg   sync.WaitGroup
+	// rng is used only by the goroutine that draws faults.
+	rng    *rand.Rand
+	endAll chan struct{}
+	wg     sync.WaitGroup
 
 	mu     sync.Mutex
 	counts map[string]int
-	late   []string
+	// late holds the findings about engines that got requests too long after their leaving notice.
+	late []string
 }
 
-// runFaults sends the load while faults come and go, and heals all of them
-// before the last callers are waited for.
+// runFaults sends the load while faults are injected, and ends all faults before it waits for the
+// last answers.
 func runFaults(ctx context.Context, d *driver, e *emulator.Emulator, f *fleet, s *scenario, r *Report, progress io.Writer) {
 	in := &injector{
 		emulator: e,
 		fleet:    f,
 		records:  s.records,
 		rng:      rand.New(rand.NewPCG(uint64(s.load.GetSeed()), 21)),
-		heal:     make(chan struct{}),
+		endAll:   make(chan struct{}),
 		counts:   map[string]int{},
 	}
 	d.resends = faultResends
@@ -93,7 +93,7 @@
 	d.findings = append(d.findings, in.late...)
 }
 
-// run draws faults until ctx ends, and heals them.
+// run injects faults until ctx is done, and then ends all of them.
 func (in *injector) run(ctx context.Context) {
 	total := 0
 	for _, k := range faultKinds {
@@ -110,25 +110,24 @@
 				in.mu.Lock()
 				in.counts[k.name]++
 				in.mu.Unlock()
-				k.order(in)
+				k.inject(in)
 				break
 			}
 		}
 	}
-	close(in.heal)
+	close(in.endAll)
 	in.wg.Wait()
 }
 
-// until waits for the time between low and high, or for the healing, and then
-// ends a fault.
-func (in *injector) until(low, high time.Duration, end func()) {
+// endAfter calls end after a random time between low and high, or when all faults are ended.
+func (in *injector) endAfter(low, high time.Duration, end func()) {
 	d := low + time.Duration(in.rng.Int64N(int64(high-low)))
 	in.wg.Go(func() {
 		t := time.NewTimer(d)
 		defer t.Stop()
 		select {
 		case <-t.C:
-		case <-in.heal:
+		case <-in.endAll:
 		}
 		end()
 	})
@@ -146,7 +145,7 @@
 	return in.fleet.members[in.rng.IntN(len(in.fleet.members))]
 }
 
-// changeEngine changes the faults in force at an engine.
+// changeEngine modifies the faults injected at an engine.
 func (in *injector) changeEngine(e *emulator.Engine, change func(*emulator.EngineFaults)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -155,7 +154,7 @@
 	e.SetFaults(f)
 }
 
-// changeStore changes the faults in force at the object API.
+// changeStore modifies the faults injected at the object API.
 func (in *injector) changeStore(change func(*emulator.StoreFaults)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -164,7 +163,7 @@
 	in.emulator.Store.SetFaults(f)
 }
 
-// changeService changes the faults in force at a plain service.
+// changeService modifies the faults injected at a plain service.
 func (in *injector) changeService(s *emulator.Service, change func(*emulator.ServiceFaults)) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -173,7 +172,7 @@
 	s.SetFaults(f)
 }
 
-// setLeaving writes the pool's record as an operator would.
+// setLeaving sets the engine's leaving flag in the pool's record, as an operator would.
 func (in *injector) setLeaving(name string, leaving bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
--- a/demo/faults_test.go
+++ b/demo/faults_test.go
@@ -10,9 +10,9 @@
 	"github.com/sardinedock/sardinedock/emulator"
 )
 
-// A run that leaves a fault behind would blame the router for what the stand-in
-// still does. So every kind is ordered, all at once, and then healed.
-func TestEveryFaultIsHealed(t *testing.T) {
+// A fault that remains after the run would make the router look responsible for failures of the
+// emulated endpoints. Every kind of fault is injected at the same time, and then all are ended.
+func TestEveryFaultIsEnded(t *testing.T) {
 	s := newScenario(Options{Scenario: scenarioFaults, Seconds: 1, Seed: 1, Endpoints: 3})
 	e, err := emulator.StartWith(anyPort, s.records, s.emulator)
 	if err != nil {
@@ -24,11 +24,11 @@
 		t.Fatal(err)
 	}
 	defer f.stop()
-	in := &injector{emulator: e, fleet: f, records: s.records, rng: rand.New(rand.NewPCG(1, 1)), heal: make(chan struct{}), counts: map[string]int{}}
+	in := &injector{emulator: e, fleet: f, records: s.records, rng: rand.New(rand.NewPCG(1, 1)), endAll: make(chan struct{}), counts: map[string]int{}}
 	for _, k := range faultKinds {
-		k.order(in)
+		k.inject(in)
 	}
-	close(in.heal)
+	close(in.endAll)
 	in.wg.Wait()
 	if got := e.Store.Faults(); got.Outage != "" || got.SlowMS != 0 || got.LoseProbability != 0 {
 		t.Errorf("object API: %+v", got)
@@ -45,7 +45,7 @@
 		}
 	}
 	for _, m := range f.members {
-		reach(t, m.callers)
+		reach(t, m.callerAddr)
 	}
 	reach(t, e.Store.Addr())
 }
@@ -60,18 +60,18 @@
 	_ = conn.Close()
 }
 
-// An engine says that it leaves; 1.7 s later all instances are killed, and start again. The
-// state dump of each, taken at the late request, shows the engine as leaving at its owner and
-// at four of the others; the two that started last do not know of it yet and take it for
-// usable. One of them sends it a request 3.03 s after its word, and the engine that ends takes
-// that one along.
-func TestLeavingEngineGetsNoLateWorkAfterACommonRestart(t *testing.T) {
+// An engine reports that it is leaving; 1.7 s later all instances are killed and restarted. In the
+// state dumps taken at the late request, the engine was marked as leaving at its owner and at four
+// other instances, but the two that had started last did not know it yet and considered the engine
+// usable. One of them sent it a request 3.03 s after its leaving notice, and that request was lost
+// when the engine stopped.
+func TestLeavingEngineGetsNoLateRequestsAfterFleetRestart(t *testing.T) {
 	const seed, seconds = 40, 10
 	r, err := Run(context.Background(), Options{Scenario: scenarioFaults, Seed: seed, Seconds: seconds, Instances: 7}, io.Discard)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if n := r.Endpoints.LateStarts; n != 0 {
-		t.Errorf("%d leaving engines got new work later than %v: %q", n, leaveBound, r.Findings)
+		t.Errorf("%d leaving engines got new requests later than %v: %q", n, maxStartAfterLeaving, r.Findings)
 	}
 }
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -15,13 +15,13 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// anyPort lets the machine choose.
+// anyPort lets the operating system choose a free port.
 const anyPort = "127.0.0.1:0"
 
-// stopTimeout bounds the graceful end of the instances after a run.
+// stopTimeout bounds the graceful shutdown of the instances.
 const stopTimeout = 20 * time.Second
 
-// fleet is the instances of a run, and the balancer before them.
+// fleet runs the instances of a run and acts as the load balancer in front of them.
 type fleet struct {
 	store       *emulator.Store
 	dataCentres []string
@@ -29,26 +29,27 @@
 
 	mu      sync.Mutex
 	members []*member
-	// failedStarts counts starts that did not find their addresses free.
+	// failedStarts counts failed attempts to restart an instance, for example because an address
+	// was still in use.
 	failedStarts int
 }
 
-// member is one instance's place: its addresses stay over restarts.
+// member is a slot of the fleet for one instance. Its addresses stay the same across restarts.
 type member struct {
-	name                  string
-	dataCentre            string
-	callers, admin, peers string
-	// link stands between the peers and this instance.
+	name                            string
+	dataCentre                      string
+	callerAddr, adminAddr, peerAddr string
+	// link forwards the peers' connections to this instance.
 	link *emulator.Link
 
-	// running is the instance that the balancer sends to, if there is one.
+	// running is the instance that the balancer sends to, or nil.
 	running            *instance.Instance
 	starting, draining bool
 	killed             time.Time
 }
 
-// startFleet starts the instances one after the other; each knows all others
-// as seeds, whether or not they run yet.
+// startFleet starts the instances one after the other. Each one gets all others as seeds, whether
+// or not they are running yet.
 func startFleet(ctx context.Context, store *emulator.Store, dataCentres []string, count int) (*fleet, error) {
 	f := &fleet{store: store, dataCentres: dataCentres}
 	ports, err := f.reservePorts(3 * count)
@@ -60,14 +61,14 @@
 		f.members = append(f.members, &member{
 			name:       fmt.Sprintf("entry-%d", n+1),
 			dataCentre: dataCentres[n%len(dataCentres)],
-			callers:    ports[3*n], admin: ports[3*n+1], peers: ports[3*n+2],
+			callerAddr: ports[3*n], adminAddr: ports[3*n+1], peerAddr: ports[3*n+2],
 		})
 	}
 	if err := f.startLinks(); err != nil {
 		f.stop()
 		return nil, err
 	}
-	f.tellPlatform()
+	f.publishInstances()
 	for _, m := range f.members {
 		if err := f.start(ctx, m); err != nil {
 			f.stop()
@@ -79,7 +80,7 @@
 
 func (f *fleet) startLinks() error {
 	for _, m := range f.members {
-		link, err := emulator.StartLink(anyPort, m.peers)
+		link, err := emulator.StartLink(anyPort, m.peerAddr)
 		if err != nil {
 			return err
 		}
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// reservePorts holds addresses for the instances until the run ends.
+// reservePorts reserves addresses for the instances until the run ends.
 func (f *fleet) reservePorts(count int) ([]string, error) {
 	addrs := make([]string, 0, count)
 	for range count {
@@ -131,11 +132,11 @@
 platform: {address: %q}
 seeds: [%s]
 shutdown: {notice_ms: 200, drain_ms: 20000}
-`, m.name, m.dataCentre, m.callers, m.admin, m.peers, m.link.Addr(), f.store.Addr(), strings.Join(seeds, ", "))
+`, m.name, m.dataCentre, m.callerAddr, m.adminAddr, m.peerAddr, m.link.Addr(), f.store.Addr(), strings.Join(seeds, ", "))
 }
 
-// tellPlatform writes the list of instances as the platform would.
-func (f *fleet) tellPlatform() {
+// publishInstances sets the platform's list of instances.
+func (f *fleet) publishInstances() {
 	var entries []objectapi.InstanceEntry
 	for _, m := range f.members {
 		entries = append(entries, objectapi.InstanceEntry{Name: m.name, Address: m.link.Addr(), DataCentre: m.dataCentre})
@@ -143,42 +144,42 @@
 	f.store.SetInstances(entries)
 }
 
-// choose implements targets.
+// choose implements balancer.
 func (f *fleet) choose(rng *rand.Rand, tried []string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var up, fresh []string
+	var up, untried []string
 	for _, m := range f.members {
 		if m.running == nil {
 			continue
 		}
-		up = append(up, m.callers)
-		if !slices.Contains(tried, m.callers) {
-			fresh = append(fresh, m.callers)
+		up = append(up, m.callerAddr)
+		if !slices.Contains(tried, m.callerAddr) {
+			untried = append(untried, m.callerAddr)
 		}
 	}
 	switch {
-	case len(fresh) > 0:
-		return fresh[rng.IntN(len(fresh))]
+	case len(untried) > 0:
+		return untried[rng.IntN(len(untried))]
 	case len(up) > 0:
 		return up[rng.IntN(len(up))]
 	}
-	return f.members[rng.IntN(len(f.members))].callers
+	return f.members[rng.IntN(len(f.members))].callerAddr
 }
 
-// killedSince implements targets.
+// killedSince implements balancer.
 func (f *fleet) killedSince(target string, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
-		if m.callers == target {
+		if m.callerAddr == target {
 			return m.running == nil || m.killed.After(since)
 		}
 	}
 	return false
 }
 
-// stop ends the instances gracefully, all at a time.
+// stop shuts all instances down gracefully and concurrently, and releases their addresses.
 func (f *fleet) stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -202,15 +203,14 @@
 }
 
 const (
-	// balancerNotice is how long the balancer goes on sending to an instance
-	// that is no longer ready.
+	// balancerNotice is how long the balancer keeps sending to an instance that is no longer ready.
 	balancerNotice = 100 * time.Millisecond
-	// restartTries and restartWait bound the tries to listen again.
+	// restartTries and restartWait bound the attempts to start an instance again.
 	restartTries = 50
 	restartWait  = 100 * time.Millisecond
 )
 
-// kill ends the instance at a place as a crash does.
+// kill stops the instance of member n abruptly, as a crash does.
 func (f *fleet) kill(n int) *member {
 	f.mu.Lock()
 	m := f.members[n]
@@ -223,7 +223,8 @@
 	return m
 }
 
-// drain ends the instance at a place gracefully; nil if it does not run.
+// drain shuts the instance of member n down gracefully. It returns nil if the instance is not
+// running.
 func (f *fleet) drain(n int) *member {
 	f.mu.Lock()
 	m := f.members[n]
@@ -253,7 +254,7 @@
 	return m
 }
 
-// restart starts the instance at a place again, unless it runs.
+// restart starts the member's instance again, unless it is running, starting or draining.
 func (f *fleet) restart(m *member) {
 	for range restartTries {
 		f.mu.Lock()
--- a/demo/report.go
+++ b/demo/report.go
@@ -18,7 +18,7 @@
 	sigFigures    = 3
 )
 
-// Quantiles of a duration, in milliseconds.
+// Quantiles holds quantiles of a duration, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
@@ -30,52 +30,56 @@
 	return Quantiles{at(50), at(95), at(99)}
 }
 
-// Counts is what became of requests, as callers and endpoints saw it. Complete,
-// RefusedNotRun, UnknownOutcome, Failed, CutByKill and NotReached count requests
-// by the last word that the caller got; Incomplete and WrongAnswer count every
-// answer, also of a request that was then sent again.
+// Counts counts the outcomes of requests as callers and endpoints observed them. Complete,
+// RefusedNotRun, UnknownOutcome, Failed, CutByKill and NotReached count requests by the last answer
+// that the caller got. Incomplete and WrongAnswer count every answer, including those to requests
+// that were sent again.
 type Counts struct {
 	Sent int `json:"sent"`
-	// Complete answers were whole and right.
+	// Complete counts answers that were complete and correct.
 	Complete int `json:"complete"`
-	// Incomplete ended short, broke off or never came, and no error was said.
+	// Incomplete counts answers that were truncated, interrupted or missing without an error
+	// message.
 	Incomplete int `json:"incomplete"`
-	// WrongAnswer had a text that was not the request's own.
+	// WrongAnswer counts answers with a text that is not the one for the request.
 	WrongAnswer int `json:"wrong_answer"`
-	// RefusedNotRun were refused with the word that they did not run.
+	// RefusedNotRun counts requests that were refused with the statement that they did not run.
 	RefusedNotRun int `json:"refused_not_run"`
-	// UnknownOutcome ended with the word that nobody knows whether they ran.
+	// UnknownOutcome counts requests that failed with the statement that they may or may not have
+	// run.
 	UnknownOutcome int `json:"unknown_outcome"`
-	// UnknownRan are those of them that an endpoint had run.
+	// UnknownRan counts those of UnknownOutcome that an endpoint had run.
 	UnknownRan int `json:"unknown_ran"`
-	// Failed ended with another error that was said.
+	// Failed counts requests that ended with any other explicit error.
 	Failed int `json:"failed"`
-	// CutByKill broke off because the instance was killed.
+	// CutByKill counts requests that were interrupted because the instance was killed.
 	CutByKill int `json:"cut_by_kill"`
-	// NotReached found no instance.
+	// NotReached counts requests that could not be sent because no instance accepted the
+	// connection.
 	NotReached int `json:"not_reached"`
-	// NotSent were due while too many others were open.
+	// NotSent counts requests that were due but not sent, because too many others were open.
 	NotSent int `json:"not_sent"`
-	// Attempts is how often callers sent, with all resends.
+	// Attempts counts all sends by callers, including resends.
 	Attempts int `json:"attempts"`
-	// DoubledNonRepeatable ran more than once at the endpoints.
+	// DoubledNonRepeatable counts requests that must not run twice and ran more than once at the
+	// endpoints.
 	DoubledNonRepeatable int `json:"doubled_non_repeatable"`
-	// FalseNotRun were said not to have run, and had run at an endpoint.
+	// FalseNotRun counts requests that were reported as not run but ran at an endpoint.
 	FalseNotRun int `json:"false_not_run"`
-	// ConfirmedNotRun were answered as done, and had not run at any endpoint.
+	// ConfirmedNotRun counts requests that were answered as done but ran at no endpoint.
 	ConfirmedNotRun int `json:"confirmed_not_run"`
-	// EndpointRuns is how many runs the endpoints counted.
+	// EndpointRuns is the number of runs that the endpoints counted.
 	EndpointRuns int `json:"endpoint_runs"`
 	// PrefixHitRate is the share of prompt tokens that engines found cached.
 	PrefixHitRate float64 `json:"prefix_hit_rate"`
-	// PrefixHitBound is what the hit rate would be had every block that an
-	// engine computed before been found again.
+	// PrefixHitBound is the hit rate that would have been reached if every block that any engine
+	// had computed before had been found in the cache.
 	PrefixHitBound float64 `json:"prefix_hit_bound"`
-	// WastedRecomputeTokens were computed by an engine though an engine had
-	// computed the same block before.
+	// WastedRecomputeTokens counts tokens that an engine computed although some engine had computed
+	// the same block before.
 	WastedRecomputeTokens int64 `json:"wasted_recompute_tokens"`
-	// TTFT runs from the due time to the first token, or to the answer of a
-	// plain service, of complete requests.
+	// TTFT is the time from a request's due time to the first token, or to the response of a plain
+	// service, over complete requests.
 	TTFT Quantiles `json:"ttft_ms"`
 
 	tokens emulator.TokenStats
@@ -94,18 +98,18 @@
 	RateLimited int `json:"rate_limited"`
 }
 
-// EndpointCounts is what the endpoints say of a run.
+// EndpointCounts holds the counters of the emulated endpoints.
 type EndpointCounts struct {
 	EngineRuns  int `json:"engine_runs"`
 	ServiceRuns int `json:"service_runs"`
 	Refused     int `json:"refused"`
 	Crashes     int `json:"crashes"`
 	StaleBlocks int `json:"stale_blocks"`
-	// LateStarts is how many leaving engines got new work later than allowed.
+	// LateStarts counts leaving engines that got new requests later than allowed.
 	LateStarts int `json:"late_starts"`
 }
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Scenario  string `json:"scenario"`
 	Seed      int64  `json:"seed"`
@@ -115,15 +119,15 @@
 	Classes    map[string]*Counts `json:"by_class"`
 	StoreCalls StoreCalls         `json:"store_calls"`
 	Endpoints  EndpointCounts     `json:"endpoints"`
-	// Faults counts the faults that were ordered, by kind.
+	// Faults counts the injected faults by kind.
 	Faults map[string]int `json:"faults,omitempty"`
-	// FailedStarts counts restarts of instances that had to be tried again.
+	// FailedStarts counts failed attempts to restart an instance.
 	FailedStarts int `json:"failed_starts,omitempty"`
-	// Findings are the first broken invariants, one a line.
+	// Findings lists the first invariant violations, one per line.
 	Findings []string `json:"findings,omitempty"`
 }
 
-// Broken names the broken invariants, or nothing.
+// Broken returns the names and counts of the violated invariants, or an empty string.
 func (r *Report) Broken() string {
 	var broken []string
 	for _, c := range []struct {
@@ -146,7 +150,7 @@
 	return strings.Join(broken, ", ")
 }
 
-// WriteText prints the report for a reader.
+// WriteText writes the report as human-readable text.
 func (r *Report) WriteText(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, seed %d, %d instances, %d s\n\n", r.Scenario, r.Seed, r.Instances, r.Seconds)
@@ -172,7 +176,7 @@
 	return err
 }
 
-// writeEndpoints tells what the stand-ins counted, where they are ours.
+// writeEndpoints writes the endpoints' counters, if there are any.
 func writeEndpoints(b *strings.Builder, r *Report) {
 	e := r.Endpoints
 	if e == (EndpointCounts{}) {
@@ -204,7 +208,7 @@
 		c.RefusedNotRun, c.UnknownOutcome, c.Failed, prefill, c.TTFT.P50, c.TTFT.P95, c.TTFT.P99)
 }
 
-// finish computes what follows from the counts of the classes.
+// finish computes the totals and the derived figures from the counts of the classes.
 func (r *Report) finish() {
 	r.hist = newCounts().hist
 	for _, c := range r.Classes {
@@ -235,6 +239,7 @@
 	c.hist.Merge(o.hist)
 }
 
+// close computes the figures that follow from the counts.
 func (c *Counts) close() {
 	c.TTFT = quantilesOf(c.hist)
 	c.WastedRecomputeTokens = c.tokens.RecomputedTokens
--- a/demo/scenario.go
+++ b/demo/scenario.go
@@ -22,7 +22,7 @@
 // Scenarios lists the scenarios by name.
 var Scenarios = []string{scenarioKwabena, scenarioKhangai, scenarioFaults}
 
-// scenario is a deployment and the load that is put on it.
+// scenario is a deployment with the load that is sent to it.
 type scenario struct {
 	dataCentres []string
 	records     []*recordspb.Record
@@ -30,7 +30,7 @@
 	load        *loadpb.Load
 }
 
-// organisation has a part of the requests by its weight.
+// organisation sends a share of the requests in proportion to its weight.
 type organisation struct {
 	name   string
 	weight float64
@@ -43,7 +43,7 @@
 		{"welding", 1}, {"solar", 1}, {"telecom", 1}, {"lab", 1}}
 )
 
-// keyOf is the key of an organisation in the scenarios.
+// keyOf returns the API key of an organisation in the scenarios.
 func keyOf(organisation string) string { return organisation + "-key" }
 
 func newScenario(o Options) *scenario {
@@ -56,8 +56,8 @@
 	return kwabena(o)
 }
 
-// kwabena: counters open on the hour. Quotation notes on long catalogues may
-// wait, sorting a line item may not, and a dispatch must not run twice.
+// kwabena models an ordering system with bursts on the hour. Quotation notes with long catalogues
+// as prompts may wait, sorting a line item may not, and a dispatch must not run twice.
 func kwabena(o Options) *scenario {
 	s := &scenario{dataCentres: []string{"accra-1", "accra-2", "accra-3"}}
 	s.addClass("quote", &recordspb.RequestClass{Priority: 10, MaxWaitMs: 20000, TimeoutMs: 60000})
@@ -80,8 +80,8 @@
 	return s
 }
 
-// khangai: reviews on very long datasheets may wait, fin-pitch checks in a
-// live session may not, and a sizing report must not run twice.
+// khangai models design reviews. Reviews with very long datasheets as prompts may wait, fin-pitch
+// checks in a live session may not, and a sizing report must not run twice.
 func khangai(o Options) *scenario {
 	s := &scenario{dataCentres: []string{"ulaanbaatar-1", "ulaanbaatar-2", "ulaanbaatar-3"}}
 	s.addClass("review", &recordspb.RequestClass{Priority: 10, MaxWaitMs: 60000, TimeoutMs: 120000})
@@ -104,11 +104,11 @@
 	return s
 }
 
-func (o Options) endpoints(usual int) int {
+func (o Options) endpoints(defaultCount int) int {
 	if o.Endpoints > 0 {
 		return o.Endpoints
 	}
-	return usual
+	return defaultCount
 }
 
 func (s *scenario) add(name string, r *recordspb.Record) {
@@ -128,7 +128,7 @@
 	p.BlockTokens, p.Slots, p.UrgentSlots, p.PrefillTokensPerSecond = 64, 16, proto.Int64(2), 20000
 	p.SuspectAfterMs, p.ExpelAfterMs = 1000, 5000
 	p.KvImportTokensPerSecond = 200000
-	p.Endpoints = s.servers(name, endpoints)
+	p.Endpoints = s.newEndpoints(name, endpoints)
 	s.add(name, &recordspb.Record{Spec: &recordspb.Record_Pool{Pool: p}})
 }
 
@@ -137,13 +137,13 @@
 		PathPrefix:           "/services/" + name + "/",
 		Class:                class,
 		NonIdempotentMethods: []string{"POST"},
-		Endpoints:            s.servers(name, endpoints),
+		Endpoints:            s.newEndpoints(name, endpoints),
 	}
 	s.add(name, &recordspb.Record{Spec: &recordspb.Record_Service{Service: service}})
 }
 
-// servers spreads endpoints over the data centres.
-func (s *scenario) servers(name string, count int) []*recordspb.Endpoint {
+// newEndpoints returns count endpoints, spread evenly over the data centres.
+func (s *scenario) newEndpoints(name string, count int) []*recordspb.Endpoint {
 	list := make([]*recordspb.Endpoint, 0, count)
 	for n := range count {
 		list = append(list, &recordspb.Endpoint{
@@ -164,8 +164,8 @@
 	}
 }
 
-// finish sets what the scenarios have in common: bursts that stand for the
-// full hours, and a popular family that changes with each.
+// finish sets what the scenarios have in common: periodic bursts that stand for the full hours, a
+// most popular product family that changes with each burst, and the emulator's configuration.
 func (s *scenario) finish(o Options) {
 	s.load.Seed, s.load.Seconds = o.Seed, int64(o.Seconds)
 	s.load.MaxRequests, s.load.MaxInFlight, s.load.TimeoutMs = 1_000_000, 4096, 60000
--- a/demo/settings.go
+++ b/demo/settings.go
@@ -9,8 +9,8 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// LoadSettings reads and checks a file that describes a load. An error of kind
-// fault.Invalid lists every fault of the file, one a line.
+// LoadSettings reads and validates a file that describes a load. An error of kind fault.Invalid
+// lists every fault in the file, one per line.
 func LoadSettings(path string) (*loadpb.Load, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return l, nil
 }
 
-// ParseLoad reads a load, fills in the defaults and returns what is wrong.
+// ParseLoad decodes a load, fills in the defaults and returns the faults in it.
 func ParseLoad(data []byte) (*loadpb.Load, []yamlpb.Fault) {
 	l, faults := yamlpb.DecodeOne(data, func() *loadpb.Load { return &loadpb.Load{} }, "write one document")
 	if l == nil {
--- a/demo/verdict.go
+++ b/demo/verdict.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// verdict is what one answer comes to for its caller.
+// verdict classifies the result of one attempt for its caller.
 type verdict int
 
 const (
@@ -12,41 +12,41 @@
 	verdictNotRun
 	verdictUnknown
 	verdictFailed
-	// verdictCut: the connection broke because the instance was killed.
-	verdictCut
-	// verdictUnsent: no instance was reached, nothing was sent.
-	verdictUnsent
+	// verdictCutByKill: the connection was closed because the instance was killed.
+	verdictCutByKill
+	// verdictNotReached: no instance could be reached, nothing was sent.
+	verdictNotReached
 	// verdictHungUp: the caller closed the connection itself.
 	verdictHungUp
 )
 
-// String names the verdict for traces.
+// String returns the verdict's name in traces.
 func (v verdict) String() string {
 	return [...]string{"complete", "incomplete", "wrong", "not run", "unknown", "failed", "cut by kill", "not reached", "hung up"}[v]
 }
 
-// judge decides from the answer alone.
-func judge(a *answer, c *call, checkText bool) verdict {
+// classify derives the verdict from the answer alone, without the endpoints' counts.
+func classify(a *answer, c *call, checkText bool) verdict {
 	if checkText && a.status == 200 && !strings.HasPrefix(c.want, a.text) {
 		return verdictWrong
 	}
 	switch a.ending {
-	case endWhole:
+	case endComplete:
 		if checkText && a.text != c.want {
 			return verdictIncomplete
 		}
 		return verdictComplete
 	case endError:
-		return judgeError(a)
-	case endUnsent:
-		return verdictUnsent
+		return classifyError(a)
+	case endNotConnected:
+		return verdictNotReached
 	}
 	return verdictIncomplete
 }
 
-// judgeError tells refusals from errors. Only the outcome header's word counts
-// as "not run": a status by itself says nothing of that.
-func judgeError(a *answer) verdict {
+// classifyError distinguishes refusals from other errors. Only the outcome header states that a
+// request did not run; a status code alone does not.
+func classifyError(a *answer) verdict {
 	switch {
 	case a.outcome == outcomeUnknown || a.errorCode == codeUnknown:
 		return verdictUnknown
--- a/demo/wire.go
+++ b/demo/wire.go
@@ -14,42 +14,43 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Headers of requests and answers that the callers use.
+// Request and response headers that the callers use.
 const (
 	headerClass     = "X-Sardinedock-Class"
 	headerOutcome   = "X-Sardinedock-Outcome"
 	headerRequestID = "X-Request-Id"
 )
 
-// Words of the outcome header and of errors' codes.
+// Values of the outcome header and error codes.
 const (
 	outcomeNotRun  = "not-run"
 	outcomeUnknown = "unknown"
 	codeUnknown    = "unknown_outcome"
 )
 
-// callerDialTimeout bounds the opening of a connection to an instance.
+// callerDialTimeout bounds connecting to an instance.
 const callerDialTimeout = 2 * time.Second
 
-// ending says how an answer ended.
+// ending is the way in which an answer ended.
 type ending int
 
 const (
-	// endUnsent: no connection, nothing was sent.
-	endUnsent ending = iota
-	// endWhole: it came to its proper end.
-	endWhole
-	// endError: it ended with an error that was said.
+	// endNotConnected: there was no connection, nothing was sent.
+	endNotConnected ending = iota
+	// endComplete: the answer ended with its end mark or at its full length.
+	endComplete
+	// endError: the answer ended with an explicit error.
 	endError
-	// endShort: it ended properly, without its end mark and without an error.
-	endShort
-	// endCut: the connection broke.
-	endCut
-	// endTimeout: the caller gave up.
+	// endTruncated: the body ended properly, but without the stream's end mark and without an
+	// error.
+	endTruncated
+	// endDisconnected: the connection was closed early.
+	endDisconnected
+	// endTimeout: the caller's timeout expired.
 	endTimeout
 )
 
-// answer is what a caller got.
+// answer is the response that a caller got to one attempt.
 type answer struct {
 	ending     ending
 	status     int
@@ -65,19 +66,19 @@
 func do(target string, c *call, timeout time.Duration) answer {
 	conn, err := net.DialTimeout("tcp", target, callerDialTimeout)
 	if err != nil {
-		return answer{ending: endUnsent}
+		return answer{ending: endNotConnected}
 	}
 	defer func() { _ = conn.Close() }()
 	deadline := time.Now().Add(timeout)
 	_ = conn.SetDeadline(deadline)
 	var a answer
 	if err := writeCall(conn, target, c); err != nil {
-		a.ending = endOf(err)
+		a.ending = endingOf(err)
 	} else {
 		a = readAnswer(bufio.NewReader(conn), c)
 	}
-	// fasthttp hides a timeout before the first byte.
-	if a.ending == endCut && !time.Now().Before(deadline) {
+	// fasthttp does not report a timeout before the first byte as such.
+	if a.ending == endDisconnected && !time.Now().Before(deadline) {
 		a.ending = endTimeout
 	}
 	return a
@@ -101,19 +102,19 @@
 	return w.Flush()
 }
 
-// endOf tells a timeout from a broken connection.
-func endOf(err error) ending {
+// endingOf distinguishes a timeout from a closed connection.
+func endingOf(err error) ending {
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		return endTimeout
 	}
-	return endCut
+	return endDisconnected
 }
 
 func readAnswer(r *bufio.Reader, c *call) answer {
 	var h fasthttp.ResponseHeader
 	if err := h.Read(r); err != nil {
-		return answer{ending: endOf(err)}
+		return answer{ending: endingOf(err)}
 	}
 	a := answer{
 		status:    h.StatusCode(),
@@ -131,36 +132,36 @@
 	data, err := io.ReadAll(body)
 	a.first = time.Now()
 	if err != nil {
-		a.ending = endOf(err)
+		a.ending = endingOf(err)
 		return a
 	}
 	if a.status != fasthttp.StatusOK {
 		a.ending, a.errorCode = endError, errorCode(data)
 		return a
 	}
-	a.ending, a.text = endWhole, wholeText(data, c)
+	a.ending, a.text = endComplete, answerText(data, c)
 	return a
 }
 
-// bodyOf returns the reader of the body. A body that ends before its length,
-// or before its last chunk, reads as an error.
+// bodyOf returns a reader of the body. A body that ends before its declared length, or without its
+// last chunk, reads as an error.
 func bodyOf(r *bufio.Reader, h *fasthttp.ResponseHeader) io.Reader {
 	switch n := h.ContentLength(); {
 	case n >= 0:
-		return &exactReader{r: r, left: n}
+		return &lengthReader{r: r, left: n}
 	case n == -1:
 		return httputil.NewChunkedReader(r)
 	}
 	return r
 }
 
-// exactReader reads a known number of bytes.
-type exactReader struct {
+// lengthReader reads exactly left bytes; an earlier end is an error.
+type lengthReader struct {
 	r    io.Reader
 	left int
 }
 
-func (e *exactReader) Read(p []byte) (int, error) {
+func (e *lengthReader) Read(p []byte) (int, error) {
 	if e.left == 0 {
 		return 0, io.EOF
 	}
@@ -172,7 +173,7 @@
 	return n, err
 }
 
-// errorBody is the published API's error, in a body or in an event.
+// errorBody is the OpenAI API's error, in a response body or in an event.
 type errorBody struct {
 	Error *struct {
 		Code string `json:"code"`
@@ -187,7 +188,7 @@
 	return e.Error.Code
 }
 
-// choices is the part of an answer that holds its text.
+// choices is the part of an answer that contains its text.
 type choices struct {
 	Choices []struct {
 		Text  string `json:"text"`
@@ -210,7 +211,7 @@
 	return b.String()
 }
 
-func wholeText(data []byte, c *call) string {
+func answerText(data []byte, c *call) string {
 	if !strings.HasPrefix(c.path, "/v1/") {
 		return string(data)
 	}
@@ -221,7 +222,7 @@
 	return body.text()
 }
 
-// readStream reads server-sent events to their end.
+// readStream reads server-sent events until the stream ends.
 func (a *answer) readStream(body io.Reader) {
 	var text strings.Builder
 	lines := bufio.NewReader(body)
@@ -233,21 +234,21 @@
 			}
 		}
 		if err == io.EOF {
-			a.ending = endShort
+			a.ending = endTruncated
 			break
 		}
 		if err != nil {
-			a.ending = endOf(err)
+			a.ending = endingOf(err)
 			break
 		}
 	}
 	a.text = text.String()
 }
 
-// event takes one event's data; it reports whether it was the last.
+// event processes one event's data. It reports whether the event was the last one.
 func (a *answer) event(data []byte, text *strings.Builder) bool {
 	if string(data) == "[DONE]" {
-		a.ending = endWhole
+		a.ending = endComplete
 		return true
 	}
 	var e errorBody
--- a/demo/wire_test.go
+++ b/demo/wire_test.go
@@ -7,18 +7,18 @@
 	"testing"
 )
 
-// chunked frames a body as HTTP does, with or without its last chunk.
-func chunked(body string, whole bool) string {
+// chunked encodes a body with chunked transfer encoding, with or without the last chunk.
+func chunked(body string, complete bool) string {
 	text := fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
-	if whole {
+	if complete {
 		text += "0\r\n\r\n"
 	}
 	return text
 }
 
-// A stream ends in many ways, and a caller that cannot tell them apart would
-// take a short answer for a whole one.
-func TestEndingsAreToldApart(t *testing.T) {
+// A stream can end in many ways. A caller that does not distinguish them would take a truncated
+// answer for a complete one.
+func TestEndingsAreDistinguished(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	piece := func(text string) string { return `data: {"choices":[{"text":"` + text + `"}]}` + "\n\n" }
 	const failed = "event: error\ndata: {\"error\":{\"message\":\"m\",\"code\":\"broken\"}}\n\n"
@@ -28,22 +28,22 @@
 		wire string
 		want verdict
 	}{
-		"whole":       {head + chunked(piece("a ")+piece("b ")+done, true), verdictComplete},
-		"short":       {head + chunked(piece("a "), true), verdictIncomplete},
-		"few tokens":  {head + chunked(piece("a ")+done, true), verdictIncomplete},
-		"cut":         {head + chunked(piece("a "), false), verdictIncomplete},
-		"error said":  {head + chunked(piece("a ")+failed, true), verdictFailed},
-		"unknown":     {head + chunked(lost, true), verdictUnknown},
-		"other text":  {head + chunked(piece("x ")+failed, true), verdictWrong},
-		"twice":       {head + chunked(piece("a ")+piece("a ")+done, true), verdictWrong},
-		"nothing":     {"", verdictIncomplete},
-		"not run":     {"HTTP/1.1 503 S\r\nX-Sardinedock-Outcome: not-run\r\nContent-Length: 2\r\n\r\n{}", verdictNotRun},
-		"bare 503":    {"HTTP/1.1 503 S\r\nContent-Length: 2\r\n\r\n{}", verdictFailed},
-		"cut refusal": {"HTTP/1.1 503 S\r\nX-Sardinedock-Outcome: not-run\r\nContent-Length: 9\r\n\r\n{}", verdictIncomplete},
+		"complete":       {head + chunked(piece("a ")+piece("b ")+done, true), verdictComplete},
+		"short":          {head + chunked(piece("a "), true), verdictIncomplete},
+		"few tokens":     {head + chunked(piece("a ")+done, true), verdictIncomplete},
+		"cut":            {head + chunked(piece("a "), false), verdictIncomplete},
+		"explicit error": {head + chunked(piece("a ")+failed, true), verdictFailed},
+		"unknown":        {head + chunked(lost, true), verdictUnknown},
+		"other text":     {head + chunked(piece("x ")+failed, true), verdictWrong},
+		"twice":          {head + chunked(piece("a ")+piece("a ")+done, true), verdictWrong},
+		"nothing":        {"", verdictIncomplete},
+		"not run":        {"HTTP/1.1 503 S\r\nX-Sardinedock-Outcome: not-run\r\nContent-Length: 2\r\n\r\n{}", verdictNotRun},
+		"bare 503":       {"HTTP/1.1 503 S\r\nContent-Length: 2\r\n\r\n{}", verdictFailed},
+		"cut refusal":    {"HTTP/1.1 503 S\r\nX-Sardinedock-Outcome: not-run\r\nContent-Length: 9\r\n\r\n{}", verdictIncomplete},
 	} {
 		sent := call{path: "/v1/completions", stream: true, want: "a b "}
 		a := readAnswer(bufio.NewReader(strings.NewReader(c.wire)), &sent)
-		if got := judge(&a, &sent, true); got != c.want {
+		if got := classify(&a, &sent, true); got != c.want {
 			t.Errorf("%s: verdict %d, want %d", name, got, c.want)
 		}
 	}
--- a/demo/workload.go
+++ b/demo/workload.go
@@ -15,7 +15,7 @@
 	"github.com/sardinedock/sardinedock/schema/loadpb"
 )
 
-// request is one thing that a caller wants done.
+// request is one request of a caller, which may take several attempts.
 type request struct {
 	number int
 	work   *loadpb.Work
@@ -27,16 +27,16 @@
 	poison bool
 	// key is the Idempotency-Key; empty for requests that may be repeated.
 	key string
-	// resend: the caller sends it twice, without having seen an error.
+	// resend says whether the caller sends the request a second time without having seen an error.
 	resend resendKind
-	// hangUp is when the caller closes its first connection; 0 is never.
+	// hangUp is the time after which the caller closes its first connection; 0 means never.
 	hangUp time.Duration
 }
 
-// longestHangUp bounds the time until a caller hangs up.
-const longestHangUp = 600 * time.Millisecond
+// maxHangUp bounds the time after which a caller closes its connection.
+const maxHangUp = 600 * time.Millisecond
 
-// resendKind says when a caller sends a request a second time.
+// resendKind is the time at which a caller sends a request a second time.
 type resendKind int
 
 const (
@@ -45,16 +45,16 @@
 	resendAfterwards
 )
 
-// workload draws requests. What it draws depends on the load alone, so a run
-// with the same load sends the same requests.
+// workload draws requests. They depend on the load alone, so that runs with the same load send the
+// same requests.
 type workload struct {
 	load  *loadpb.Load
 	texts textCache
-	// poisonShare of the requests to engines crash them.
+	// poisonShare is the share of the requests to engines that crash them.
 	poisonShare float64
 }
 
-// dueTimes draws when the requests are due, in order.
+// dueTimes draws the times at which the requests are due, in ascending order.
 func (w *workload) dueTimes() []time.Duration {
 	l := w.load
 	rng := rand.New(rand.NewPCG(uint64(l.GetSeed()), 11))
@@ -91,15 +91,15 @@
 	}
 	r.poison = r.work.GetModel() != "" && rng.Float64() < w.poisonShare
 	if rng.Float64() < r.work.GetHangUp() {
-		r.hangUp = 1 + time.Duration(rng.Int64N(int64(longestHangUp)))
+		r.hangUp = 1 + time.Duration(rng.Int64N(int64(maxHangUp)))
 	}
 	r.prompt = w.prompt(rng, r)
 	return r
 }
 
-// usesChat says by which path the organisation's program sends this work. One
-// program uses one path: the two frame the same text differently, so that
-// neither is answered from what the other had computed.
+// usesChat reports whether the organisation's client sends this work as chat. One client uses one
+// path, since the two frame the same text differently, so that cached prefixes are not shared
+// between them.
 func (w *workload) usesChat(r *request) bool {
 	h := fnv.New32a()
 	_, _ = h.Write([]byte(r.work.GetName() + "/" + r.caller.GetOrganisation()))
@@ -107,9 +107,10 @@
 	return share < r.work.GetChat()
 }
 
-// weighted is what has a part of the requests.
+// weighted is a list item that is picked in proportion to its weight.
 type weighted interface{ GetWeight() float64 }
 
+// pick draws an item of the list in proportion to the weights.
 func pick[T weighted](rng *rand.Rand, list []T) T {
 	sum := 0.0
 	for _, item := range list {
@@ -125,7 +126,8 @@
 	return list[len(list)-1]
 }
 
-// prompt joins the levels that requests share and the request's own part.
+// prompt joins the texts that requests share, from the most to the least widely shared, and the
+// request's own text.
 func (w *workload) prompt(rng *rand.Rand, r *request) string {
 	work, organisation := r.work, r.caller.GetOrganisation()
 	family := zipf(rng, work.GetZipf(), work.GetFamilies())
@@ -145,15 +147,15 @@
 	return b.String()
 }
 
-// zipf draws from 0 to n-1 by Zipf's law.
+// zipf draws a number from 0 to n-1 with a Zipf distribution.
 func zipf(rng *rand.Rand, exponent float64, n int64) int64 {
 	return int64(rand.NewZipf(rng, exponent, 1, uint64(n-1)).Uint64())
 }
 
-// maxTexts bounds the texts that are kept to be used again.
+// maxTexts bounds the cached texts.
 const maxTexts = 4096
 
-// textCache keeps the texts that many prompts share.
+// textCache caches the texts that many prompts share.
 type textCache struct {
 	mu    sync.Mutex
 	texts map[textKey]string
@@ -179,7 +181,7 @@
 	return text
 }
 
-// makeText returns a text of the name's own, about so many tokens long.
+// makeText returns a text of about the given number of tokens that is unique to the name.
 func makeText(name string, tokens int64) string {
 	var b strings.Builder
 	length := int(tokens * prefix.BytesPerToken)
@@ -189,9 +191,9 @@
 	return b.String()[:length]
 }
 
-// markerName is the name under which the endpoints count an attempt. Attempts
-// of a request that must not run twice share one; attempts of others have
-// their own, so that a refusal can be checked against the runs.
+// markerName returns the name under which the endpoints count an attempt. Attempts of a request
+// that must not run twice, or that crashes engines, share one. Other attempts have one each, so
+// that a refusal can be checked against the runs.
 func (r *request) markerName(seed int64, attempt int) string {
 	if r.key != "" || r.poison {
 		attempt = 0
@@ -199,7 +201,7 @@
 	return fmt.Sprintf("%s/%d-%d-%d", r.work.GetName(), seed, r.number, attempt)
 }
 
-// chatBody and completionBody are what ordinary clients send.
+// chatBody and completionBody are the request bodies that ordinary clients send.
 type chatBody struct {
 	Model     string             `json:"model"`
 	Messages  []emulator.Message `json:"messages"`
@@ -214,7 +216,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// call is one attempt as it goes over the wire, and the answer it has to get.
+// call is one attempt as it is sent, with the answer that is expected.
 type call struct {
 	path   string
 	body   []byte
@@ -223,7 +225,7 @@
 	want   string
 }
 
-// build makes the call of an attempt.
+// build returns the call for an attempt.
 func (r *request) build(marker string) (call, error) {
 	work := r.work
 	c := call{stream: r.stream && work.GetModel() != ""}
--- a/demo/workload_test.go
+++ b/demo/workload_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// A run that shows a fault is run again by its seed, so the same seed has to
-// send the same requests.
-func TestSameSeedSameRequests(t *testing.T) {
+// A run that shows a fault is repeated with its seed, so the same seed must produce the same
+// requests.
+func TestSameSeedGivesSameRequests(t *testing.T) {
 	for _, name := range Scenarios {
 		o := Options{Scenario: name, Seconds: 5, Seed: 7}
 		a, b := &workload{load: newScenario(o).load}, &workload{load: newScenario(o).load}
@@ -25,9 +25,9 @@
 	}
 }
 
-// Prompts are built on texts that others share; without that there is nothing
-// to reuse and a hit rate says nothing.
-func TestPromptsShareTheirStarts(t *testing.T) {
+// Prompts must start with texts that other prompts share. Otherwise nothing can be reused and the
+// hit rate is meaningless.
+func TestPromptsSharePrefixes(t *testing.T) {
 	w := &workload{load: newScenario(Options{Scenario: scenarioKwabena, Seconds: 10, Seed: 1}).load}
 	starts := map[string]int{}
 	quotes := 0
@@ -40,11 +40,11 @@
 		length := 4 * int(r.work.GetCompanyTokens()+r.work.GetFamilyTokens())
 		starts[r.prompt[:length]]++
 		if !strings.Contains(r.prompt[length:], "request ") {
-			t.Fatal("a prompt without a part of its own")
+			t.Fatal("a prompt without a unique part")
 		}
 	}
 	if len(starts)*2 > quotes {
-		t.Fatalf("%d different starts among %d quotes", len(starts), quotes)
+		t.Fatalf("%d different prefixes among %d quotes", len(starts), quotes)
 	}
 }
 
@@ -55,6 +55,6 @@
 		t.Fatalf("got %q, want %q", got, want)
 	}
 	if (&Report{Counts: Counts{RefusedNotRun: 9, UnknownOutcome: 9, Failed: 9}}).Broken() != "" {
-		t.Fatal("a refusal that was said is no broken invariant")
+		t.Fatal("an explicit refusal or error was reported as a broken invariant")
 	}
 }
