--- a/demo/faultkinds.go
+++ b/demo/faultkinds.go
@@ -20,7 +20,7 @@
 // are part of the load.
 var faultKinds = []faultKind{
 	{"engine crash", 3, engineCrash},
-	{"engine connections silent", 3, func(in *injector) { in.engine().SilenceOpen() }},
+	{"engine connections silent", 3, func(in *injector) { in.engine().StallOpen() }},
 	{"engine connections cut", 2, func(in *injector) { in.engine().CutOpen() }},
 	{"engine frozen", 2, engineFrozen},
 	{"engine slow", 2, engineSlow},
--- a/emulator/enginefaults.go
+++ b/emulator/enginefaults.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// SilenceOpen makes the currently open connections unresponsive without closing them; new ones
+// StallOpen makes the currently open connections unresponsive without closing them; new ones
 // work.
-func (e *Engine) SilenceOpen() { e.listener.stallOpen() }
+func (e *Engine) StallOpen() { e.listener.stallOpen() }
 
 // CutOpen closes the currently open connections; running requests go on.
 func (e *Engine) CutOpen() { e.listener.cut() }
@@ -204,7 +204,7 @@
 	case "connections/cut":
 		e.CutOpen()
 	case "connections/silence":
-		e.SilenceOpen()
+		e.StallOpen()
 	default:
 		ctx.Error("no such control", fasthttp.StatusNotFound)
 	}
--- a/entry/faults_test.go
+++ b/entry/faults_test.go
@@ -88,7 +88,7 @@
 	r := newFixture(t, fixtureConfig{engines: 2})
 	rd := r.startStream(t, prompt, 60, nil)
 	rd.piece()
-	r.engineOf(rd.resp).SilenceOpen()
+	r.engineOf(rd.resp).StallOpen()
 	rd.rest().wantComplete(prompt, 60)
 	if ends := r.placer.ends(); len(ends) != 1 || ends[0] != place.EndDone {
 		t.Fatalf("ends %v", ends)
@@ -102,7 +102,7 @@
 	rd := r.startStream(t, prompt, 60, nil)
 	rd.piece()
 	e := r.engineOf(rd.resp)
-	e.SilenceOpen()
+	e.StallOpen()
 	e.Crash(time.Millisecond)
 	rd.rest().wantComplete(prompt, 60)
 	if ends := r.placer.ends(); len(ends) != 2 || ends[0] != place.EndCrashed {
--- a/entry/recover_bench_test.go
+++ b/entry/recover_bench_test.go
@@ -14,7 +14,7 @@
 	faults := map[string]func(e *emulator.Engine){
 		"none":   func(*emulator.Engine) {},
 		"cut":    func(e *emulator.Engine) { e.CutOpen() },
-		"silent": func(e *emulator.Engine) { e.SilenceOpen() },
+		"silent": func(e *emulator.Engine) { e.StallOpen() },
 		"crash":  func(e *emulator.Engine) { go e.Crash(2 * time.Second) },
 		"cross":  func(e *emulator.Engine) { e.SetFaults(emulator.EngineFaults{CrossNext: 1}) },
 	}
