--- a/demo/faultkinds.go
+++ b/demo/faultkinds.go
@@ -35,7 +35,7 @@
 	{"service crash", 2, serviceCrash},
 	{"service silent", 2, serviceSilent},
 	{"service slow", 1, serviceSlow},
-	{"service connections silent", 2, func(in *injector) { in.service().SilenceOpen() }},
+	{"service connections silent", 2, func(in *injector) { in.service().StallOpen() }},
 	{"peer connections silent", 2, func(in *injector) { in.member().link.SilenceOpen() }},
 	{"peer connections cut", 1, func(in *injector) { in.member().link.CutOpen() }},
 	{"instance killed", 3, instanceKilled},
--- a/emulator/service.go
+++ b/emulator/service.go
@@ -101,8 +101,8 @@
 	return s.faults
 }
 
-// SilenceOpen makes the currently open connections unresponsive without closing them.
-func (s *Service) SilenceOpen() { s.listener.stallOpen() }
+// StallOpen makes the currently open connections unresponsive without closing them.
+func (s *Service) StallOpen() { s.listener.stallOpen() }
 
 // CutOpen closes the currently open connections.
 func (s *Service) CutOpen() { s.listener.cut() }
@@ -209,7 +209,7 @@
 	case "connections/cut":
 		s.CutOpen()
 	case "connections/silence":
-		s.SilenceOpen()
+		s.StallOpen()
 	default:
 		ctx.Error("no such control", fasthttp.StatusNotFound)
 	}
--- a/entry/service_test.go
+++ b/entry/service_test.go
@@ -90,7 +90,7 @@
 	r := newFixture(t, fixtureConfig{services: 1})
 	for _, method := range []string{"POST", "GET"} {
 		r.order(t, "GET")
-		r.Services[0].SilenceOpen()
+		r.Services[0].StallOpen()
 		if resp := r.order(t, method); resp.StatusCode != 200 {
 			t.Fatalf("%s: status %d", method, resp.StatusCode)
 		}
