--- a/demo/faultkinds.go
+++ b/demo/faultkinds.go
@@ -31,7 +31,7 @@
 	{"store down", 1, storeDown},
 	{"store slow", 2, storeSlow},
 	{"store replies lost", 4, storeRepliesLost},
-	{"store connections silent", 2, func(in *injector) { in.emulator.Store.SilenceOpen() }},
+	{"store connections silent", 2, func(in *injector) { in.emulator.Store.StallOpen() }},
 	{"service crash", 2, serviceCrash},
 	{"service silent", 2, serviceSilent},
 	{"service slow", 1, serviceSlow},
--- a/emulator/storefaults.go
+++ b/emulator/storefaults.go
@@ -74,8 +74,8 @@
 	return s.faults.StoreFaults
 }
 
-// SilenceOpen makes the currently open connections unresponsive without closing them.
-func (s *Store) SilenceOpen() { s.listener.stallOpen() }
+// StallOpen makes the currently open connections unresponsive without closing them.
+func (s *Store) StallOpen() { s.listener.stallOpen() }
 
 // Down emulates a stopped process: connections are refused until Up is called. Stored objects are
 // kept.
@@ -189,7 +189,7 @@
 	case "connections/cut":
 		s.CutOpen()
 	case "connections/silence":
-		s.SilenceOpen()
+		s.StallOpen()
 	default:
 		ctx.Error("no such control", fasthttp.StatusNotFound)
 	}
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -113,7 +113,7 @@
 	if _, err := c.Get(context.Background(), "leases", "a"); err != nil {
 		t.Fatal(err)
 	}
-	s.SilenceOpen()
+	s.StallOpen()
 	if _, err := c.Get(context.Background(), "leases", "a"); err != nil {
 		t.Fatalf("the read did not change its connection: %v", err)
 	}
@@ -130,7 +130,7 @@
 		if err != nil || version != expected+1 {
 			t.Fatalf("version %d, %v; want %d", version, err, expected+1)
 		}
-		s.SilenceOpen()
+		s.StallOpen()
 	}
 	if !c.Reachable() {
 		t.Fatal("the object API passes for down")
@@ -167,7 +167,7 @@
 	if obj, err := w.Next(); err != nil || obj.Version != version {
 		t.Fatalf("got %+v, %v", obj, err)
 	}
-	s.SilenceOpen()
+	s.StallOpen()
 	missed := s.Set("classes", "quote", []byte("2"))
 	if obj, err := w.Next(); err == nil {
 		t.Fatalf("got %+v from a silent connection", obj)
