--- a/demo/faultkinds.go
+++ b/demo/faultkinds.go
@@ -36,7 +36,7 @@
 	{"service silent", 2, serviceSilent},
 	{"service slow", 1, serviceSlow},
 	{"service connections silent", 2, func(in *injector) { in.service().StallOpen() }},
-	{"peer connections silent", 2, func(in *injector) { in.member().link.SilenceOpen() }},
+	{"peer connections silent", 2, func(in *injector) { in.member().link.StallOpen() }},
 	{"peer connections cut", 1, func(in *injector) { in.member().link.CutOpen() }},
 	{"instance killed", 3, instanceKilled},
 	{"instances restarted in a herd", 1, allRestarted},
--- a/emulator/link.go
+++ b/emulator/link.go
@@ -31,9 +31,9 @@
 // Addr returns the address that the link listens on.
 func (l *Link) Addr() string { return l.listener.addr }
 
-// SilenceOpen makes the currently open connections unresponsive without closing them; new ones
+// StallOpen makes the currently open connections unresponsive without closing them; new ones
 // work.
-func (l *Link) SilenceOpen() { l.listener.stallOpen() }
+func (l *Link) StallOpen() { l.listener.stallOpen() }
 
 // CutOpen closes the currently open connections.
 func (l *Link) CutOpen() { l.listener.cut() }
--- a/emulator/link_test.go
+++ b/emulator/link_test.go
@@ -53,7 +53,7 @@
 	if got := <-received; got != "a" {
 		t.Fatalf("got %q", got)
 	}
-	link.SilenceOpen()
+	link.StallOpen()
 	send(old, "b")
 	fresh, err := net.Dial("tcp", link.Addr())
 	if err != nil {
