--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -106,7 +106,7 @@
 func (f *fleet) start(ctx context.Context, m *member) error {
 	s, faults := settings.Parse([]byte(f.settings(m)))
 	if len(faults) > 0 {
-		return fmt.Errorf("settings of the demo: %v", faults)
+		return fmt.Errorf("demo settings: %v", faults)
 	}
 	i, err := instance.Start(ctx, s)
 	if err != nil {
--- a/demo/settings.go
+++ b/demo/settings.go
@@ -14,18 +14,18 @@
 func LoadSettings(path string) (*loadpb.Load, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault.Wrap(err, fault.Invalid, "name a file that can be read", "read the load's settings")
+		return nil, fault.Wrap(err, fault.Invalid, "name a file that exists and is readable", "read the load's settings")
 	}
 	l, faults := ParseLoad(data)
 	if len(faults) > 0 {
-		return nil, fault.New(fault.Invalid, "mend the lines named above", "%s", settings.Lines(path, faults))
+		return nil, fault.New(fault.Invalid, "correct the lines listed above", "%s", settings.Lines(path, faults))
 	}
 	return l, nil
 }
 
 // ParseLoad decodes a load, fills in the defaults and returns the faults in it.
 func ParseLoad(data []byte) (*loadpb.Load, []yamlpb.Fault) {
-	l, faults := yamlpb.DecodeOne(data, func() *loadpb.Load { return &loadpb.Load{} }, "write one document")
+	l, faults := yamlpb.DecodeOne(data, func() *loadpb.Load { return &loadpb.Load{} }, "write exactly one YAML document")
 	if l == nil {
 		return nil, faults
 	}
@@ -34,7 +34,7 @@
 			faults = append(faults, yamlpb.Fault{
 				Path:   "work " + w.GetName(),
 				Found:  "not exactly one of model and service_path is set",
-				Remedy: "write model for requests to engines, service_path for calls of a plain service",
+				Remedy: "write model for requests to engines, or service_path for calls to a plain service",
 			})
 		}
 	}
--- a/emulator/listener.go
+++ b/emulator/listener.go
@@ -12,8 +12,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// unresponsiveTimeout closes an unresponsive connection in the end, so that long runs do not
-// accumulate them without bound.
+// unresponsiveTimeout is the time after which an unresponsive connection is closed, so that long
+// runs do not accumulate such connections without bound.
 const unresponsiveTimeout = 2 * time.Minute
 
 // listener is a stand-in's TCP listener with fault injection. It can close its connections, make
--- a/emulator/store.go
+++ b/emulator/store.go
@@ -45,10 +45,12 @@
 	listener *listener
 	done     chan struct{}
 
-	mu        sync.Mutex
-	version   objectapi.Version
-	objects   map[objectKey]objectapi.Object
-	history   []objectapi.Object
+	mu      sync.Mutex
+	version objectapi.Version
+	objects map[objectKey]objectapi.Object
+	history []objectapi.Object
+	// compacted is the newest version that has been dropped from the history. A watch cannot start
+	// from an older one.
 	compacted objectapi.Version
 	changed   chan struct{}
 	lists     []instanceList
