--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -114,7 +114,7 @@
 	if _, err := c.Get(context.Background(), "leases", "a"); err != nil {
 		t.Fatal(err)
 	}
-	s.SilenceOpen()
+	s.StallOpen()
 	if _, err := c.Get(context.Background(), "leases", "a"); err != nil {
 		t.Fatalf("the read was not retried on a new connection: %v", err)
 	}
@@ -131,7 +131,7 @@
 		if err != nil || version != expected+1 {
 			t.Fatalf("version %d, %v; want %d", version, err, expected+1)
 		}
-		s.SilenceOpen()
+		s.StallOpen()
 	}
 	if !c.Reachable() {
 		t.Fatal("the object API counts as down")
@@ -168,7 +168,7 @@
 	if obj, err := w.Next(); err != nil || obj.Version != version {
 		t.Fatalf("got %+v, %v", obj, err)
 	}
-	s.SilenceOpen()
+	s.StallOpen()
 	missed := s.Set("classes", "quote", []byte("2"))
 	if obj, err := w.Next(); err == nil {
 		t.Fatalf("got %+v from an unresponsive connection", obj)
