--- a/balance/admit.go
+++ b/balance/admit.go
@@ -78,9 +78,9 @@
 	if t.Backlog > lateBacklog && first > t.Patience {
 		return Refuse
 	}
-	lateForOthers := t.FirstToken-t.Backlog < t.Target
+	lateByBacklog := t.FirstToken-t.Backlog < t.Target
 	waitedForMemory := t.Full && first > memoryShare*t.Target/100
-	if lateForOthers && (waitedForMemory || t.Backlog > behindShare*t.Target/100) {
+	if lateByBacklog && (waitedForMemory || t.Backlog > behindShare*t.Target/100) {
 		return Refuse
 	}
 	aged := float64(t.Elapsed) / (agingShare * float64(t.Patience))
--- a/balance/admit_test.go
+++ b/balance/admit_test.go
@@ -50,11 +50,11 @@
 	longest, wasted                  time.Duration
 }
 
-// Refused callers retry after the backlog, but after returnLeast at least and after
-// 1/returnShare of their remaining patience at most.
+// Refused callers retry after the backlog, but after minRetryDelay at least and after
+// 1/retryDivisor of their remaining patience at most.
 const (
-	returnLeast = 250 * time.Millisecond
-	returnShare = 4
+	minRetryDelay = 250 * time.Millisecond
+	retryDivisor  = 4
 )
 
 // simulate runs the requests. If retry is set, a refused caller retries once; it cannot
@@ -80,7 +80,7 @@
 			if retry && !a.retried {
 				out.retries++
 				a.retried = true
-				a.next = now + min(max(t.Backlog, returnLeast), (patience-t.Elapsed)/returnShare)
+				a.next = now + min(max(t.Backlog, minRetryDelay), (patience-t.Elapsed)/retryDivisor)
 				a.at = a.next
 				heap.Push(&w, a)
 				continue
@@ -158,12 +158,12 @@
 		return Wait
 	}
 	before, after := simulate(burst(), true, delays), simulate(burst(), true, Admit)
-	t.Logf("on time %d -> %d, refused finally %d -> %d of 400", before.onTime, after.onTime, before.refused, after.refused)
+	t.Logf("on time %d -> %d, refused on retry %d -> %d of 400", before.onTime, after.onTime, before.refused, after.refused)
 	if after.onTime < before.onTime+15 {
 		t.Errorf("%d on time, %d if late requests wait", after.onTime, before.onTime)
 	}
 	if after.refused > 400/50 {
-		t.Errorf("%d of 400 requests were refused finally", after.refused)
+		t.Errorf("%d of 400 requests were refused again on retry", after.refused)
 	}
 	if after.retries == 0 {
 		t.Error("no caller retried")
@@ -186,7 +186,8 @@
 	})
 }
 
-// Guards against requests that wait or are refused although the endpoint is idle.
+// Guards against requests that wait or are refused although the endpoint is idle, where a delay
+// benefits no other request.
 func TestIdleEndpointIsSentAllRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		takes := time.Duration(rapid.Int64Range(0, int64(5*time.Second)).Draw(t, "takes"))
--- a/balance/cached.go
+++ b/balance/cached.go
@@ -24,8 +24,8 @@
 	Removed []prefix.PartKey
 }
 
-// UpdateCache applies a cache report of an endpoint or a store. Reports take precedence over what
-// was inferred from requests.
+// UpdateCache applies a cache report of an endpoint or a store. Reports take precedence over
+// what was inferred from requests.
 func (s *State) UpdateCache(n CacheNews) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,8 +116,8 @@
 	return xxh3.HashSeed([]byte(k.Address), uint64(key))
 }
 
-// SetCacheStores replaces the list of cache stores. The contents known of stores that stay in the
-// list are retained.
+// SetCacheStores replaces the list of cache stores. The contents known of stores that stay
+// in the list are retained.
 func (s *State) SetCacheStores(list []CacheStore) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Guards against placing requests by a catalogue that the endpoint has evicted, where each
-// of them reads it again.
+// Guards against sending requests to an endpoint for a catalogue that it has evicted: each of
+// them would read it again.
 func TestEvictedPartsAreForgotten(t *testing.T) {
 	s := newPool(1, 1)
 	id, p := send(t, s, start, prompt(1, 1))
--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -211,8 +211,8 @@
 
 // Guards against sending a prompt that does not fit into a pool's memory, which long outputs
 // fill. It would preempt the newest request, whose output stops until its prompt has been
-// read again. Waiting is better; and a prompt whose catalogue is in use at the endpoint
-// needs room only for its own part.
+// read again. Waiting at this instance delays no other request, and a prompt whose catalogue
+// is in use at the endpoint needs room only for its own part.
 func TestPromptWaitsForMemory(t *testing.T) {
 	s := newPool(1, 1)
 	const fits = 16
@@ -247,10 +247,10 @@
 }
 
 // Guards against a guessed version that ends the rollout. An endpoint loads new weights
-// during a partition, and newer ones are named; an instance that is only told of a version
-// mismatch has to guess. If the rollout took a guess that is too high for the endpoint's
-// version, it would never order the newest weights, and callers would keep getting responses
-// of replaced ones.
+// while the store is unreachable, and newer ones are named; an instance that only learns of
+// a version mismatch has to guess. If the rollout took a guess that is too high for the
+// endpoint's version, it would never order the newest weights, and callers would keep
+// getting responses of replaced ones.
 func TestGuessedWeightsDoNotEndTheRollout(t *testing.T) {
 	s := newPool(1, 1)
 	for v := int64(1); v <= 4; v++ {
--- a/balance/state.go
+++ b/balance/state.go
@@ -366,8 +366,8 @@
 	}
 }
 
-// MarkDraining marks an endpoint as draining when its incarnation is known to have ended, or to
-// accept no more requests, before the platform's list shows it.
+// MarkDraining marks an endpoint as draining when its incarnation is known to have ended, or
+// to accept no more requests, before the platform's list shows it.
 func (s *State) MarkDraining(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -5,8 +5,8 @@
 // Offer describes what one endpoint can provide for a request.
 type Offer struct {
 	Endpoint string
-	// GrantID identifies the reserved slot, 0 before one is reserved. It is unique at the instance
-	// that owns the endpoint.
+	// GrantID identifies the reserved slot, 0 before one is reserved. It is unique at the
+	// instance that owns the endpoint.
 	GrantID uint64
 	// CachedTokens is the estimated number of prompt tokens in the endpoint's cache.
 	CachedTokens int64
@@ -43,14 +43,14 @@
 // measurements behind it.
 const DefaultRecompute = 2
 
-// urgentRecomputeFactor scales the recomputation cost for urgent requests. Their prompts are short and
-// frequent: a copy on each candidate takes little cache space and is reused. The request can then
-// go to any candidate with a free slot instead of waiting for a long response to finish on the one
-// that has the prompt cached.
+// urgentRecomputeFactor scales the recomputation cost for urgent requests. Their prompts are short
+// and frequent: a copy on each candidate takes little cache space and is reused. The request can
+// then go to any candidate with a free slot instead of waiting for a long response to finish on the
+// one that has the prompt cached.
 const urgentRecomputeFactor = 0.25
 
-// saturationWait is the wait at the least busy candidate at which the recomputation cost doubles. An
-// endpoint is given about a tenth of a second of work in advance, so a shorter wait is not yet a
+// saturationWait is the wait at the least busy candidate at which the recomputation cost doubles.
+// An endpoint is given about a tenth of a second of work in advance, so a shorter wait is not yet a
 // sign of saturation.
 const saturationWait = 100 * time.Millisecond
 
--- a/policy/fleetretry.go
+++ b/policy/fleetretry.go
@@ -88,8 +88,8 @@
 
 func (f *FleetRetries) burst() float64 { return max(f.share()*burstOfSlack, 1) }
 
-// capacity returns the size of the bucket. It includes the budget earned over a window: the crash
-// of several endpoints fails all of a window's requests at once.
+// capacity returns the size of the bucket. It includes the budget earned over a window, because
+// all requests on endpoints that crash together fail at once.
 func (f *FleetRetries) capacity(b *retryBucket) float64 {
 	return f.burst() + f.ratio*usableRatio*b.accepted
 }
--- a/policy/health.go
+++ b/policy/health.go
@@ -74,7 +74,8 @@
 
 // Crashed records evidence that an incarnation has crashed, such as a refused connection after
 // open responses broke off. The endpoint is suspect at once, until a message with another
-// incarnation arrives or ExpelAfter has passed. It reports whether the status changed.
+// incarnation arrives or ExpelAfter has passed since the last message. It reports whether the
+// status changed.
 func (h *EndpointHealth) Crashed(now time.Time, incarnation uint64) bool {
 	if incarnation != h.incarnation {
 		return false
--- a/policy/limit.go
+++ b/policy/limit.go
@@ -32,9 +32,9 @@
 //
 // It is designed for an organisation whose burst reaches all instances at once. The shares of
 // instances that have the same reports add up to the limit. While reports lag a shift of load by
-// d, the fleet may exceed the rate by up to d / demandDecay, and the open requests by at most one
-// for each instance besides those that start during the lag. A burst of limitBurst is admitted on
-// top.
+// d, the fleet may exceed the rate by up to the fraction d / demandDecay, and the open requests by
+// at most one for each instance besides those that start during the lag. A burst of limitBurst is
+// admitted on top.
 type OrganisationLimit struct {
 	rate     float64
 	inFlight int64
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -49,8 +49,9 @@
 	policy  string
 	ranking *policy.Ranking
 	engines []*engine
-	books   []*owner.Registry
-	ownerOf []int
+	// registries are the endpoint registries of the instances.
+	registries []*owner.Registry
+	ownerOf    []int
 	// secondOwner makes every other instance treat the next instance as the owner of an endpoint.
 	secondOwner bool
 	levels      []*prefix.Levels
@@ -85,7 +86,7 @@
 
 // restart gives all instances a new, empty state.
 func (m *sim) restart() {
-	m.books, m.levels = nil, nil
+	m.registries, m.levels = nil, nil
 	for i := range m.s.instances {
 		b := owner.NewRegistry(m.prices)
 		for e := range m.s.endpoints {
@@ -93,7 +94,7 @@
 				b.Add(m.config(e))
 			}
 		}
-		m.books = append(m.books, b)
+		m.registries = append(m.registries, b)
 		m.levels = append(m.levels, prefix.NewLevels(prefix.DefaultLevelSets))
 	}
 }
@@ -110,7 +111,7 @@
 	}
 	end := m.s.warm + m.s.measured + m.s.maxWait + 30*time.Second
 	m.every(owner.TickInterval, func() {
-		for _, b := range m.books {
+		for _, b := range m.registries {
 			b.RenewLease(m.time(), caller)
 			m.apply(b.Tick(m.time()))
 		}
@@ -126,12 +127,12 @@
 	})
 }
 
-// report delivers the current load of all endpoints to all books after reportLag.
+// report delivers the current load of all endpoints to all registries after reportLag.
 func (m *sim) report() {
 	for i, e := range m.engines {
 		r := owner.LoadReport{MeasuredAt: m.time(), Running: e.used, Waiting: len(e.queue)}
 		m.after(reportLag, func() {
-			for _, b := range m.books {
+			for _, b := range m.registries {
 				if o := b.Endpoint(endpointName(i)); o != nil {
 					m.apply(o.LoadReport(m.time(), r))
 				}
@@ -167,14 +168,14 @@
 	return m.ranking.Top(nil, key, n, func(i int) bool { return !m.engines[i].paused })
 }
 
-func (m *sim) book(r *request, endpoint int) *owner.Registry {
+func (m *sim) registry(r *request, endpoint int) *owner.Registry {
 	if m.policy == ownView {
-		return m.books[r.instance]
+		return m.registries[r.instance]
 	}
 	if m.secondOwner && r.instance%2 == 1 {
-		return m.books[(m.ownerOf[endpoint]+1)%m.s.instances]
+		return m.registries[(m.ownerOf[endpoint]+1)%m.s.instances]
 	}
-	return m.books[m.ownerOf[endpoint]]
+	return m.registries[m.ownerOf[endpoint]]
 }
 
 // place asks the first candidate and, if that is busy, chooses among all.
@@ -207,7 +208,7 @@
 
 func (m *sim) askOne(r *request, a owner.Ask, endpoint int) owner.Decision {
 	m.asks++
-	return m.book(r, endpoint).Ask(m.time(), a, []string{endpointName(endpoint)})
+	return m.registry(r, endpoint).Ask(m.time(), a, []string{endpointName(endpoint)})
 }
 
 func (m *sim) index(name string) int {
@@ -255,7 +256,7 @@
 	if r.grant == 0 {
 		return nil
 	}
-	return m.book(r, r.endpoint).Endpoint(endpointName(r.endpoint))
+	return m.registry(r, r.endpoint).Endpoint(endpointName(r.endpoint))
 }
 
 func (m *sim) first(r *request) {
@@ -288,7 +289,7 @@
 func (m *sim) pause(endpoint int, length, deferral time.Duration) {
 	const suspectAfter, entryTimeout = time.Second, 3 * time.Second
 	e, name := m.engines[endpoint], endpointName(endpoint)
-	o := m.books[m.ownerOf[endpoint]].Endpoint(name)
+	o := m.registries[m.ownerOf[endpoint]].Endpoint(name)
 	e.paused = true
 	status := func(s fleetpb.EndpointStatus) func() {
 		return func() {
--- a/policy/policybench/sim_test.go
+++ b/policy/policybench/sim_test.go
@@ -174,7 +174,7 @@
 	old.onFirst, old.onDone = func(*request) {}, func(*request) {}
 	e := &engine{s: old.s, t: old.t, cache: newLRU(m.s.cacheBlocks), slow: 1, onFirst: m.first, onDone: m.done}
 	m.engines[i] = e
-	o := m.books[m.ownerOf[i]].Endpoint(endpointName(i))
+	o := m.registries[m.ownerOf[i]].Endpoint(endpointName(i))
 	m.apply(o.Status(m.time(), fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, incarnation).Decisions)
 	for _, r := range m.requests {
 		if broken[r] {
@@ -196,7 +196,7 @@
 	s := small()
 	m := run(s, owners, 0.6, func(m *sim) {
 		for i := range s.endpoints {
-			m.books[m.ownerOf[i]].Endpoint(endpointName(i)).Status(m.time(), fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, 1)
+			m.registries[m.ownerOf[i]].Endpoint(endpointName(i)).Status(m.time(), fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, 1)
 		}
 		m.after(s.warm+2*time.Second, func() { m.crash(0, 2) })
 		m.after(s.warm+3*time.Second, func() { m.crash(3, 2) })
@@ -231,10 +231,10 @@
 	m := run(s, owners, 0.7, func(m *sim) {
 		m.after(s.warm+2*time.Second, func() {
 			lost := m.ownerOf[0]
-			m.books[lost] = owner.NewRegistry(m.prices)
+			m.registries[lost] = owner.NewRegistry(m.prices)
 			for e, o := range m.ownerOf {
 				if o == lost {
-					m.books[lost].Add(m.config(e))
+					m.registries[lost].Add(m.config(e))
 				}
 			}
 			for _, r := range m.requests {
@@ -256,7 +256,7 @@
 	m := run(s, owners, 0.6, func(m *sim) {
 		m.secondOwner = true
 		for i := range s.endpoints {
-			m.books[(m.ownerOf[i]+1)%s.instances].Add(m.config(i))
+			m.registries[(m.ownerOf[i]+1)%s.instances].Add(m.config(i))
 		}
 	})
 	check(t, m, "all requests", all, 0.98)
--- a/policy/window.go
+++ b/policy/window.go
@@ -6,9 +6,9 @@
 	// minSampleTokens is the least work from which the rate is measured. For less, the fixed cost
 	// of a request dominates the measurement.
 	minSampleTokens = 512
-	// rateWindowTokens is the work, in tokens, over which the rate is averaged: about a dozen uncached
-	// prompts, so that one outlier does not shift it and a slowed endpoint is detected after a few
-	// seconds of load.
+	// rateWindowTokens is the work, in tokens, over which the rate is averaged: about a dozen
+	// uncached prompts, so that one outlier does not shift it and a slowed endpoint is detected
+	// after a few seconds of load.
 	rateWindowTokens = 100_000
 	// windowTime is how much prefill may be outstanding at an endpoint before its first tokens
 	// arrive. It has to cover the round trip to the endpoint and the delay of reports. Work beyond
--- a/quota/book.go
+++ b/quota/book.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// DecidesForOthers reports whether the instance decides for others, according to the last SetReach.
+// DecidesForOthers reports whether the instance decides for others, according to the last
+// SetReach.
 func (b *Book) DecidesForOthers() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -88,9 +88,9 @@
 }
 
 // covers reports whether the bucket covers the whole cost. A cost above the bucket's
-// capacity is covered by any positive balance, but since the bucket was last full a random
-// part of one such cost is subtracted first, as if the bucket had paid for one some time
-// ago.
+// capacity is covered by any positive balance. For the first such cost after the bucket was
+// full, a random part of the cost is subtracted before the check, as if the bucket had paid
+// for another one some time ago.
 //
 // In a partitioned fleet each of many instances has a small share, and a request may cost
 // more than its capacity. If each instance passed its first such request, together they
@@ -155,8 +155,8 @@
 }
 
 // update changes the limit and the share. The balance stays, except that a bucket that loses
-// part of its share is debited with what the other side of the partition passes on that part
-// until it notices: until each side has noticed, both pass requests on the same share.
+// part of its share is debited with what that part yields in detectionDelay: until both
+// sides of a partition have noticed it, both pass requests on that part.
 func (b *bucket) update(now time.Time, l Limit, share float64) {
 	b.advance(now)
 	if lost := b.share - share; lost > 0 {
--- a/quota/counted_test.go
+++ b/quota/counted_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// The rate limit of an endpoint, the window in which it is checked, and the load as a
-// multiple of the rate.
+// The burst of an endpoint's rate limit, the window in which the limit is checked, and the
+// load as a multiple of the rate.
 const (
 	countedBurst  = 2
 	countedWindow = 4 * time.Second
@@ -22,7 +22,7 @@
 // times the rate that the endpoint accepts.
 func newCountedModel(size int, rate float64, seed uint64) *fleetModel {
 	m := newFleetModel(size, Limit{Rate: rate, Burst: countedBurst}, seed)
-	m.counted, m.judged, m.tolerated = true, countedWindow, countedTolerance
+	m.counted, m.window, m.tolerated = true, countedWindow, countedTolerance
 	return m
 }
 
--- a/quota/failures_test.go
+++ b/quota/failures_test.go
@@ -204,7 +204,7 @@
 				m := newFleetModel(size, limit, 0)
 				m.way = w
 				m.run(modelTime, atNormalLoad)
-				calmShare := float64(m.total()) / float64(one)
+				normalShare := float64(m.total()) / float64(one)
 				worst, at, served := 0.0, "", 0.0
 				for _, f := range failures {
 					m := newFleetModel(size, limit, 0)
@@ -216,7 +216,7 @@
 						worst, at = x, f.name
 					}
 				}
-				t.Logf("%4d instances, %s quota, %-16s calm %.2f of one bucket; failures: worst %5.2f of the tolerance (%s), %.2f of the rate passed", size, name, w, calmShare, worst, at, served)
+				t.Logf("%4d instances, %s quota, %-16s normal load %.2f of a single bucket; failures: worst %5.2f of the tolerance (%s), %.2f of the rate passed", size, name, w, normalShare, worst, at, served)
 			}
 		}
 	}
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -8,7 +8,7 @@
 )
 
 // Parameters of the model: the latency of reports, how long an unresponsive instance counts
-// as live, how long a request looks for a scheduler before its instance decides alone, the
+// as live, how long a request waits for a scheduler before its instance decides alone, the
 // window over which the passed cost is checked, the number of schedulers, and the size up to
 // which all instances of a fleet are schedulers.
 const (
@@ -52,15 +52,14 @@
 	way     way
 	// demand is the smoothed demand of each instance, for sharesByDemand.
 	demand []float64
-	// counted reports whether each request costs 1. judged is the window over which the
-	// passed cost is checked, and tolerated returns how much more than the limit may pass in
-	// it.
+	// counted reports whether each request costs 1. window is the time over which the passed
+	// cost is checked, and tolerated returns how much more than the limit may pass in it.
 	counted   bool
-	judged    time.Duration
+	window    time.Duration
 	tolerated func(l Limit) float64
 }
 
-// way is where it is decided what may pass.
+// way is a way to decide what may pass.
 type way int
 
 const (
@@ -110,7 +109,7 @@
 		books: make([]*Book, size), alive: make([]bool, size), frozen: make([]bool, size), partition: make([]int, size),
 		demand:  make([]float64, size),
 		blocked: map[[2]int]bool{}, lastSeen: make([][]time.Time, size),
-		judged: modelWindow, tolerated: tokenTolerance,
+		window: modelWindow, tolerated: tokenTolerance,
 	}
 	for i := range size {
 		m.lastSeen[i] = make([]time.Time, size)
@@ -159,7 +158,7 @@
 		m.reachOf(j)
 	}
 	for j := range m.size {
-		if m.reports() && m.alive[j] && !m.frozen[j] && m.isScheduler(j) {
+		if m.sendsReports() && m.alive[j] && !m.frozen[j] && m.isScheduler(j) {
 			for _, u := range m.books[j].Short(m.now, m.now.Add(-200*time.Millisecond)) {
 				m.report(j, u)
 			}
@@ -168,8 +167,8 @@
 	m.in(100*time.Millisecond, m.heartbeat)
 }
 
-// reports reports whether schedulers report to each other what they pass.
-func (m *fleetModel) reports() bool { return m.way == bucketsByReach || m.way == wholeBuckets }
+// sendsReports reports whether schedulers report to each other what they pass.
+func (m *fleetModel) sendsReports() bool { return m.way == bucketsByReach || m.way == wholeBuckets }
 
 // relayed reports whether an instance that is not a scheduler is known to be live through
 // others.
@@ -351,7 +350,7 @@
 	switch {
 	case d.Outcome == Pass:
 		u, ok := m.books[by].Charge(m.now, m.rng.Uint64(), c)
-		if ok && m.reports() {
+		if ok && m.sendsReports() {
 			m.report(by, u)
 		}
 		m.passed = append(m.passed, passed{m.now, c.Cost})
@@ -373,12 +372,12 @@
 	}
 }
 
-// Sizes of requests: one in five is a long prompt. They arrive in groups of clump.
+// Sizes of requests: one in five is a long prompt. They arrive in groups of groupSize.
 const (
 	longCost   = 12_000
 	shortCost  = 2_400
 	longShare  = 0.21
-	clump      = 3
+	groupSize  = 3
 	costSpread = 0.4
 )
 
@@ -399,14 +398,14 @@
 	if t >= until {
 		return
 	}
-	for range clump {
+	for range groupSize {
 		m.request(m.cost())
 	}
 	mean := longShare*longCost + (1-longShare)*shortCost
 	if m.counted {
 		mean = 1
 	}
-	perSecond := max(load(t), 0.01) * m.limit.Rate / mean / clump
+	perSecond := max(load(t), 0.01) * m.limit.Rate / mean / groupSize
 	m.in(time.Duration(m.callers.ExpFloat64()/perSecond*float64(time.Second)), func() { m.arrive(until, load) })
 }
 
@@ -416,14 +415,14 @@
 	worst, sum, from := 0.0, 0.0, 0
 	for _, p := range m.passed {
 		sum += float64(p.cost)
-		for p.at.Sub(m.passed[from].at) > m.judged {
+		for p.at.Sub(m.passed[from].at) > m.window {
 			sum -= float64(m.passed[from].cost)
 			from++
 		}
 		worst = max(worst, sum)
 	}
-	named := m.limit.Rate*m.judged.Seconds() + m.limit.Burst
-	return (worst - named) / m.tolerated(m.limit)
+	allowed := m.limit.Rate*m.window.Seconds() + m.limit.Burst
+	return (worst - allowed) / m.tolerated(m.limit)
 }
 
 // tokenTolerance returns what may pass beyond a quota of tokens.
--- a/ratelimit/limits_test.go
+++ b/ratelimit/limits_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// Guards against an endpoint getting more than 1.5 times its rate and five requests in any 4
-// s, whatever its rate and the demand.
+// Guards against an endpoint getting more than 1.5 times its rate and five requests in any
+// 4 s, whatever its rate and the demand.
 func TestNoWindowExceedsTheEndpointsTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0, 30).Draw(t, "rate")
@@ -173,7 +173,7 @@
 		}
 		var reports []report
 		var sent []time.Time
-		nextLook := make([]time.Time, instances)
+		nextDecision := make([]time.Time, instances)
 		for end := now.Add(length); now.Before(end); now = now.Add(time.Millisecond) {
 			for len(reports) > 0 && !reports[0].at.After(now) {
 				for n, l := range fleet {
@@ -184,10 +184,10 @@
 				reports = reports[1:]
 			}
 			for n, l := range fleet {
-				if now.Before(nextLook[n]) {
+				if now.Before(nextDecision[n]) {
 					continue
 				}
-				nextLook[n] = now.Add(lag + time.Duration(rng.Int64N(int64(lag))))
+				nextDecision[n] = now.Add(lag + time.Duration(rng.Int64N(int64(lag))))
 				if l.Free(now, "e", 0) {
 					u, _ := l.Charge(now, uint64(len(sent)), "e")
 					reports = append(reports, report{now.Add(lag), n, u})
--- a/ratelimit/registry_test.go
+++ b/ratelimit/registry_test.go
@@ -92,9 +92,9 @@
 func TestLimitsOfRemovedEndpointsAreSwept(t *testing.T) {
 	r := NewRegistry()
 	r.Apply(statement(limited(1), 1, 2))
-	gone := statement(limited(1), 1, 2)
-	gone.Endpoint = "gone"
-	r.Apply(gone)
+	removed := statement(limited(1), 1, 2)
+	removed.Endpoint = "removed"
+	r.Apply(removed)
 	r.Sweep(at(1000), func(id string) bool { return id == "e" })
 	if len(r.known) != 1 || r.Rate("e") != limited(1) {
 		t.Errorf("%d kept, the idle endpoint's limit is %v", len(r.known), r.Rate("e"))
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
 // Package rendezvous implements rendezvous hashing: all instances with the same list of
-// names make the same choice without communication, and adding or removing a name changes
-// only the choices of that name.
+// names make the same choice without communication, and adding or removing a name changes the
+// choice only for the keys that choose that name.
 package rendezvous
 
 import "github.com/zeebo/xxh3"
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -31,8 +31,8 @@
 	})
 }
 
-// Guards against the removal of one name changing the choices of the others, which would
-// make an instance read anew what another one had.
+// Guards against the removal of one instance changing the keys of the others. Keys are, for
+// example, endpoints whose caches one instance reads; another one would read them all again.
 func TestRemovedNameMovesOnlyItsOwnKeys(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e"}
 	left := names[1:]
