--- a/balance/cached_test.go
+++ b/balance/cached_test.go
@@ -95,7 +95,8 @@
 }
 
 // Guards against short prompts with little shared text evicting a catalogue from the cache
-// store. The next caller would wait until an engine has read the catalogue again.
+// store within seconds. The next caller would wait until an engine has read the catalogue
+// again.
 func TestShortPromptsDoNotEvictCataloguesFromCacheStore(t *testing.T) {
 	s := newPool(1, 1)
 	s.SetCacheStores([]CacheStore{{Address: "kept:1", DataCentre: "dc", CacheTokens: 100_000}})
--- a/balance/decide.go
+++ b/balance/decide.go
@@ -59,7 +59,7 @@
 }
 
 // refuseAtLimit decides on a request for which every endpoint has used up its rate limit. A
-// retry is not refused but waits for its turn, so it gets no FreeIn.
+// retry is not refused but waits until an endpoint takes it, so it gets no FreeIn.
 func (s *State) refuseAtLimit(now time.Time, q Query, p Placement) Decision {
 	if q.Again {
 		return Decision{Admission: AtLimit, Placement: p}
--- a/ratelimit/limits.go
+++ b/ratelimit/limits.go
@@ -101,7 +101,7 @@
 // ApplyUsage applies the usage report of another scheduler.
 func (l *Limits) ApplyUsage(now time.Time, u quota.Usage) { l.book.ApplyUsage(now, u) }
 
-// Short returns the usage to report again; see quota.Book.
+// Short returns the usage to report again; see quota.Book.Short.
 func (l *Limits) Short(now, since time.Time) []quota.Usage { return l.book.Short(now, since) }
 
 // SetReach replaces the part of the fleet for which this instance decides.
