--- a/cachefeed/cachefeed.go
+++ b/cachefeed/cachefeed.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	// longPollTimeout is how long a call waits for events. Calls that wait for less than 200 ms
-	// cost as much as a health check.
+	// longPollTimeout is how long a call waits for events. Calls that wait for less than
+	// 200 ms cost as much as a health check.
 	longPollTimeout = time.Second
 	// minPollInterval is the least time between two calls to one holder. Events are about
 	// 100 ms late in any case.
@@ -65,7 +65,7 @@
 	Model string
 }
 
-// name returns the holder's name in package balance.
+// name returns the name of the holder in package balance: its ID, or the address of a store.
 func (h Holder) name() string {
 	if h.ID == "" {
 		return h.Address
--- a/directory/expiry.go
+++ b/directory/expiry.go
@@ -25,7 +25,7 @@
 	source   Source
 }
 
-// add adds a removal.
+// add records a removal that is held back.
 func (h *held) add(name string, revision objectapi.Version, by Source) {
 	heldTotal.Inc()
 	if h.count++; len(h.names) < maxHeldNames {
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -100,8 +100,8 @@
 func (m *modelMember) config() Config {
 	return Config{
 		Store: memberStore{m.fleet.store, m}, Kind: "endpoints", MinExpiryOutage: 2400 * time.Millisecond, ReadInterval: modelEvery,
-		ReadPosition:        func() int { return m.standing().ReadPosition("endpoints") },
-		Watches:             func() bool { s := m.standing(); return s.Scheduler && s.Rank("endpoints") < modelWatchers },
+		ReadPosition:        func() int { return m.view().ReadPosition("endpoints") },
+		Watches:             func() bool { s := m.view(); return s.Scheduler && s.Rank("endpoints") < modelWatchers },
 		Changed:             m.recordRemovals,
 		ReachabilityChanged: func(reached bool) { m.setUnreachable(!reached) },
 		PublishRead: func(string) {
@@ -152,7 +152,7 @@
 	return len(m.fleet.members) <= modelSmall || m.position < modelSchedulers
 }
 
-func (m *modelMember) standing() FleetView {
+func (m *modelMember) view() FleetView {
 	m.fleet.mu.Lock()
 	defer m.fleet.mu.Unlock()
 	s := FleetView{Self: m.name, Scheduler: m.isScheduler(), Reaches: !m.unreachable, Position: m.position}
@@ -198,12 +198,12 @@
 // and the most reads that the scenario took.
 func latestRemoval(t *testing.T, size int, scenario func(f *fleetModel)) (latest time.Duration, reads int) {
 	t.Helper()
-	const plays, limit = 6, 8 * time.Second
-	for play := range plays {
+	const phases, limit = 6, 8 * time.Second
+	for phase := range phases {
 		synctest.Test(t, func(t *testing.T) {
 			s := newFakeStore("a", "b")
 			f := newFleetModel(t, s, size)
-			time.Sleep(5*time.Second + time.Duration(play)*modelEvery/plays)
+			time.Sleep(5*time.Second + time.Duration(phase)*modelEvery/phases)
 			before := s.readCount()
 			scenario(f)
 			reads = max(reads, s.readCount()-before)
@@ -239,9 +239,9 @@
 	}
 	for _, sc := range []struct {
 		name string
-		// play ends right before the removal, when each instance has reached the store for
+		// scenario ends right before the removal, when each instance has reached the store for
 		// three seconds.
-		play func(f *fleetModel)
+		scenario func(f *fleetModel)
 	}{
 		{"calm", func(*fleetModel) {}},
 		{"watches stalled", func(f *fleetModel) { f.store.stallWatches() }},
@@ -254,7 +254,7 @@
 	} {
 		for _, size := range sizes {
 			t.Run(fmt.Sprintf("%s, %d instances", sc.name, size), func(t *testing.T) {
-				took, reads := latestRemoval(t, size, sc.play)
+				took, reads := latestRemoval(t, size, sc.scenario)
 				t.Logf("all instances learned of the removal within %v; %d reads", took, reads)
 				if took > bound {
 					t.Errorf("an instance learned of the removal after %v, want within %v", took, bound)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -239,7 +239,7 @@
 
 // timeUntilRead returns the time until the kind has to be read.
 func (f *Follower) timeUntilRead() time.Duration {
-	place := f.place()
+	position := f.position()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -247,13 +247,13 @@
 		// Run does the first read; a second one in parallel would return the same.
 		return 2 * checkInterval
 	case f.reachable:
-		return max(f.cfg.ReadInterval+time.Duration(place)*readStagger-time.Since(f.readAt), 0)
+		return max(f.cfg.ReadInterval+time.Duration(position)*readStagger-time.Since(f.readAt), 0)
 	}
-	return max(probeDelay(place, f.failures, f.cfg.ReadInterval)-time.Since(f.lastAttempt), 0)
+	return max(probeDelay(position, f.failures, f.cfg.ReadInterval)-time.Since(f.lastAttempt), 0)
 }
 
-// place returns this instance's position in the read order.
-func (f *Follower) place() int {
+// position returns this instance's position in the read order.
+func (f *Follower) position() int {
 	if f.cfg.ReadPosition == nil {
 		return 0
 	}
@@ -555,8 +555,8 @@
 	f.revision = revision
 }
 
-// deliver passes the pending changes to Config.Changed. The caller holds f.mu, which keeps the
-// calls in order.
+// deliver passes the pending changes to Config.Changed. The caller holds f.mu, which keeps
+// the calls in order.
 //
 // Only changed objects are passed on: when a pool of 140 endpoints took new weights and
 // each entry changed twice, passing on all objects at each change made 62 instances spend
--- a/directory/hints.go
+++ b/directory/hints.go
@@ -24,8 +24,8 @@
 // behind reports whether a peer has reported a newer revision. The caller holds f.mu.
 func (f *Follower) behind() bool { return f.newestHint > max(f.revision, f.lastChange) }
 
-// awaitHintedChange waits for the change that a hint announced, and reports whether it arrived
-// without a read.
+// awaitHintedChange waits for the change that a hint announced, and reports whether it
+// arrived without a read.
 func (f *Follower) awaitHintedChange(ctx context.Context) bool {
 	f.mu.Lock()
 	target := f.newestHint
--- a/directory/readorder.go
+++ b/directory/readorder.go
@@ -19,8 +19,9 @@
 	// fleet probes about once per read interval. Several are needed because one instance's
 	// own path to the store may be cut for longer.
 	probers = 6
-	// backupProbeTurns is the number of read intervals after which each further instance probes
-	// too: the store may serve only a few instances again, and not the first in the order.
+	// backupProbeTurns is the number of read intervals after which each further instance
+	// probes too: the store may serve only a few instances again, and not the first in the
+	// order.
 	backupProbeTurns = 30
 )
 
@@ -53,9 +54,9 @@
 	return reaching + rendezvous.Rank(name, v.Self, v.Schedulers)
 }
 
-// ReadPosition returns this instance's position among those that read a kind: schedulers that
-// reach the store come first, then all others. An instance that reaches the store but knows
-// of no scheduler that does reads on its own.
+// ReadPosition returns this instance's position among those that read a kind: schedulers
+// that reach the store come first, then all others. An instance that reaches the store but
+// knows of no scheduler that does reads on its own.
 //
 // All watches may stop delivering events at once, for example when a middlebox between the
 // fleet and the store drops its connection state. With independent timers, the reads of
@@ -72,22 +73,22 @@
 }
 
 // probeDelay returns how long after its last failed call an instance calls the store again
-// to find out whether it is back; every is the fleet's read interval.
+// to find out whether it is back; interval is the fleet's read interval.
 //
 // While the store answers no instance, each call still costs money. If all instances probed
 // at the same moments, the store's return could go unnoticed for seconds, and removals
 // would be mistaken for expiries meanwhile. So the first few instances take turns.
-func probeDelay(place, failures int, every time.Duration) time.Duration {
+func probeDelay(position, failures int, interval time.Duration) time.Duration {
 	turns := probers
-	if place >= probers {
+	if position >= probers {
 		turns = backupProbeTurns
 	}
 	switch failures {
 	case 0:
 		// The store is back: all instances try again, one after another.
-		return time.Duration(place) * readStagger
+		return time.Duration(position) * readStagger
 	case 1:
-		return time.Duration(1+place%turns) * every
+		return time.Duration(1+position%turns) * interval
 	}
-	return time.Duration(turns) * every
+	return time.Duration(turns) * interval
 }
--- a/entry/send.go
+++ b/entry/send.go
@@ -55,7 +55,7 @@
 	}
 	if long {
 		// Short prompts of the class take precedence in the queue of the engine. Otherwise
-		// each would wait the second or so that a long prompt takes that is not cached.
+		// each would wait about a second for a long uncached prompt.
 		f.setInt(fieldPriority, int64(a.req.place.Class.GetPriority())+1)
 	}
 	f.setBool(fieldStream, true)
--- a/monitor/monitor.go
+++ b/monitor/monitor.go
@@ -14,8 +14,8 @@
 type Config struct {
 	// Dial returns an observer of the engine at an address. The heartbeats in its Events
 	// replace most polls. Its State must use a new connection for each call, so that an
-	// open connection that permanently stopped delivering is not mistaken for a dead
-	// engine.
+	// open connection that permanently stopped delivering does not make its engine appear
+	// dead.
 	Dial func(address string) endpoint.Observer
 	// Events receives the events. When it is full, the oldest are dropped: a status is
 	// repeated, and a lost cache event shows as a gap in the sequence numbers.
--- a/monitor/watcher.go
+++ b/monitor/watcher.go
@@ -33,7 +33,7 @@
 	// cache events shows that the endpoint is alive: up to 1.5 s, so that an engine's
 	// notice that it is leaving takes effect on all instances within three seconds, one of
 	// which is for the exchange between them. The jitter keeps the endpoints of a fleet
-	// from being polled in step.
+	// from being polled at the same moments.
 	statePollInterval = 1200 * time.Millisecond
 	statePollJitter   = 300 * time.Millisecond
 	// loadReportInterval is the least time between load reports: an owner knows most of the
--- a/owner/cache_model.go
+++ b/owner/cache_model.go
@@ -46,30 +46,30 @@
 }
 
 func newCacheModel(cacheBlocks int64) *cacheModel {
-	k := &cacheModel{capacity: int(min(max(cacheBlocks, 1), MaxCacheModelBytes/blockBytes))}
-	k.clear()
-	return k
+	m := &cacheModel{capacity: int(min(max(cacheBlocks, 1), MaxCacheModelBytes/blockBytes))}
+	m.clear()
+	return m
 }
 
 // clear removes all blocks.
-func (k *cacheModel) clear() {
-	k.index = blockIndex{}
-	k.blocks = k.blocks[:0]
-	k.free, k.newest, k.oldest = noBlock, noBlock, noBlock
+func (m *cacheModel) clear() {
+	m.index = blockIndex{}
+	m.blocks = m.blocks[:0]
+	m.free, m.newest, m.oldest = noBlock, noBlock, noBlock
 }
 
 // markUncertain makes all blocks uncertain.
-func (k *cacheModel) markUncertain() { k.epoch++ }
+func (m *cacheModel) markUncertain() { m.epoch++ }
 
 // knownBlocks returns how many leading blocks are in the model, and how many of these are
 // certain.
-func (k *cacheModel) knownBlocks(chain []prefix.Hash) (known, certain int) {
+func (m *cacheModel) knownBlocks(chain []prefix.Hash) (known, certain int) {
 	for _, h := range chain {
-		i, ok := k.index.find(k.blocks, keyOf(h))
+		i, ok := m.index.find(m.blocks, keyOf(h))
 		if !ok {
 			break
 		}
-		if certain == known && k.blocks[i].epoch == k.epoch {
+		if certain == known && m.blocks[i].epoch == m.epoch {
 			certain++
 		}
 		known++
@@ -79,96 +79,96 @@
 
 // use records that a request computed the chain, so its blocks are cached now. The first
 // blocks become the most recently used, since engines evict a chain from its end.
-func (k *cacheModel) use(chain []prefix.Hash) {
+func (m *cacheModel) use(chain []prefix.Hash) {
 	for i := len(chain) - 1; i >= 0; i-- {
-		k.touch(keyOf(chain[i]))
+		m.touch(keyOf(chain[i]))
 	}
 }
 
-func (k *cacheModel) touch(key blockKey) {
-	i, ok := k.index.find(k.blocks, key)
+func (m *cacheModel) touch(key blockKey) {
+	i, ok := m.index.find(m.blocks, key)
 	if ok {
-		k.unlink(i)
+		m.unlink(i)
 	} else {
-		i = k.allocate()
-		k.blocks[i].key = key
-		k.index.add(k.blocks, i)
+		i = m.allocate()
+		m.blocks[i].key = key
+		m.index.add(m.blocks, i)
 	}
-	b := &k.blocks[i]
-	b.epoch = k.epoch
-	b.prev, b.next = noBlock, k.newest
-	if k.newest != noBlock {
-		k.blocks[k.newest].prev = i
+	b := &m.blocks[i]
+	b.epoch = m.epoch
+	b.prev, b.next = noBlock, m.newest
+	if m.newest != noBlock {
+		m.blocks[m.newest].prev = i
 	}
-	k.newest = i
-	if k.oldest == noBlock {
-		k.oldest = i
+	m.newest = i
+	if m.oldest == noBlock {
+		m.oldest = i
 	}
 }
 
 // allocate returns a free entry, evicting the oldest block if the model is full.
-func (k *cacheModel) allocate() int32 {
-	if k.index.length >= k.capacity {
-		k.forget(k.blocks[k.oldest].key)
+func (m *cacheModel) allocate() int32 {
+	if m.index.length >= m.capacity {
+		m.forget(m.blocks[m.oldest].key)
 	}
-	if k.free != noBlock {
-		i := k.free
-		k.free = k.blocks[i].next
+	if m.free != noBlock {
+		i := m.free
+		m.free = m.blocks[i].next
 		return i
 	}
-	k.blocks = append(k.blocks, cachedBlock{})
-	return int32(len(k.blocks) - 1)
+	m.blocks = append(m.blocks, cachedBlock{})
+	return int32(len(m.blocks) - 1)
 }
 
-func (k *cacheModel) unlink(i int32) {
-	b := k.blocks[i]
+func (m *cacheModel) unlink(i int32) {
+	b := m.blocks[i]
 	if b.prev != noBlock {
-		k.blocks[b.prev].next = b.next
+		m.blocks[b.prev].next = b.next
 	} else {
-		k.newest = b.next
+		m.newest = b.next
 	}
 	if b.next != noBlock {
-		k.blocks[b.next].prev = b.prev
+		m.blocks[b.next].prev = b.prev
 	} else {
-		k.oldest = b.prev
+		m.oldest = b.prev
 	}
 }
 
 // forget removes one block.
-func (k *cacheModel) forget(key blockKey) {
-	i, ok := k.index.find(k.blocks, key)
+func (m *cacheModel) forget(key blockKey) {
+	i, ok := m.index.find(m.blocks, key)
 	if !ok {
 		return
 	}
-	k.unlink(i)
-	k.index.remove(k.blocks, key)
-	k.blocks[i].next = k.free
-	k.free = i
+	m.unlink(i)
+	m.index.remove(m.blocks, key)
+	m.blocks[i].next = m.free
+	m.free = i
 }
 
 // event applies one event of the engine. It reports whether events before it were lost.
-func (k *cacheModel) event(ev CacheEvent) bool {
-	gap := k.seq != 0 && ev.Seq > k.seq+1
-	if ev.Seq <= k.seq {
+func (m *cacheModel) event(ev CacheEvent) bool {
+	gap := m.seq != 0 && ev.Seq > m.seq+1
+	if ev.Seq <= m.seq {
 		return false
 	}
-	k.seq = ev.Seq
+	m.seq = ev.Seq
 	if gap {
-		k.markUncertain()
+		m.markUncertain()
 	}
-	k.apply(ev)
+	m.apply(ev)
 	return gap
 }
 
-func (k *cacheModel) apply(ev CacheEvent) {
+func (m *cacheModel) apply(ev CacheEvent) {
 	switch ev.Op {
 	case CacheClear:
-		k.clear()
+		m.clear()
 	case CacheStore:
-		k.use(ev.Blocks)
+		m.use(ev.Blocks)
 	case CacheEvict:
 		for _, h := range ev.Blocks {
-			k.forget(keyOf(h))
+			m.forget(keyOf(h))
 		}
 	}
 }
--- a/owner/endpoint.go
+++ b/owner/endpoint.go
@@ -38,8 +38,7 @@
 	timeoutMargin = 5 * time.Second
 )
 
-// lane is one of an endpoint's two queues. The normal lane is for requests that are not
-// urgent; texts call these waiting requests.
+// lane is one of an endpoint's two queues: one for urgent requests and one for all others.
 type lane int
 
 const (
@@ -211,8 +210,9 @@
 func (e *Endpoint) live() bool { return e.status == fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE }
 
 // canStart reports whether an ask may start at once: a slot of its lane is free, no ask is
-// queued in its lane or one of higher priority, and the pending prefill work is within the
-// window.
+// queued in its lane or one of higher priority, and for an ask that is not urgent the
+// pending prefill work is within the window. An ask that has to run alone starts when
+// nothing else runs.
 func (e *Endpoint) canStart(now time.Time, a Ask, r rank) bool {
 	if len(e.aloneQueue) > 0 || e.aloneRunning {
 		return false
@@ -292,7 +292,7 @@
 	e.queue[g.lane].charge(a.Organisation, a.Weight, e.cost(g.lane, g.tokens))
 	e.known.use(a.Blocks)
 	invariant.Check(e.inUse[laneNormal] <= max(e.cfg.Slots-e.cfg.UrgentSlots, 0) || g.lane == laneUrgent || a.Alone, "urgent_slots_kept",
-		"%d waiting requests run on %s", e.inUse[laneNormal], e.cfg.Name)
+		"%d requests that are not urgent run on %s", e.inUse[laneNormal], e.cfg.Name)
 	d := e.grantedDecision(g)
 	d.Levels = e.levelEnds(a.Blocks)
 	return d
--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -96,7 +96,7 @@
 		}
 	}
 	if nonUrgent > 3 || len(m.running) > 4 {
-		t.Fatalf("%d waiting requests of %d hold slots", nonUrgent, len(m.running))
+		t.Fatalf("%d requests that are not urgent hold slots, of %d that run", nonUrgent, len(m.running))
 	}
 	if m.asked != m.finished+len(m.running)+len(m.waiting) {
 		t.Fatalf("%d asks, but %d finished, %d running and %d queued", m.asked, m.finished, len(m.running), len(m.waiting))
--- a/owner/estimate.go
+++ b/owner/estimate.go
@@ -55,7 +55,7 @@
 	return p
 }
 
-// assumedCachedShare is the share of a prompt that is assumed to be cached at its first
+// assumedCachedShare returns the share of a prompt that is assumed to be cached at its first
 // candidate although this owner has not seen it there. It is 0 after the learning period,
 // and if cacheKnown is set.
 func (e *Endpoint) assumedCachedShare(now time.Time) float64 {
@@ -108,7 +108,7 @@
 	return max(prefill, e.slotWait(l, count), 0)
 }
 
-// pendingBefore is the number of tokens sent to the engine that are computed before a new
+// pendingBefore returns the number of tokens sent to the engine that are computed before a new
 // request of the rank.
 func (e *Endpoint) pendingBefore(now time.Time, r rank) int64 {
 	var sum, later int64
@@ -125,7 +125,7 @@
 	return sum + min(later, chunkTokens)
 }
 
-// progress is how long the endpoint has been computing the pending tokens.
+// progress returns how long the endpoint has been computing the pending tokens.
 func (e *Endpoint) progress(now time.Time) time.Duration {
 	return e.window.BusyTime(now, e.pendingTokens[rankUrgent]+e.pendingTokens[rankShort]+e.pendingTokens[rankLong])
 }
--- a/owner/external.go
+++ b/owner/external.go
@@ -15,14 +15,14 @@
 }
 
 // observeGrants records the current number of grants.
-func (f *externalLoad) observeGrants(grants int) { f.peak = max(f.peak, grants) }
+func (l *externalLoad) observeGrants(grants int) { l.peak = max(l.peak, grants) }
 
 // report records the number of requests that the endpoint reported.
-func (f *externalLoad) report(running, grants int) {
-	over := max(running-max(f.peak, f.previousPeak), 0)
-	f.mean += externalSmoothing * (float64(over) - f.mean)
-	f.previousPeak, f.peak = f.peak, grants
+func (l *externalLoad) report(running, grants int) {
+	over := max(running-max(l.peak, l.previousPeak), 0)
+	l.mean += externalSmoothing * (float64(over) - l.mean)
+	l.previousPeak, l.peak = l.peak, grants
 }
 
 // requests returns the estimated number of external requests.
-func (f *externalLoad) requests() int { return int(f.mean + 0.5) }
+func (l *externalLoad) requests() int { return int(l.mean + 0.5) }
--- a/owner/index.go
+++ b/owner/index.go
@@ -27,29 +27,29 @@
 	}
 	mask := len(x.slots) - 1
 	for i := x.home(key); x.slots[i] != 0; i = (i + 1) & mask {
-		if place := x.slots[i] - 1; blocks[place].key == key {
-			return place, true
+		if index := x.slots[i] - 1; blocks[index].key == key {
+			return index, true
 		}
 	}
 	return noBlock, false
 }
 
 // add inserts a block whose key is not in the index.
-func (x *blockIndex) add(blocks []cachedBlock, place int32) {
+func (x *blockIndex) add(blocks []cachedBlock, index int32) {
 	if (x.length+1)*4 > len(x.slots)*3 {
 		x.grow(blocks)
 	}
-	x.put(blocks[place].key, place)
+	x.put(blocks[index].key, index)
 	x.length++
 }
 
-func (x *blockIndex) put(key blockKey, place int32) {
+func (x *blockIndex) put(key blockKey, index int32) {
 	mask := len(x.slots) - 1
 	i := x.home(key)
 	for x.slots[i] != 0 {
 		i = (i + 1) & mask
 	}
-	x.slots[i] = place + 1
+	x.slots[i] = index + 1
 }
 
 func (x *blockIndex) grow(blocks []cachedBlock) {
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -25,8 +25,8 @@
 	levels *prefix.Levels
 }
 
-// NewRegistry returns a Registry without endpoints. The prices decide between endpoints if an ask
-// names several.
+// NewRegistry returns a Registry without endpoints. The prices decide between endpoints if
+// an ask names several.
 func NewRegistry(prices policy.Prices) *Registry {
 	return &Registry{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
 }
--- a/owner/snapshot.go
+++ b/owner/snapshot.go
@@ -102,18 +102,18 @@
 }
 
 // encodeNewest encodes the most recently used blocks, newest first, in eight bytes each.
-func (k *cacheModel) encodeNewest(limit int) []byte {
-	packed := make([]byte, 0, 8*min(limit, k.index.length))
-	for i := k.newest; i != noBlock && limit > 0; i = k.blocks[i].next {
-		packed = binary.LittleEndian.AppendUint64(packed, uint64(k.blocks[i].key))
+func (m *cacheModel) encodeNewest(limit int) []byte {
+	packed := make([]byte, 0, 8*min(limit, m.index.length))
+	for i := m.newest; i != noBlock && limit > 0; i = m.blocks[i].next {
+		packed = binary.LittleEndian.AppendUint64(packed, uint64(m.blocks[i].key))
 		limit--
 	}
 	return packed
 }
 
 // restoreKeys marks encoded blocks as cached, the first one as the newest.
-func (k *cacheModel) restoreKeys(packed []byte) {
+func (m *cacheModel) restoreKeys(packed []byte) {
 	for at := len(packed) - 8; at >= 0; at -= 8 {
-		k.touch(blockKey(binary.LittleEndian.Uint64(packed[at:])))
+		m.touch(blockKey(binary.LittleEndian.Uint64(packed[at:])))
 	}
 }
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -95,7 +95,7 @@
 	levelsMu sync.Mutex
 	levels   *prefix.Levels
 
-	changes sync.Mutex // one change of routes at a time
+	routesMu sync.Mutex // serialises changes of routes
 }
 
 // placement is the state of one request's placement.
@@ -138,15 +138,15 @@
 
 // SetRecords applies a snapshot of the records.
 func (f *Fleet) SetRecords(ctx context.Context, r *record.Snapshot) {
-	f.changes.Lock()
-	defer f.changes.Unlock()
+	f.routesMu.Lock()
+	defer f.routesMu.Unlock()
 	f.setRoutes(ctx, newRoutes(f.routes.Load().view, r))
 }
 
 // SetView applies a view of the fleet's members.
 func (f *Fleet) SetView(ctx context.Context, v *member.View) {
-	f.changes.Lock()
-	defer f.changes.Unlock()
+	f.routesMu.Lock()
+	defer f.routesMu.Unlock()
 	f.setRoutes(ctx, newRoutes(v, f.routes.Load().records))
 }
 
@@ -161,7 +161,7 @@
 			members = append(members, m.Name)
 		}
 	}
-	_ = f.cfg.OwnerServer.SetOwned(ctx, r.owned(), members, r.next)
+	_ = f.cfg.OwnerServer.SetOwned(ctx, r.owned(), members, r.ownerOf)
 }
 
 // Owned returns the names of the endpoints that this instance owns now, sorted.
--- a/place/kept.go
+++ b/place/kept.go
@@ -45,8 +45,8 @@
 	f.cfg.Kept.Import(ctx, g.Address, t.salt(), t.kept)
 }
 
-// reportUse reports to the keeper that the endpoint now has the prompt's shared levels
-// cached.
+// reportUse reports to the kept.Coordinator that the endpoint now has the prompt's shared
+// levels cached.
 func (f *Fleet) reportUse(g Grant) {
 	t := g.placement
 	if len(t.levels) == 0 || !f.canImport(t.pool) {
--- a/place/leaving.go
+++ b/place/leaving.go
@@ -24,10 +24,10 @@
 // leaving. It is safe for concurrent use.
 //
 // When an owner is killed, its endpoints are not monitored until it is declared dead. An
-// endpoint that begins to leave meanwhile would go on to get work for six seconds and more
-// from all instances that place without the owner, by the last published status. So these
-// ask the endpoint first. So do instances whose grant comes from an owner that does not
-// know the endpoint's status yet.
+// endpoint that begins to leave meanwhile would keep receiving requests for six seconds or
+// more from all instances that place without the owner, based on the last published status.
+// These instances therefore ask the endpoint first, and so do instances whose grant comes
+// from an owner that does not know the endpoint's status yet.
 type leavingChecks struct {
 	// ask asks an endpoint whether it is leaving; nil asks none.
 	ask func(ctx context.Context, address string) (leaving bool, err error)
@@ -36,7 +36,7 @@
 	last map[string]*leavingCheck
 }
 
-// leavingCheck is one question to an endpoint. leaving may be read once done is closed.
+// leavingCheck is one query to an endpoint. leaving may be read once done is closed.
 type leavingCheck struct {
 	at      time.Time
 	done    chan struct{}
@@ -48,7 +48,7 @@
 }
 
 // isLeaving reports whether the endpoint is leaving, asking it if there is no valid answer.
-// Concurrent callers share one question. An endpoint that does not answer counts as not
+// Concurrent callers share one query. An endpoint that does not answer counts as not
 // leaving: a fleet that is starting has to serve, and a paused endpoint is not leaving.
 func (l *leavingChecks) isLeaving(ctx context.Context, c candidate, now time.Time) bool {
 	if l.ask == nil {
@@ -57,8 +57,8 @@
 	x, first := l.begin(c.name, now)
 	if first {
 		leavingChecksTotal.Inc()
-		// The question is not cancelled with the caller that asks it, as others wait for
-		// the answer.
+		// The query is not cancelled with the caller that sends it, as others wait for the
+		// answer.
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), leavingCheckTimeout)
 		defer cancel()
 		leaving, err := l.ask(bounded, c.address)
@@ -73,7 +73,7 @@
 	}
 }
 
-// begin returns the valid question, and whether the caller has to ask it.
+// begin returns the query whose answer is valid now, and whether the caller has to send it.
 func (l *leavingChecks) begin(endpoint string, now time.Time) (x *leavingCheck, first bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/place/leaving_test.go
+++ b/place/leaving_test.go
@@ -11,8 +11,9 @@
 )
 
 // The owner of an endpoint fails in a burst. If each request asked the endpoint whether it
-// is leaving, the endpoint's load would double, so requests share one question per second,
-// and an endpoint that is paused must not delay all of them.
+// is leaving, the endpoint would have to answer as many queries as it runs requests. So
+// requests share one query per second, and an endpoint that is paused must not delay all of
+// them.
 func TestConcurrentRequestsAskAnEndpointOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const requests = 50
@@ -43,17 +44,17 @@
 			}
 			wg.Wait()
 			if took := time.Since(began); took > leavingCheckTimeout || asked.Load() != 1 {
-				t.Errorf("%s: %d questions in %v for %d requests, want 1 within %v", name, asked.Load(), took, requests, leavingCheckTimeout)
+				t.Errorf("%s: %d queries in %v for %d requests, want 1 within %v", name, asked.Load(), took, requests, leavingCheckTimeout)
 			}
 			if l.knownLeaving(name, began) != (name == "leaves") {
 				t.Errorf("%s: cached answer differs from the endpoint's", name)
 			}
 		}
 		// The caller that asks disconnects; the next caller still needs the answer.
-		gone, leave := context.WithCancel(t.Context())
-		leave()
+		disconnected, cancel := context.WithCancel(t.Context())
+		cancel()
 		l.last = map[string]*leavingCheck{}
-		_ = l.isLeaving(gone, candidate{name: "leaves", address: "leaves"}, time.Now())
+		_ = l.isLeaving(disconnected, candidate{name: "leaves", address: "leaves"}, time.Now())
 		if !l.isLeaving(t.Context(), candidate{name: "leaves", address: "leaves"}, time.Now()) {
 			t.Error("a caller that disconnected made a leaving endpoint usable")
 		}
--- a/place/observe.go
+++ b/place/observe.go
@@ -13,7 +13,7 @@
 	// instance knew that it owns their endpoints.
 	maxEarlyStates = 64
 	// earlyStateTTL is how long such a state is kept. The member list shows the former
-	// owner's leave after a second or two.
+	// owner's departure after a second or two.
 	earlyStateTTL = 10 * time.Second
 )
 
--- a/place/owner_server.go
+++ b/place/owner_server.go
@@ -49,13 +49,13 @@
 	// called by the event goroutine and must not block.
 	Lost func(endpoint string, incarnation uint64, lost []owner.Fingerprint)
 	// HandOver is called with the encoded state of an endpoint that another instance owns
-	// from now on. It must not block. It must have done called, by any goroutine, once the
-	// next owner has the state or the transfer has failed.
+	// from now on. It must not block. done must be called, from any goroutine, once the next
+	// owner has the state or the transfer has failed.
 	HandOver func(endpoint, next string, knowledge []byte, done func())
 }
 
-// OwnerServer runs the state machines of the endpoints that this instance owns. They are accessed
-// by one goroutine only, started by Run; all methods are safe for concurrent use.
+// OwnerServer runs the state machines of the endpoints that this instance owns. They are
+// accessed only by the goroutine that calls Run; all methods are safe for concurrent use.
 type OwnerServer struct {
 	cfg    OwnerServerConfig
 	events *ring.Ring[ownerEvent]
--- a/place/place.go
+++ b/place/place.go
@@ -42,7 +42,7 @@
 	Owner    string
 	Endpoint string
 	Address  string
-	// Incarnation is the endpoint's when the grant was given; 0 if not known.
+	// Incarnation is that of the endpoint when the grant was given; 0 if not known.
 	Incarnation uint64
 	// CachedTokens is the number of prompt tokens expected to be cached at the endpoint.
 	CachedTokens int64
--- a/place/routes.go
+++ b/place/routes.go
@@ -63,8 +63,8 @@
 	return p
 }
 
-// next returns the instance that owns the endpoint now.
-func (r *routes) next(endpoint string) string { return r.owners[endpoint] }
+// ownerOf returns the instance that owns the endpoint.
+func (r *routes) ownerOf(endpoint string) string { return r.owners[endpoint] }
 
 // address returns the address of a member, if it is known.
 func (r *routes) address(instance string) (string, bool) {
--- a/place/share.go
+++ b/place/share.go
@@ -48,8 +48,8 @@
 // HandleItems processes items that the exchange received. It does not block.
 func (f *Fleet) HandleItems(items []exchange.Item) { f.inbox.Push(items) }
 
-// PublishEndpointState applies the state that this instance observed of an endpoint it owns, and
-// publishes it to all instances.
+// PublishEndpointState applies the state that this instance observed of an endpoint it owns,
+// and publishes it to all instances.
 func (f *Fleet) PublishEndpointState(ctx context.Context, endpoint string, s *fleetpb.EndpointState) {
 	f.states.update(endpoint, s)
 	_ = f.cfg.OwnerServer.Status(ctx, endpoint, s)
@@ -161,8 +161,8 @@
 // instance.
 func NewHandOvers() *HandOvers { return &HandOvers{queue: make(chan handOver, shareQueueSize)} }
 
-// Enqueue queues an endpoint's state. If the queue is full the state is dropped, and the next
-// owner starts without it.
+// Enqueue queues an endpoint's state. If the queue is full the state is dropped, and the
+// next owner starts without it.
 func (h *HandOvers) Enqueue(endpoint, next string, knowledge []byte, done func()) {
 	h.open.Add(1)
 	select {
--- a/place/states.go
+++ b/place/states.go
@@ -135,7 +135,8 @@
 	s.unresponsive[instance] = now.Add(ownerRetryInterval)
 }
 
-// all returns the published states, which are never modified.
+// all returns a copy of the map of published states. The states themselves are never
+// modified.
 func (s *states) all() map[string]*fleetpb.EndpointState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/place/warn.go
+++ b/place/warn.go
@@ -80,8 +80,8 @@
 
 // canServe reports whether a member is another instance that may be serving callers.
 func (f *Fleet) canServe(m member.Member) bool {
-	gone := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_DEAD || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT
-	return !gone && m.Name != f.cfg.Caller.GetInstance() && m.Address != ""
+	inactive := m.Status == fleetpb.MemberStatus_MEMBER_STATUS_DEAD || m.Status == fleetpb.MemberStatus_MEMBER_STATUS_LEFT
+	return !inactive && m.Name != f.cfg.Caller.GetInstance() && m.Address != ""
 }
 
 // Warn applies a warning from another instance. The warning is in force when Warn returns.
