--- a/cachefeed/cachefeed_test.go
+++ b/cachefeed/cachefeed_test.go
@@ -24,20 +24,20 @@
 	calls  int
 }
 
-func (s *fakeHolder) Events(ctx context.Context, _ Holder, since uint64, wait time.Duration) (Batch, error) {
+func (h *fakeHolder) Events(ctx context.Context, _ Holder, since uint64, wait time.Duration) (Batch, error) {
 	until := time.Now().Add(wait)
-	s.mu.Lock()
-	s.calls++
-	s.mu.Unlock()
+	h.mu.Lock()
+	h.calls++
+	h.mu.Unlock()
 	for {
-		s.mu.Lock()
-		b := Batch{Epoch: s.epoch, Next: uint64(len(s.events)) + 1, Lost: s.lost && since > 0}
-		if from := max(since, 1) - 1; from < uint64(len(s.events)) {
-			to := min(from+eventsPerAnswer, uint64(len(s.events)))
-			b.Changes, b.Next = append(b.Changes, s.events[from:to]...), to+1
+		h.mu.Lock()
+		b := Batch{Epoch: h.epoch, Next: uint64(len(h.events)) + 1, Lost: h.lost && since > 0}
+		if from := max(since, 1) - 1; from < uint64(len(h.events)) {
+			to := min(from+eventsPerAnswer, uint64(len(h.events)))
+			b.Changes, b.Next = append(b.Changes, h.events[from:to]...), to+1
 		}
-		s.lost = s.lost && since == 0
-		s.mu.Unlock()
+		h.lost = h.lost && since == 0
+		h.mu.Unlock()
 		if len(b.Changes) > 0 || b.Lost || !time.Now().Before(until) {
 			return b, nil
 		}
@@ -49,10 +49,10 @@
 	}
 }
 
-func (s *fakeHolder) add(changes ...Change) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.events = append(s.events, changes...)
+func (h *fakeHolder) add(changes ...Change) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.events = append(h.events, changes...)
 }
 
 func part(id string, added bool) Change {
@@ -61,14 +61,14 @@
 
 // run follows the holder. It returns functions that report whether a part is known and how
 // many messages were published, and the feed.
-func run(t *testing.T, s *fakeHolder) (has func(id string) bool, published func() int, feed *Feed) {
+func run(t *testing.T, h *fakeHolder) (has func(id string) bool, published func() int, feed *Feed) {
 	t.Helper()
 	state := balance.NewState(time.Second)
 	state.SetEndpoints([]balance.Endpoint{{ID: "e", Address: "a:1", Service: "pool"}})
 	var mu sync.Mutex
 	messages := 0
 	feed = New(Config{
-		Source: s, Owned: func() []Holder { return []Holder{{ID: "e", Address: "a:1", Model: "m"}} },
+		Source: h, Owned: func() []Holder { return []Holder{{ID: "e", Address: "a:1", Model: "m"}} },
 		Apply: state.UpdateCache, KnownParts: state.CachedParts,
 		Publish: func(balance.CacheNews) {
 			mu.Lock()
@@ -104,16 +104,16 @@
 // shows it; requests routed for the lost parts would read everything again.
 func TestRestartedHolderIsReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeHolder{epoch: 1}
-		s.add(part("x", true), part("y", true))
-		has, _, _ := run(t, s)
+		h := &fakeHolder{epoch: 1}
+		h.add(part("x", true), part("y", true))
+		has, _, _ := run(t, h)
 		time.Sleep(time.Second)
 		if !has("x") || !has("y") {
 			t.Fatal("the parts at the start are not known")
 		}
-		s.mu.Lock()
-		s.epoch, s.events = 2, []Change{part("z", true)}
-		s.mu.Unlock()
+		h.mu.Lock()
+		h.epoch, h.events = 2, []Change{part("z", true)}
+		h.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		if has("x") || has("y") || !has("z") {
 			t.Errorf("after the restart x %v, y %v, z %v", has("x"), has("y"), has("z"))
@@ -125,13 +125,13 @@
 // the remaining events must be read from the start.
 func TestHolderIsReadAgainAfterAGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeHolder{epoch: 1}
-		s.add(part("x", true), part("y", true))
-		has, _, _ := run(t, s)
+		h := &fakeHolder{epoch: 1}
+		h.add(part("x", true), part("y", true))
+		has, _, _ := run(t, h)
 		time.Sleep(time.Second)
-		s.mu.Lock()
-		s.events, s.lost = []Change{part("y", true), part("z", true), part("q", true)}, true
-		s.mu.Unlock()
+		h.mu.Lock()
+		h.events, h.lost = []Change{part("y", true), part("z", true), part("q", true)}, true
+		h.mu.Unlock()
 		time.Sleep(3 * time.Second)
 		if has("x") || !has("y") || !has("q") {
 			t.Errorf("after the gap x %v, y %v, q %v", has("x"), has("y"), has("q"))
@@ -144,13 +144,13 @@
 // that were evicted long ago.
 func TestAllEventsAreReadBeforeAnyIsApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeHolder{epoch: 1}
-		s.add(part("old", true))
+		h := &fakeHolder{epoch: 1}
+		h.add(part("old", true))
 		for i := range 1000 {
-			s.add(part(strconv.Itoa(i), true), part(strconv.Itoa(i), false))
+			h.add(part(strconv.Itoa(i), true), part(strconv.Itoa(i), false))
 		}
-		s.add(part("old", false), part("new", true))
-		has, _, _ := run(t, s)
+		h.add(part("old", false), part("new", true))
+		has, _, _ := run(t, h)
 		time.Sleep(startupDelay + catchUpTimeout + 50*time.Millisecond)
 		if has("old") || !has("new") {
 			t.Errorf("right after the start: evicted part known %v, newest part known %v", has("old"), has("new"))
@@ -162,9 +162,9 @@
 // being sent once for each of several peers that start together.
 func TestStartedPeersReceiveEverything(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &fakeHolder{epoch: 1}
-		s.add(part("x", true), part("y", true), part("y", false))
-		has, published, feed := run(t, s)
+		h := &fakeHolder{epoch: 1}
+		h.add(part("x", true), part("y", true), part("y", false))
+		has, published, feed := run(t, h)
 		time.Sleep(time.Second)
 		if !has("x") || has("y") {
 			t.Fatalf("x %v, evicted y %v", has("x"), has("y"))
--- a/entry/at_most_once_test.go
+++ b/entry/at_most_once_test.go
@@ -278,9 +278,9 @@
 func TestStreamIsRecordedAfterCallerDisconnect(t *testing.T) {
 	p := newPair(t, fixtureConfig{engines: 1})
 	body := `{"model":"counter","prompt":"x","max_tokens":20,"stream":true}`
-	first := p.call(t, 0, "/v1/completions", "gone", body)
+	first := p.call(t, 0, "/v1/completions", "disconnected", body)
 	_ = first.Body.Close()
-	text := wantOutcome(t, p.waitOutcome(t, "gone", body), 200, "complete")
+	text := wantOutcome(t, p.waitOutcome(t, "disconnected", body), 200, "complete")
 	if got := strings.Count(text, "data: "); got != 21 {
 		t.Fatalf("%d events", got)
 	}
--- a/entry/server.go
+++ b/entry/server.go
@@ -186,7 +186,7 @@
 // finalWriteTimeout limits the time for writing the final errors during a shutdown.
 const finalWriteTimeout = 2 * time.Second
 
-// serverDump is the part of the state dump for the server.
+// serverDump is the server's part of the state dump.
 type serverDump struct {
 	Open     int        `json:"open"`
 	Draining bool       `json:"draining"`
--- a/monitor/monitor_test.go
+++ b/monitor/monitor_test.go
@@ -222,7 +222,7 @@
 	})
 }
 
-// Guards against detecting only by a time-out that an engine's process has died and its
+// Guards against detecting only by a timeout that an engine's process has died and its
 // machine refuses connections, and against missing the new incarnation with an empty cache
 // that follows.
 func TestRefusedConnectionIsDetectedAtOnce(t *testing.T) {
@@ -320,7 +320,7 @@
 }
 
 // Guards against the real client hiding that a connection was refused: a crash would then
-// be detected only by a time-out.
+// be detected only by a timeout.
 func TestClientExposesARefusedConnection(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -146,8 +146,8 @@
 	}
 	delete(m.running, id)
 	m.finished++
-	stage := rapid.SampledFrom([]Outcome{Unused, Done, Failed}).Draw(t, "stage")
-	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Outcome: stage})...)
+	outcome := rapid.SampledFrom([]Outcome{Unused, Done, Failed}).Draw(t, "stage")
+	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Outcome: outcome})...)
 }
 
 func (m *model) withdraw(t *rapid.T) {
--- a/place/warn.go
+++ b/place/warn.go
@@ -84,7 +84,7 @@
 	return !inactive && m.Name != f.cfg.Caller.GetInstance() && m.Address != ""
 }
 
-// Warn applies a warning from another instance. The warning is in force when Warn returns.
+// Warn applies a warning from another instance. It takes effect before Warn returns.
 func (f *Fleet) Warn(_ context.Context, in *fleetpb.WarnRequest) (*fleetpb.WarnReply, error) {
 	value, err := proto.MarshalOptions{Deterministic: true}.Marshal(in.GetState())
 	if err != nil {
