--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -96,7 +96,7 @@
 		}
 	}
 	if nonUrgent > 3 || len(m.running) > 4 {
-		t.Fatalf("%d waiting requests of %d hold slots", nonUrgent, len(m.running))
+		t.Fatalf("%d requests that are not urgent hold slots, of %d that run", nonUrgent, len(m.running))
 	}
 	if m.asked != m.finished+len(m.running)+len(m.waiting) {
 		t.Fatalf("%d asks, but %d finished, %d running and %d queued", m.asked, m.finished, len(m.running), len(m.waiting))
@@ -146,8 +146,8 @@
 	}
 	delete(m.running, id)
 	m.finished++
-	stage := rapid.SampledFrom([]Outcome{Unused, Done, Failed}).Draw(t, "stage")
-	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Outcome: stage})...)
+	outcome := rapid.SampledFrom([]Outcome{Unused, Done, Failed}).Draw(t, "stage")
+	m.apply(t, m.e.End(m.now, End{GrantID: g.Offer.GrantID, Outcome: outcome})...)
 }
 
 func (m *model) withdraw(t *rapid.T) {
