--- a/fleet/core_bench_test.go
+++ b/fleet/core_bench_test.go
@@ -101,8 +101,8 @@
 }
 
 // BenchmarkLostDataCentre measures, in virtual time, how long it takes until all
-// other instances have declared a failed sixth of the fleet dead, and the traffic of
-// that.
+// other instances have declared a failed sixth of the fleet dead, and the traffic that
+// this causes.
 func BenchmarkLostDataCentre(b *testing.B) {
 	for _, n := range []int{60, 360} {
 		b.Run(fmt.Sprint("instances=", n), func(b *testing.B) {
--- a/fleet/exchange/exchange_test.go
+++ b/fleet/exchange/exchange_test.go
@@ -103,7 +103,7 @@
 	a.Reconcile(&answer, want.Want, nil, start)
 	b.Merge(answer.Items, "a", start)
 	if got, _ := b.Get(exchange.Key{Kind: kind, Name: "pool"}); string(got.Value) != large {
-		t.Fatalf("got a value of %d bytes, want the whole", len(got.Value))
+		t.Fatalf("got a wrong value, of %d bytes", len(got.Value))
 	}
 	var again exchange.Bundle
 	b.Reconcile(&again, nil, first.Summaries, start)
--- a/fleet/transport/server.go
+++ b/fleet/transport/server.go
@@ -69,7 +69,7 @@
 	}, nil
 }
 
-// Serve accepts connections until the listener is closed or ctx ends, and
+// Serve accepts connections until the listener is closed or ctx is done, and
 // returns when all calls have ended.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) {
 	ctx, cancel := context.WithCancel(ctx)
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -190,7 +190,6 @@
 	n.order = schedulerOrder(all)
 	// Replaced instances come back under new names; the states of the old names would
 	// accumulate without limit.
-	// grow for ever.
 	now := time.Now()
 	n.recordListed(now, listed)
 	maps.DeleteFunc(n.states, func(name string, state peerState) bool { return !listed[name] && now.Sub(state.at) > livenessTimeout })
@@ -295,7 +294,7 @@
 // HasRemainingPeer reports whether any live peer is not shutting down. If there is none,
 // firstLeaving is the earliest time after since at which a peer announced its shutdown; zero if
 // none did.
-func (n *Node) HasRemainingPeer(now, since time.Time) (staying bool, firstLeaving time.Time) {
+func (n *Node) HasRemainingPeer(now, since time.Time) (remaining bool, firstLeaving time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, state := range n.states {
