--- a/kept/coordinator.go
+++ b/kept/coordinator.go
@@ -18,9 +18,9 @@
 	// still used after that is exported again. With 11,000 prefixes, instances
 	// publish three changes a second to each other.
 	Lifetime = time.Hour
-	// usesRing bounds the queue of uses. The oldest are dropped when it is full,
+	// usesQueueSize bounds the queue of uses. The oldest are dropped when it is full,
 	// since a prefix in use will be used again.
-	usesRing = 256
+	usesQueueSize = 256
 	// transferTimeout bounds an export or import. Normally either takes a tenth of
 	// the time that computing the prefix takes.
 	transferTimeout = 2 * time.Second
@@ -73,7 +73,7 @@
 
 // NewCoordinator returns a Coordinator that exports nothing until Run.
 func NewCoordinator(cfg Config) *Coordinator {
-	return &Coordinator{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesRing)}
+	return &Coordinator{cfg: cfg, catalog: NewCatalog(), uses: ring.New[Use]("kept_uses", usesQueueSize)}
 }
 
 // AddUse queues a use for export, unless its longest level is shorter than minBlocks.
--- a/kept/coordinator_test.go
+++ b/kept/coordinator_test.go
@@ -91,7 +91,7 @@
 			t.Fatalf("exported %v, want %v", f.store.exported, want)
 		}
 		if p, ok := f.coordinator.LongestPrefix(c); !ok || p.Blocks != 80 {
-			t.Fatalf("deepest is %+v", p)
+			t.Fatalf("longest prefix is %+v", p)
 		}
 		if len(f.published) != 2 || f.published[1] != (Prefix{c[79], 80}) {
 			t.Fatalf("published %+v", f.published)
@@ -108,7 +108,7 @@
 		c := chain(100, 1)
 		f.use(c, 80)
 		if p, ok := f.coordinator.LongestPrefix(c); ok {
-			t.Fatalf("the catalog holds %+v", p)
+			t.Fatalf("the catalog contains %+v", p)
 		}
 		if len(f.published) != 0 {
 			t.Fatalf("published %+v", f.published)
@@ -124,7 +124,7 @@
 		p := Prefix{c[19], 20}
 		f.coordinator.AddRemote(p, time.Minute)
 		if got, ok := f.coordinator.LongestPrefix(c); !ok || got != p {
-			t.Fatalf("deepest is %+v", got)
+			t.Fatalf("longest prefix is %+v", got)
 		}
 		f.coordinator.Import(context.Background(), "engine", prefix.Hash{}, p)
 		if _, ok := f.coordinator.LongestPrefix(c); ok {
@@ -190,7 +190,7 @@
 	}
 }
 
-func BenchmarkDeepest(b *testing.B) {
+func BenchmarkLongestPrefix(b *testing.B) {
 	c := NewCatalog()
 	now := time.Unix(0, 0)
 	for i := range maxCatalogEntries {
--- a/kept/engine_test.go
+++ b/kept/engine_test.go
@@ -85,8 +85,8 @@
 }
 
 // Two organisations send the same prompt. If an engine imported for one of them the KV
-// cache stored for the other, the first could find out from its response times what the
-// other had sent.
+// cache stored for the other, the first would be answered from the other's cache and could
+// find out from its response times what the other had sent.
 func TestStoredPrefixIsNotSharedBetweenOrganisations(t *testing.T) {
 	p := newPair(t)
 	prompt := strings.Repeat("M12 anchor, grade 8.8; ", 200)
--- a/record/preserve.go
+++ b/record/preserve.go
@@ -107,9 +107,9 @@
 			err = p.storeVersion(ctx, it)
 		}
 	}
-	for key, k := range p.stored {
-		if err == nil && p.registry.isOutdated(key, k.record) {
-			err = p.remove(ctx, key, k)
+	for key, v := range p.stored {
+		if err == nil && p.registry.isOutdated(key, v.record) {
+			err = p.remove(ctx, key, v)
 		}
 	}
 	if err != nil {
@@ -157,8 +157,8 @@
 
 // remove deletes a stored version that must not be restored, because a newer one is
 // in force or the record was deleted and possibly recreated.
-func (p *Preserver) remove(ctx context.Context, key entryKey, k storedVersion) error {
-	if err := p.store.Delete(ctx, PreservedKind, preservedName(key.kind, key.name), k.object); err != nil {
+func (p *Preserver) remove(ctx context.Context, key entryKey, v storedVersion) error {
+	if err := p.store.Delete(ctx, PreservedKind, preservedName(key.kind, key.name), v.object); err != nil {
 		return err
 	}
 	delete(p.stored, key)
--- a/record/preserve_test.go
+++ b/record/preserve_test.go
@@ -19,8 +19,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		put(s, 1)
-		k, p := startProvider(s, "entry-0", 0)
-		preserver := NewPreserver(s, k, held(true))
+		reg, p := startProvider(s, "entry-0", 0)
+		preserver := NewPreserver(s, reg, held(true))
 		preserver.Start()
 		time.Sleep(5 * time.Second)
 		s.Set(string(Classes), "quote", refusedItem("quote", 2).Value)
@@ -46,8 +46,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := &objecttest.Store{}
 			put(s, 1)
-			k, p := startProvider(s, "entry-0", 0)
-			preserver := NewPreserver(s, k, held(true))
+			reg, p := startProvider(s, "entry-0", 0)
+			preserver := NewPreserver(s, reg, held(true))
 			preserver.Start()
 			time.Sleep(5 * time.Second)
 			s.Set(string(Classes), "quote", refusedItem("quote", 2).Value)
@@ -78,9 +78,9 @@
 func TestOnlyTheLeaseHolderPreserves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
-		k := newCompleteKeeper()
-		k.Offer(classItem("quote", 1), refusedItem("quote", 2))
-		preserver := NewPreserver(s, k, held(false))
+		reg := newCompleteRegistry()
+		reg.Offer(classItem("quote", 1), refusedItem("quote", 2))
+		preserver := NewPreserver(s, reg, held(false))
 		preserver.Start()
 		time.Sleep(time.Minute)
 		preserver.Stop()
--- a/record/provider.go
+++ b/record/provider.go
@@ -97,11 +97,11 @@
 // watches. It is safe for concurrent use and does not block.
 func (p *Provider) SetMembers(members []Member) {
 	for _, f := range p.followers {
-		d := taskIdle
+		t := taskIdle
 		if IsWatcher(members, p.cfg.Self, f.kind) {
-			d = taskWatch
+			t = taskWatch
 		}
-		f.setTask(d)
+		f.setTask(t)
 	}
 }
 
--- a/record/provider_test.go
+++ b/record/provider_test.go
@@ -18,10 +18,10 @@
 }
 
 func startProvider(s *objecttest.Store, self string, spread time.Duration) (*Registry, *Provider) {
-	k := NewRegistry(clock.System{})
-	p := NewProvider(ProviderConfig{Store: s, Registry: k, Self: self, Spread: func(context.Context) time.Duration { return spread }})
+	reg := NewRegistry(clock.System{})
+	p := NewProvider(ProviderConfig{Store: s, Registry: reg, Self: self, Spread: func(context.Context) time.Duration { return spread }})
 	p.Start()
-	return k, p
+	return reg, p
 }
 
 func members(n int) []Member {
@@ -36,12 +36,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		put(s, 1)
-		k, p := startProvider(s, "entry-0", 0)
+		reg, p := startProvider(s, "entry-0", 0)
 		defer p.Stop()
 		time.Sleep(membersWait + time.Second)
 		put(s, 2)
 		synctest.Wait()
-		if got := inForce(k, "quote"); got != 2 {
+		if got := inForce(reg, "quote"); got != 2 {
 			t.Fatalf("version %d is in force, want 2", got)
 		}
 	})
@@ -54,10 +54,10 @@
 		s := &objecttest.Store{}
 		put(s, 1)
 		s.SetDown(true)
-		k, p := startProvider(s, "entry-0", 0)
+		reg, p := startProvider(s, "entry-0", 0)
 		defer p.Stop()
 		time.Sleep(time.Hour)
-		if k.Snapshot() != nil {
+		if reg.Snapshot() != nil {
 			t.Fatal("a snapshot is in force during the outage")
 		}
 		if lists := s.Counts().Lists; lists > 5*2000 {
@@ -65,7 +65,7 @@
 		}
 		s.SetDown(false)
 		time.Sleep(2 * maxBackoff)
-		if got := inForce(k, "quote"); got != 1 {
+		if got := inForce(reg, "quote"); got != 1 {
 			t.Fatalf("version %d is in force, want 1", got)
 		}
 	})
@@ -78,7 +78,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := &objecttest.Store{}
 			put(s, 1)
-			k, p := startProvider(s, "entry-0", 0)
+			reg, p := startProvider(s, "entry-0", 0)
 			defer p.Stop()
 			time.Sleep(membersWait + time.Second)
 			s.SetDown(true)
@@ -90,7 +90,7 @@
 			lists := s.Counts().Lists
 			s.SetDown(false)
 			time.Sleep(2 * maxBackoff)
-			if got := inForce(k, "quote"); got != 2 {
+			if got := inForce(reg, "quote"); got != 2 {
 				t.Fatalf("old versions compacted %v: version %d is in force, want 2", compact, got)
 			}
 			if relisted := s.Counts().Lists > lists; relisted != compact {
@@ -126,7 +126,7 @@
 
 // The watching instances lose their connection to the object API. Others have to watch
 // in their place.
-func TestWatchDutyMovesToReachableInstances(t *testing.T) {
+func TestWatchMovesToReachableInstances(t *testing.T) {
 	list := members(8)
 	watchers := func() []int {
 		var found []int
--- a/record/record.go
+++ b/record/record.go
@@ -88,7 +88,7 @@
 	for _, f := range faults {
 		texts = append(texts, f.String())
 	}
-	return nil, fault.New(fault.Invalid, "mend the fields named above", "%s", strings.Join(texts, "; "))
+	return nil, fault.New(fault.Invalid, "correct the fields named above", "%s", strings.Join(texts, "; "))
 }
 
 // Snapshot is an immutable set of all records in force at one time. It is safe for
--- a/record/registry.go
+++ b/record/registry.go
@@ -18,9 +18,9 @@
 	// thousand changes a day, all of them deletions, it is enough for a day. A
 	// partitioned peer is removed from the members long before that.
 	maxTombstones = 4096
-	// changesRing bounds the changes that wait to be sent to peers. Peers receive
+	// changesQueueSize bounds the changes that wait to be sent to peers. Peers receive
 	// those dropped here by their full comparison.
-	changesRing = 1024
+	changesQueueSize = 1024
 )
 
 var (
@@ -72,7 +72,7 @@
 func NewRegistry(c clock.Clock) *Registry {
 	return &Registry{
 		clock:    c,
-		changes:  ring.New[Item]("record_changes", changesRing),
+		changes:  ring.New[Item]("record_changes", changesQueueSize),
 		entries:  map[entryKey]*entry{},
 		listedAt: map[Kind]uint64{},
 	}
--- a/record/registry_test.go
+++ b/record/registry_test.go
@@ -33,14 +33,14 @@
 	return Item{Kind: Classes, Name: name, Version: version, Value: []byte(value)}
 }
 
-func newCompleteKeeper() *Registry {
-	k := NewRegistry(clock.System{})
-	k.SetComplete()
-	return k
+func newCompleteRegistry() *Registry {
+	reg := NewRegistry(clock.System{})
+	reg.SetComplete()
+	return reg
 }
 
-func inForce(k *Registry, name string) int64 {
-	c, ok := k.Snapshot().Class(name)
+func inForce(reg *Registry, name string) int64 {
+	c, ok := reg.Snapshot().Class(name)
 	if !ok {
 		return 0
 	}
@@ -50,12 +50,12 @@
 // An operator stores an invalid version of a record. The last accepted version must
 // stay in force, and the condition must report the fault.
 func TestInvalidEditKeepsLastAcceptedVersionInForce(t *testing.T) {
-	k := newCompleteKeeper()
-	k.Offer(classItem("quote", 3), refusedItem("quote", 5))
-	if got := inForce(k, "quote"); got != 3 {
+	reg := newCompleteRegistry()
+	reg.Offer(classItem("quote", 3), refusedItem("quote", 5))
+	if got := inForce(reg, "quote"); got != 3 {
 		t.Fatalf("version %d is in force, want 3", got)
 	}
-	c := k.Conditions()[0]
+	c := reg.Conditions()[0]
 	if c.Newest != 5 || !strings.Contains(c.Refused, "max_wait_ms") {
 		t.Fatalf("the condition does not report the refused version and field: %+v", c)
 	}
@@ -65,16 +65,16 @@
 // knows. Instances of the old release must keep the last version they can decode in
 // force and forward the new one unchanged.
 func TestNewerSchemaIsForwardedButNotUsed(t *testing.T) {
-	k := newCompleteKeeper()
+	reg := newCompleteRegistry()
 	newest := newerSchemaItem("quote", 9)
-	k.Offer(classItem("quote", 3), newest)
-	if got := inForce(k, "quote"); got != 3 {
+	reg.Offer(classItem("quote", 3), newest)
+	if got := inForce(reg, "quote"); got != 3 {
 		t.Fatalf("version %d is in force, want 3", got)
 	}
-	if c := k.Conditions()[0]; !strings.Contains(c.Refused, "schema version 2") {
+	if c := reg.Conditions()[0]; !strings.Contains(c.Refused, "schema version 2") {
 		t.Fatalf("the condition does not report the schema version: %+v", c)
 	}
-	if got := k.Items()[0]; !reflect.DeepEqual(got, newest) {
+	if got := reg.Items()[0]; !reflect.DeepEqual(got, newest) {
 		t.Fatalf("forwarded %+v, want %+v", got, newest)
 	}
 }
@@ -82,12 +82,12 @@
 // A peer that was partitioned sends a record that has been deleted in the meantime.
 // The record must not be restored, or a removed organisation would regain access.
 func TestStalePeerDoesNotRestoreDeletedRecord(t *testing.T) {
-	k := newCompleteKeeper()
-	k.Offer(classItem("quote", 3))
-	k.OfferListing(Classes, 8, nil)
-	k.Offer(classItem("quote", 3), classItem("quote", 7))
-	if got := inForce(k, "quote"); got != 0 {
-		t.Fatalf("version %d came back", got)
+	reg := newCompleteRegistry()
+	reg.Offer(classItem("quote", 3))
+	reg.OfferListing(Classes, 8, nil)
+	reg.Offer(classItem("quote", 3), classItem("quote", 7))
+	if got := inForce(reg, "quote"); got != 0 {
+		t.Fatalf("version %d was restored", got)
 	}
 }
 
@@ -95,7 +95,7 @@
 // An instance that lists later than another has the same records and must have the
 // same version; otherwise the status would report the other as behind for minutes.
 func TestListVersionDoesNotCountAsRecordVersion(t *testing.T) {
-	early, late := newCompleteKeeper(), newCompleteKeeper()
+	early, late := newCompleteRegistry(), newCompleteRegistry()
 	early.OfferListing(Classes, 14, []Item{classItem("quote", 3)})
 	late.OfferListing(Classes, 900, []Item{classItem("quote", 3)})
 	if early.Version() != 3 || late.Version() != 3 {
@@ -109,14 +109,14 @@
 // With only some kinds listed, requests would be refused for an unknown key. Nothing
 // may be in force until every kind was listed.
 func TestNothingIsInForceBeforeAllKindsAreListed(t *testing.T) {
-	k := NewRegistry(clock.System{})
+	reg := NewRegistry(clock.System{})
 	for _, kind := range Kinds {
-		if k.Snapshot() != nil {
+		if reg.Snapshot() != nil {
 			t.Fatalf("a snapshot before %s was listed", kind)
 		}
-		k.OfferListing(kind, 1, nil)
+		reg.OfferListing(kind, 1, nil)
 	}
-	if k.Snapshot() == nil {
+	if reg.Snapshot() == nil {
 		t.Fatal("no snapshot after all kinds were listed")
 	}
 }
@@ -152,9 +152,9 @@
 }
 
 func TestItemEncodingRoundTrip(t *testing.T) {
-	k := newCompleteKeeper()
-	k.Offer(classItem("quote", 3), refusedItem("quote", 5), Item{Kind: Classes, Name: "old", Version: 4, Deleted: true})
-	for _, it := range k.Items() {
+	reg := newCompleteRegistry()
+	reg.Offer(classItem("quote", 3), refusedItem("quote", 5), Item{Kind: Classes, Name: "old", Version: 4, Deleted: true})
+	for _, it := range reg.Items() {
 		got, err := DecodeItem(it.Key(), it.Version, it.Encode())
 		if err != nil || !reflect.DeepEqual(got, it) {
 			t.Fatalf("got %+v, %v; want %+v", got, err, it)
@@ -224,10 +224,10 @@
 // and more than once. The version in force at an instance must never decrease, or an
 // accepted change would be undone, and instances that received the same items must
 // converge.
-func TestRecordsNeverGoBackAndEndEqual(t *testing.T) {
+func TestRecordsNeverRevertAndConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := drawHistory(t)
-		fleet := []*Registry{newCompleteKeeper(), newCompleteKeeper(), newCompleteKeeper()}
+		fleet := []*Registry{newCompleteRegistry(), newCompleteRegistry(), newCompleteRegistry()}
 		for range rapid.IntRange(0, 30).Draw(t, "steps") {
 			i := rapid.IntRange(0, len(fleet)-1).Draw(t, "instance")
 			step(t, h, fleet, i)
@@ -240,18 +240,18 @@
 			}
 		}
 		for _, name := range historyNames {
-			for _, k := range fleet[1:] {
-				if a, b := inForce(fleet[0], name), inForce(k, name); a != b {
+			for _, reg := range fleet[1:] {
+				if a, b := inForce(fleet[0], name), inForce(reg, name); a != b {
 					t.Fatalf("%s: versions %d and %d in force after an exchange", name, a, b)
 				}
 			}
 		}
-		for _, k := range fleet {
+		for _, reg := range fleet {
 			for _, n := range rapid.Permutation(indexes(h)).Draw(t, "order") {
-				k.Offer(h[n])
+				reg.Offer(h[n])
 			}
 			for _, name := range historyNames {
-				if got, want := inForce(k, name), h.wanted(name); got != want {
+				if got, want := inForce(reg, name), h.wanted(name); got != want {
 					t.Fatalf("%s: version %d in force after all changes, want %d", name, got, want)
 				}
 			}
@@ -285,7 +285,7 @@
 	case "peer":
 		fleet[i].Offer(fleet[rapid.IntRange(0, len(fleet)-1).Draw(t, "peer")].Items()...)
 	case "restart":
-		fleet[i] = newCompleteKeeper()
+		fleet[i] = newCompleteRegistry()
 		return
 	}
 	if fleet[i].Snapshot().Version < before.Version {
@@ -301,7 +301,7 @@
 // BenchmarkConditions measures Conditions, which a lease holder calls every two
 // seconds, with 1,100 organisations and 22 pools of 110 endpoints each.
 func BenchmarkConditions(b *testing.B) {
-	k := newCompleteKeeper()
+	reg := newCompleteRegistry()
 	version := uint64(0)
 	offer := func(kind Kind, r *recordspb.Record) {
 		version++
@@ -310,9 +310,9 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.take(Item{Kind: kind, Name: r.GetName(), Version: version, Value: value})
+		reg.mu.Lock()
+		defer reg.mu.Unlock()
+		reg.take(Item{Kind: kind, Name: r.GetName(), Version: version, Value: value})
 	}
 	for p := range 22 {
 		pool := &recordspb.EndpointPool{}
@@ -326,16 +326,16 @@
 		org := &recordspb.Organisation{Weight: 1, KeyHashes: []string{HashKey(name)}}
 		offer(Organisations, &recordspb.Record{Name: name, Spec: &recordspb.Record_Organisation{Organisation: org}})
 	}
-	k.Offer(classItem("quote", version+1))
+	reg.Offer(classItem("quote", version+1))
 	b.Run("conditions", func(b *testing.B) {
 		for b.Loop() {
-			k.Conditions()
+			reg.Conditions()
 		}
 	})
 	b.Run("change", func(b *testing.B) {
 		for b.Loop() {
 			version++
-			k.Offer(classItem("quote", version+1))
+			reg.Offer(classItem("quote", version+1))
 		}
 	})
 }
