--- a/gossip/roles.go
+++ b/gossip/roles.go
@@ -76,19 +76,19 @@
 		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.DataCentre, b.DataCentre),
 			cmp.Compare(rendezvous.Score(b.DataCentre, b.Name), rendezvous.Score(a.DataCentre, a.Name)))
 	})
-	type place struct {
+	type group struct {
 		link       float64
 		dataCentre string
 	}
-	turn := make(map[string]int, len(ordered))
-	seen := map[place]int{}
+	rank := make(map[string]int, len(ordered))
+	seen := map[group]int{}
 	for _, p := range ordered {
-		at := place{p.LinkMbps, p.DataCentre}
-		turn[p.Name] = seen[at]
-		seen[at]++
+		g := group{p.LinkMbps, p.DataCentre}
+		rank[p.Name] = seen[g]
+		seen[g]++
 	}
 	slices.SortStableFunc(ordered, func(a, b Peer) int {
-		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(turn[a.Name], turn[b.Name]))
+		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(rank[a.Name], rank[b.Name]))
 	})
 	return ordered
 }
