--- a/gossip/roles_test.go
+++ b/gossip/roles_test.go
@@ -109,8 +109,9 @@
 
 // Guards against too few or too many schedulers after all instances of a large fleet start at
 // the same moment, and after all schedulers fail at once. Others have to take over without
-// coordination, but only a few: each scheduler receives the reports on all requests, which a
-// large fleet can't afford on every instance.
+// coordination, as requests are placed on little information until then, but only a few: each
+// scheduler receives the reports on all requests, which a large fleet can't afford on every
+// instance.
 func TestVacantSchedulerPositionsAreFilledOnce(t *testing.T) {
 	m := newFleetModel(largeFleet(5, 39))
 	m.run(2 * time.Second)
