--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,5 +1,5 @@
-// Package account reads the logs of instances and tells where service was lost: by
-// route, by window of time, and by reason. It does no I/O of its own.
+// Package account parses the logs of instances and summarises which requests were not
+// served: by route, by time window and by reason. It opens no files itself.
 package account
 
 import (
@@ -12,43 +12,46 @@
 	"time"
 )
 
-// maxLine bounds one line of a log.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// Request is what one line of a log says of a request.
+// Request is one request as its log line records it.
 type Request struct {
-	// End is when it was answered, Took how long that took, Waited how long it waited
-	// for an endpoint, and WaitedMemory the part of it for memory.
+	// End is when the request was answered, Took its total duration, Waited the time it
+	// was queued for an endpoint, and WaitedMemory the part of Waited spent waiting for
+	// endpoint memory.
 	End                        time.Time
 	Took, Waited, WaitedMemory time.Duration
-	// First is the time to the first token or event; 0 for none.
+	// First is the time to the first token or event; 0 if there was none.
 	First  time.Duration
 	Route  string
 	Status int
 	Sends  int
-	// Why it ended so; empty where all went well.
+	// Why is the logged cause of the outcome; empty on success.
 	Why string
-	// Uncached tokens of the prompt were read, Shared of them of parts that others ask
-	// for too; Ahead is the prompt work before it.
+	// Uncached is the number of prompt tokens that had to be processed, and Shared how many
+	// of them belong to parts that other requests use too. Ahead is the prompt work queued
+	// before this request, in tokens.
 	Uncached, Shared, Ahead int64
 }
 
-// Began is when the request came.
+// Began returns when the request arrived.
 func (r Request) Began() time.Time { return r.End.Add(-r.Took) }
 
-// Log is what was read of all logs.
+// Log accumulates the requests read from all log files.
 type Log struct {
 	Requests []Request
-	// Lines is how many lines of instances were read, Broken how many began as one and
-	// did not end, and Dropped how many the instances say they did not write.
+	// Lines is the number of valid lines, Broken the number of lines that start as JSON but
+	// can't be parsed, and Dropped the number of lines that instances reported as not written.
 	Lines, Broken, Dropped int
-	// Unfinished says of which instances the log stops without a word of their end.
+	// Unfinished lists the instances whose log does not end with a "stopped" event.
 	Unfinished []string
 
-	ended map[string]bool
+	// stoppedLast reports by instance whether the last line read is its "stopped" event.
+	stoppedLast map[string]bool
 }
 
-// wireLine is one line of an instance's log.
+// wireLine is the JSON form of one line of an instance's log.
 type wireLine struct {
 	At             time.Time `json:"at"`
 	Event          string    `json:"event"`
@@ -67,19 +70,19 @@
 	DroppedBefore  int       `json:"dropped_before"`
 }
 
-// stopped is the event of an instance's last line.
+// stopped is the event of the last line that an instance logs.
 const stopped = "stopped"
 
-// Read adds the lines of one log. Text before the first brace of a line is passed over,
-// since collectors add their own; a line that breaks off is counted.
+// Read adds the lines of one log. Text before the first brace of a line is skipped, since
+// log collectors add prefixes; truncated lines are counted in Broken.
 func (l *Log) Read(r io.Reader) error {
-	if l.ended == nil {
-		l.ended = map[string]bool{}
+	if l.stoppedLast == nil {
+		l.stoppedLast = map[string]bool{}
 	}
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
-		l.line(scanner.Text())
+		l.parseLine(scanner.Text())
 	}
 	if err := scanner.Err(); err != nil && !errors.Is(err, io.EOF) {
 		return err
@@ -87,7 +90,7 @@
 	return nil
 }
 
-func (l *Log) line(text string) {
+func (l *Log) parseLine(text string) {
 	start := strings.Index(text, `{"`)
 	if start < 0 {
 		return
@@ -100,7 +103,7 @@
 	l.Lines++
 	l.Dropped += w.DroppedBefore
 	if w.Instance != "" {
-		l.ended[w.Instance] = w.Event == stopped
+		l.stoppedLast[w.Instance] = w.Event == stopped
 	}
 	if w.Event == "request" {
 		l.Requests = append(l.Requests, w.request())
@@ -117,22 +120,22 @@
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Finish sorts what was read. It is called once, after the last Read.
+// Finish sorts the requests and fills in Unfinished. Call it once, after the last Read.
 func (l *Log) Finish() {
 	slices.SortStableFunc(l.Requests, func(a, b Request) int { return a.Began().Compare(b.Began()) })
-	for name, ended := range l.ended {
-		if !ended {
+	for name, stoppedLast := range l.stoppedLast {
+		if !stoppedLast {
 			l.Unfinished = append(l.Unfinished, name)
 		}
 	}
 	slices.Sort(l.Unfinished)
 }
 
-// Reason is why a request was not served as it should.
+// Reason classifies the outcome of a request.
 type Reason int
 
-// The reasons. Slow is told apart by the usual time of the route, since logs do not
-// name its target.
+// The reasons. Logs do not contain a route's latency target, so Slow is decided by
+// Options.Slow.
 const (
 	Served Reason = iota
 	Slow
@@ -154,20 +157,22 @@
 // String implements fmt.Stringer.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons is how many there are.
+// Reasons is the number of reasons.
 const Reasons = len(reasonNames)
 
-// The answers that instances log, besides those of HTTP.
+// Status codes that instances log in addition to HTTP's: the caller closed its connection, and
+// the answer was cut off.
 const (
 	statusCallerGone = 499
 	statusCut        = 598
 )
 
-// memoryShare is the part of its wait from which a refusal counts as one for memory.
+// memoryShare is the least share of its waiting time that a refused request spent waiting for
+// memory to count as RefusedForMemory.
 const memoryShare = 0.5
 
-// reason tells why a request ended as it did. slow is from when on a first token, or an
-// answer, counts as late.
+// reason classifies the request. A first token, or an answer without tokens, that took longer
+// than slow counts as Slow; 0 disables that.
 func (r Request) reason(slow time.Duration) Reason {
 	switch {
 	case r.Status == statusCallerGone:
@@ -186,14 +191,14 @@
 		return FailedAtEndpoint
 	case r.Status >= 400:
 		return NotAllowed
-	case slow > 0 && r.answered() > slow:
+	case slow > 0 && r.latency() > slow:
 		return Slow
 	}
 	return Served
 }
 
-// answered is the time to the first token, or to the whole answer where there is none.
-func (r Request) answered() time.Duration {
+// latency returns the time to the first token, or to the complete answer if there is none.
+func (r Request) latency() time.Duration {
 	if r.First > 0 {
 		return r.First
 	}
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -16,9 +16,9 @@
 {"at":"2026-01-01T10:00:03.000Z","event":"stopped","instance":"b"}
 {"at":"2026-01-01T10:00:03.100Z","event":"request","instance":"a","ms":9,"route":"ord`
 
-// An instance is killed while it writes, and its log stops in the middle of a line.
-// On call, the rest of the log has to be told all the same, with what is missing.
-func TestLogThatStopsInALineIsTold(t *testing.T) {
+// An instance is killed while it writes, so its log ends in the middle of a line. The
+// summary must still cover the rest of the log and report what is missing.
+func TestTruncatedLogIsSummarised(t *testing.T) {
 	var l Log
 	if err := l.Read(strings.NewReader(logText)); err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 		t.Fatalf("%d requests, %d broken lines, %d dropped", len(l.Requests), l.Broken, l.Dropped)
 	}
 	if len(l.Unfinished) != 1 || l.Unfinished[0] != "a" {
-		t.Errorf("no word of the end of %v, want a", l.Unfinished)
+		t.Errorf("Unfinished is %v, want [a]", l.Unfinished)
 	}
 	var out bytes.Buffer
 	l.Write(&out, Options{Window: 2 * time.Second, Slow: 200 * time.Millisecond, Worst: 1})
@@ -39,9 +39,9 @@
 	}
 }
 
-// A pool refuses for want of memory while its engines idle. Told as work before the
-// request, the engineer on call would look for slow engines.
-func TestReasonsAreToldApart(t *testing.T) {
+// A pool refuses requests for lack of memory while its engines are idle. Reported as queued
+// work, that would send the engineer on call looking for slow engines.
+func TestRefusalReasonsAreDistinguished(t *testing.T) {
 	var l Log
 	if err := l.Read(strings.NewReader(logText)); err != nil {
 		t.Fatal(err)
--- a/internal/account/plot.go
+++ b/internal/account/plot.go
@@ -16,16 +16,16 @@
 	plotMargin = 40
 )
 
-// Plot draws requests, refusals, the prompt work before them and the time to the first
-// token by second, as PNG where the name ends so, else as SVG.
+// Plot draws, for each second, the requests, refusals, queued prompt work and time to the
+// first token. The format is PNG if name ends in .png, otherwise SVG.
 func (l *Log) Plot(out io.Writer, name string) error {
 	windows := l.ByWindow(Options{Window: time.Second})
-	var seconds, came, refused, ahead, first []float64
+	var seconds, arrived, refused, ahead, first []float64
 	for _, w := range windows {
 		seconds = append(seconds, w.From.Seconds())
-		came = append(came, float64(w.owed()))
+		arrived = append(arrived, float64(w.servable()))
 		refused = append(refused, float64(w.Count[RefusedForWork]+w.Count[RefusedForMemory]+w.Count[OverQuota]+w.Count[RefusedElse]))
-		a, f := l.pace(w.From)
+		a, f := l.promptLoad(w.From)
 		ahead = append(ahead, a)
 		first = append(first, f)
 	}
@@ -36,7 +36,7 @@
 		YAxis:          chart.YAxis{Name: "requests a second; first token, ms"},
 		YAxisSecondary: chart.YAxis{Name: "prompt work before, tokens"},
 		Series: []chart.Series{
-			chart.ContinuousSeries{Name: "came", XValues: seconds, YValues: came},
+			chart.ContinuousSeries{Name: "came", XValues: seconds, YValues: arrived},
 			chart.ContinuousSeries{Name: "refused", XValues: seconds, YValues: refused},
 			chart.ContinuousSeries{Name: "first token, 95 in 100 within ms", XValues: seconds, YValues: first},
 			chart.ContinuousSeries{Name: "work before, mean", YAxis: chart.YAxisSecondary, XValues: seconds, YValues: ahead},
@@ -49,12 +49,12 @@
 	return graph.Render(chart.SVG, out)
 }
 
-// firstShare is which of the times to a first token is drawn.
-const firstShare = 0.95
+// firstTokenQuantile is the plotted quantile of the times to the first token.
+const firstTokenQuantile = 0.95
 
-// pace returns the mean prompt work before the requests of a second, and the time
-// to the first token that firstShare of them had, in ms.
-func (l *Log) pace(from time.Duration) (ahead, first float64) {
+// promptLoad returns, for the requests of the second that starts at from, the mean prompt work
+// queued before each in tokens, and the firstTokenQuantile of the time to the first token in ms.
+func (l *Log) promptLoad(from time.Duration) (ahead, first float64) {
 	var sum, sent int64
 	var firsts []time.Duration
 	for _, q := range l.Requests {
@@ -74,7 +74,7 @@
 	}
 	if len(firsts) > 0 {
 		slices.Sort(firsts)
-		first = float64(firsts[int(firstShare*float64(len(firsts)-1))].Milliseconds())
+		first = float64(firsts[int(firstTokenQuantile*float64(len(firsts)-1))].Milliseconds())
 	}
 	return ahead, first
 }
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// Options of a table.
+// Options control the tables.
 type Options struct {
-	// Window is the length of one row of time.
+	// Window is the length of one time window.
 	Window time.Duration
-	// Slow is from when on a first token, or an answer without tokens, counts as
-	// late; 0 counts none.
+	// Slow is the time above which a first token, or an answer without tokens, counts
+	// as slow; 0 disables the check.
 	Slow time.Duration
-	// Worst is how many windows are told, the worst first.
+	// Worst is the number of windows to print, the worst first.
 	Worst int
 }
 
@@ -23,7 +23,7 @@
 type Row struct {
 	Count  [Reasons]int
 	Tokens int64
-	// Shared tokens were read of parts that others ask for too.
+	// Shared is the part of Tokens in prompt parts that other requests use too.
 	Shared int64
 	// Waited and WaitedMemory are sums over all requests.
 	Waited, WaitedMemory time.Duration
@@ -37,8 +37,9 @@
 	r.WaitedMemory += q.WaitedMemory
 }
 
-// owed is how many requests should have been served.
-func (r *Row) owed() int {
+// servable counts the requests that should have been served: all but those that were not
+// allowed, over quota or abandoned by their caller.
+func (r *Row) servable() int {
 	n := 0
 	for reason, count := range r.Count {
 		if r := Reason(reason); r != NotAllowed && r != CallerGone && r != OverQuota {
@@ -48,15 +49,15 @@
 	return n
 }
 
-// lost is the share of those owed that were not served as they should.
-func (r *Row) lost() float64 {
-	if r.owed() == 0 {
+// failureRatio returns the share of the servable requests that were not served well.
+func (r *Row) failureRatio() float64 {
+	if r.servable() == 0 {
 		return 0
 	}
-	return 1 - float64(r.Count[Served])/float64(r.owed())
+	return 1 - float64(r.Count[Served])/float64(r.servable())
 }
 
-// Window is one row of time.
+// Window counts the requests of one time window; From is its offset from the first request.
 type Window struct {
 	From time.Duration
 	Row
@@ -74,7 +75,7 @@
 	return rows
 }
 
-// ByWindow counts requests by the time at which they came.
+// ByWindow counts requests by arrival time. Windows without requests are left out.
 func (l *Log) ByWindow(o Options) []Window {
 	var list []Window
 	for _, q := range l.Requests {
@@ -87,7 +88,7 @@
 	return list
 }
 
-// Write prints what is missing in the logs, the requests by route, and the worst
+// Write prints what is missing from the logs, the requests by route, and the worst
 // windows.
 func (l *Log) Write(out io.Writer, o Options) {
 	fmt.Fprintf(out, "%d requests in %d lines", len(l.Requests), l.Lines)
@@ -109,13 +110,13 @@
 	for name := range routes {
 		names = append(names, name)
 	}
-	slices.SortFunc(names, func(a, b string) int { return routes[b].owed() - routes[a].owed() })
+	slices.SortFunc(names, func(a, b string) int { return routes[b].servable() - routes[a].servable() })
 	for _, name := range names {
 		routes[name].write(w, name)
 	}
 	header(w, "from second")
 	windows := l.ByWindow(o)
-	slices.SortStableFunc(windows, func(a, b Window) int { return int(1e6*b.lost()) - int(1e6*a.lost()) })
+	slices.SortStableFunc(windows, func(a, b Window) int { return int(1e6*b.failureRatio()) - int(1e6*a.failureRatio()) })
 	for _, x := range windows[:min(o.Worst, len(windows))] {
 		x.write(w, fmt.Sprintf("%.1f", x.From.Seconds()))
 	}
@@ -130,7 +131,7 @@
 }
 
 func (r *Row) write(w io.Writer, name string) {
-	fmt.Fprintf(w, "%s\t%.3f\t", name, r.lost())
+	fmt.Fprintf(w, "%s\t%.3f\t", name, r.failureRatio())
 	for _, n := range r.Count {
 		fmt.Fprintf(w, "%d\t", n)
 	}
