--- a/internal/cli/account.go
+++ b/internal/cli/account.go
@@ -11,7 +11,7 @@
 	"github.com/sardinedock/sardinedock/internal/account"
 )
 
-// accountCommand tells where service was lost, from the logs of all instances.
+// accountCommand summarises failed and slow requests from the logs of all instances.
 type accountCommand struct {
 	files  []string
 	window time.Duration
@@ -21,11 +21,11 @@
 }
 
 func (c *accountCommand) declare(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("account", "Tell where service was lost, by route, time and reason, from the logs of hosted instances.")
-	clause.Flag("window", "Length of one row of time.").Default("2s").DurationVar(&c.window)
-	clause.Flag("slow", "From when on a first token, or an answer without tokens, counts as slow; 0 counts none.").Default("600ms").DurationVar(&c.slow)
+	clause := app.Command("account", "Summarise failed and slow requests by route, time and reason, from the logs of hosted instances.")
+	clause.Flag("window", "Length of one time window.").Default("2s").DurationVar(&c.window)
+	clause.Flag("slow", "Time above which a first token, or an answer without tokens, counts as slow; 0 disables the check.").Default("600ms").DurationVar(&c.slow)
 	clause.Flag("worst", "How many windows to print, the worst first.").Default("10").IntVar(&c.worst)
-	clause.Flag("plot", "Also draw load, refusals, prompt work and first tokens by second into this file, as .svg or .png.").StringVar(&c.plot)
+	clause.Flag("plot", "Also plot load, refusals, prompt work and time to first token by second into this file, as .svg or .png.").StringVar(&c.plot)
 	clause.Arg("log", "Log files of all instances.").Required().StringsVar(&c.files)
 	return clause
 }
--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// checkFile tells records by their schema_version, loads by their work and the
-// settings of hosted instances by their store, which no other settings file has.
+// checkFile validates a file by its type. Records have a schema_version, loads have a work
+// field, and only the settings of hosted instances have a store field.
 func checkFile(data []byte) []yamlpb.Fault {
 	if bytes.Contains(data, []byte("schema_version:")) {
 		_, faults := record.ParseYAML(data)
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: it reads the flags and calls the library.
+// Package cli implements the command line: it parses flags and runs the commands.
 package cli
 
 import (
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/sardinedock/sardinedock/fault"
-	_ "github.com/sardinedock/sardinedock/internal/startsignal" // instances are told to reload while they start
+	_ "github.com/sardinedock/sardinedock/internal/startsignal" // the platform may send SIGHUP while an instance starts
 )
 
 // Exit codes.
@@ -22,19 +22,20 @@
 	exitUsage   = 2
 )
 
-// command is one subcommand: it declares its flags and runs.
+// command is one subcommand.
 type command interface {
 	declare(app *kingpin.Application) *kingpin.CmdClause
 	run(out, errs io.Writer) error
 }
 
-// Run runs one command line and returns the exit code.
+// Run parses and runs one command line and returns the exit code.
 func Run(args []string, out, errs io.Writer) int {
 	app := kingpin.New("sardinedock", "A router for language-model traffic with long shared prompts.")
-	// Help ends the program from within Parse. Here it ends Run instead; without
-	// that, "demo --help" would print the help and then run the demo.
-	helped := false
-	app.UsageWriter(errs).ErrorWriter(errs).Terminate(func(int) { helped = true })
+	// By default --help exits the process from within Parse. Terminate replaces that exit, so
+	// Run has to return by itself; otherwise "demo --help" would print the help and then run
+	// the demo.
+	helpShown := false
+	app.UsageWriter(errs).ErrorWriter(errs).Terminate(func(int) { helpShown = true })
 	commands := map[string]command{}
 	for _, c := range []command{
 		&serveCommand{}, &hostCommand{}, &explainCommand{}, &accountCommand{}, &checkCommand{}, &emulateCommand{}, &demoCommand{}, &loadCommand{},
@@ -44,7 +45,7 @@
 		commands[clause.FullCommand()] = c
 	}
 	name, err := app.Parse(args)
-	if helped {
+	if helpShown {
 		return exitOK
 	}
 	if err != nil {
@@ -61,8 +62,8 @@
 	return exitOK
 }
 
-// untilTold returns a context that ends when the user or the terminal ends the command.
-func untilTold() (context.Context, context.CancelFunc) {
+// interruptContext returns a context that is cancelled by SIGTERM, SIGINT or SIGHUP.
+func interruptContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
 }
 
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -8,8 +8,8 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// hostEnv names the settings file for which the test binary runs the command host, as
-// a process that tests send signals to.
+// hostEnv is the environment variable with which the test binary runs the host command with
+// the given settings file, so that tests can send signals to a separate process.
 const hostEnv = "SARDINEDOCK_TEST_HOST"
 
 func TestMain(m *testing.M) {
@@ -21,7 +21,7 @@
 	})
 }
 
-// The scripts state what each command prints and with which code it ends.
+// The scripts check each command's output and exit code.
 func TestScripts(t *testing.T) {
 	examples, err := filepath.Abs("../../examples")
 	if err != nil {
--- a/internal/cli/dump.go
+++ b/internal/cli/dump.go
@@ -10,10 +10,10 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// dumpTimeout bounds the wait for a dump; a process that takes longer is stuck.
+// dumpTimeout bounds the wait for a dump; an instance that takes longer is considered stuck.
 const dumpTimeout = 5 * time.Second
 
-// dumpCommand prints the state of every duty of a running instance.
+// dumpCommand prints the internal state of a running instance.
 type dumpCommand struct {
 	instance string
 }
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -15,7 +15,7 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// emulateCommand serves the stand-ins of the platform and of the endpoints.
+// emulateCommand serves emulations of the object API and of the endpoints.
 type emulateCommand struct {
 	storeAddr string
 	records   string
@@ -26,18 +26,18 @@
 }
 
 func (c *emulateCommand) declare(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("emulate", "Serve stand-ins of the object API and of the endpoints that a records file names.")
+	clause := app.Command("emulate", "Emulate the object API and the endpoints that a records file names.")
 	clause.Flag("store", "The object API's address.").Default("127.0.0.1:8090").StringVar(&c.storeAddr)
 	clause.Flag("records", "The records file.").Required().StringVar(&c.records)
-	clause.Flag("pace", "By how much faster than real time the stand-ins run.").Default("1").Float64Var(&c.pace)
-	clause.Flag("seed", "Seed of faults that come with a probability.").Default("1").Int64Var(&c.seed)
-	clause.Flag("reads-per-second", "Reads over which the object API answers 429; 0 sets no limit.").Default("2000").Float64Var(&c.reads)
-	clause.Flag("writes-per-second", "Writes over which the object API answers 429; 0 sets no limit.").Default("300").Float64Var(&c.writes)
+	clause.Flag("pace", "Speed of the emulation relative to real time.").Default("1").Float64Var(&c.pace)
+	clause.Flag("seed", "Seed of probabilistic faults.").Default("1").Int64Var(&c.seed)
+	clause.Flag("reads-per-second", "Reads a second above which the object API answers 429; 0 sets no limit.").Default("2000").Float64Var(&c.reads)
+	clause.Flag("writes-per-second", "Writes a second above which the object API answers 429; 0 sets no limit.").Default("300").Float64Var(&c.writes)
 	return clause
 }
 
-// config is the stand-ins' shape. Incarnations start from the time, so that
-// they also rise from one start of this process to the next.
+// config returns the emulator's configuration. Incarnations start from the current time, so
+// that they also increase from one run of this process to the next.
 func (c *emulateCommand) config() emulator.Config {
 	pace := emulator.Pace(c.pace)
 	return emulator.Config{
@@ -62,7 +62,7 @@
 	}
 	defer e.Close()
 	fmt.Fprintf(out, "object API on %s, %d engines, %d service endpoints\n", e.Store.Addr(), len(e.Engines), len(e.Services))
-	ctx, stop := untilTold()
+	ctx, stop := interruptContext()
 	defer stop()
 	<-ctx.Done()
 	return nil
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -17,36 +17,37 @@
 )
 
 const (
-	// explainBefore and explainAfter are how far around a request's life lines on
-	// its endpoint, records and store are told: an endpoint's entry goes up to three
-	// heartbeats after its end.
+	// explainBefore and explainAfter extend the request's lifetime to the span from which
+	// lines about its endpoint, records and store are printed: the registration of an
+	// endpoint that has ended expires up to three heartbeats later.
 	explainBefore = 5 * time.Second
 	explainAfter  = 5 * time.Second
-	// maxLogLine bounds one line of a log.
+	// maxLogLine is the maximum length of a log line in bytes.
 	maxLogLine = 1 << 20
 )
 
-// explainCommand tells one request's story from the logs of all instances.
+// explainCommand prints the log lines of all instances that concern one request.
 type explainCommand struct {
 	id    string
 	files []string
 }
 
 func (c *explainCommand) declare(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("explain", "Tell what became of a request, from the logs of hosted instances.")
+	clause := app.Command("explain", "Trace one request through the logs of hosted instances.")
 	clause.Arg("id", "The request's id.").Required().StringVar(&c.id)
 	clause.Arg("file", "Log files of all instances.").Required().StringsVar(&c.files)
 	return clause
 }
 
-// logEntry is one line of a log.
+// logEntry is one line of a log; text is the line without a collector's prefix.
 type logEntry struct {
 	at     time.Time
 	fields map[string]any
 	text   string
 }
 
-func (e logEntry) word(name string) string {
+// stringField returns a string field, or "" if it is missing or not a string.
+func (e logEntry) stringField(name string) string {
 	s, _ := e.fields[name].(string)
 	return s
 }
@@ -61,35 +62,35 @@
 		all = append(all, entries...)
 	}
 	slices.SortStableFunc(all, func(a, b logEntry) int { return a.at.Compare(b.at) })
-	i := slices.IndexFunc(all, func(e logEntry) bool { return e.word("event") == "request" && e.word("request") == c.id })
+	i := slices.IndexFunc(all, func(e logEntry) bool { return e.stringField("event") == "request" && e.stringField("request") == c.id })
 	if i < 0 {
-		for _, text := range withoutLine(all) {
+		for _, text := range missingLineReasons(all) {
 			fmt.Fprintln(out, text)
 		}
 		return fault.New(fault.NotFound, "check the id, and give the logs of all instances", "no line tells of request %s", c.id)
 	}
-	for _, e := range story(all, all[i]) {
+	for _, e := range relatedEntries(all, all[i]) {
 		fmt.Fprintln(out, e.text)
 	}
 	return nil
 }
 
-// withoutLine tells why the logs may hold no line of a request that an instance has had:
-// the process was killed, lines were dropped, or the request could not be read.
-func withoutLine(all []logEntry) []string {
+// missingLineReasons lists why the logs may have no line for a request that reached an
+// instance: the process was killed, lines were dropped, or the request could not be parsed.
+func missingLineReasons(all []logEntry) []string {
 	var list []string
 	last := map[string]logEntry{}
 	for _, e := range all {
-		name := e.word("instance")
-		before, known := last[name]
-		if e.word("event") == "started" && known && before.word("event") != "stopped" {
+		name := e.stringField("instance")
+		previous, known := last[name]
+		if e.stringField("event") == "started" && known && previous.stringField("event") != "stopped" {
 			list = append(list, fmt.Sprintf("%s ended without a word between %s and %s; what it served then has no line",
-				name, before.word("at"), e.word("at")))
+				name, previous.stringField("at"), e.stringField("at")))
 		}
 		if n, _ := e.fields["dropped_before"].(float64); n > 0 {
-			list = append(list, fmt.Sprintf("%s dropped %.0f lines before %s", name, n, e.word("at")))
+			list = append(list, fmt.Sprintf("%s dropped %.0f lines before %s", name, n, e.stringField("at")))
 		}
-		if e.word("event") == "request unreadable" {
+		if e.stringField("event") == "request unreadable" {
 			list = append(list, e.text)
 		}
 		last[name] = e
@@ -97,8 +98,9 @@
 	return list
 }
 
-// story returns the request's line and those that may explain it, in order.
-func story(all []logEntry, request logEntry) []logEntry {
+// relatedEntries returns the request's line and the lines that may explain its outcome, in order
+// of time.
+func relatedEntries(all []logEntry, request logEntry) []logEntry {
 	ms, _ := request.fields["ms"].(float64)
 	from := request.at.Add(-time.Duration(ms)*time.Millisecond - explainBefore)
 	to := request.at.Add(explainAfter)
@@ -107,33 +109,34 @@
 		if e.at.Before(from) || e.at.After(to) {
 			continue
 		}
-		if e.text == request.text || bears(e, request) {
+		if e.text == request.text || related(e, request) {
 			list = append(list, e)
 		}
 	}
 	return list
 }
 
-// bears reports whether a line on something else may explain the request: on its
-// endpoint, or on what the same instance believed or lost.
-func bears(e, request logEntry) bool {
-	if e.word("event") == "request" {
+// related reports whether a line about something else may explain the request's outcome: about
+// its endpoint, or about the records, the store, the lease, the start or the stop of its
+// instance.
+func related(e, request logEntry) bool {
+	if e.stringField("event") == "request" {
 		return false
 	}
 	for _, name := range []string{"endpoint", "address"} {
-		if v := request.word(name); v != "" && e.word(name) == v {
+		if v := request.stringField(name); v != "" && e.stringField(name) == v {
 			return true
 		}
 	}
-	about := e.word("event")
-	if e.word("request") != "" {
-		return e.word("request") == request.word("request")
+	event := e.stringField("event")
+	if e.stringField("request") != "" {
+		return e.stringField("request") == request.stringField("request")
 	}
-	own := e.word("instance") == request.word("instance")
-	return own && slices.ContainsFunc([]string{"records", "store", "lease", "stopp", "start"}, func(p string) bool { return strings.HasPrefix(about, p) })
+	own := e.stringField("instance") == request.stringField("instance")
+	return own && slices.ContainsFunc([]string{"records", "store", "lease", "stopp", "start"}, func(p string) bool { return strings.HasPrefix(event, p) })
 }
 
-// readLog reads one file; lines that are no JSON objects are passed over, since
+// readLog reads one file. Lines that are not JSON objects with a time are skipped, since log
 // collectors add lines of their own.
 func readLog(name string) ([]logEntry, error) {
 	f, err := os.Open(name)
@@ -154,7 +157,7 @@
 		if json.Unmarshal([]byte(e.text), &e.fields) != nil {
 			continue
 		}
-		at, err := time.Parse(time.RFC3339Nano, e.word("at"))
+		at, err := time.Parse(time.RFC3339Nano, e.stringField("at"))
 		if err != nil {
 			continue
 		}
--- a/internal/cli/host.go
+++ b/internal/cli/host.go
@@ -15,11 +15,11 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// settingsLook is the time between two looks at whether the settings file has changed,
-// which it may without any signal.
-const settingsLook = 2 * time.Second
+// settingsPollInterval is the interval of checks for a changed settings file; the platform may
+// rewrite the file without sending a signal.
+const settingsPollInterval = 2 * time.Second
 
-// hostCommand runs one instance on the users' platform until it is told to end.
+// hostCommand runs one instance on the users' platform until SIGTERM or SIGINT.
 type hostCommand struct {
 	settings string
 }
@@ -31,12 +31,12 @@
 }
 
 func (c *hostCommand) run(out, _ io.Writer) error {
-	// First of all: a process that is not prepared for a signal dies of it, and the
-	// platform may change the settings, or end the process, while it is starting. Each
-	// kind has a channel of its own, where one signal may wait: a series of one kind is
-	// as good as its last, and must not push out another kind.
-	end, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
-	signal.Notify(end, syscall.SIGTERM, os.Interrupt)
+	// Register for signals before anything else: an unhandled signal terminates the process,
+	// and the platform may send one while it is still starting. Each kind has its own channel
+	// with a buffer of one: repeated signals of a kind may be merged, but must not crowd out
+	// the other kind.
+	stop, reload := make(chan os.Signal, 1), make(chan os.Signal, 1)
+	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(reload, syscall.SIGHUP)
 	file := newWatchedFile(c.settings)
 	s, err := settings.LoadHosted(c.settings)
@@ -47,8 +47,8 @@
 	defer lines.Close()
 	log.SetHandler(lines)
 	select {
-	case <-end:
-		log.Info("told to end before the start")
+	case <-stop:
+		log.Info("received a termination signal before the start")
 		return nil
 	default:
 	}
@@ -56,17 +56,17 @@
 	if err != nil {
 		return err
 	}
-	look := time.NewTicker(settingsLook)
-	defer look.Stop()
+	poll := time.NewTicker(settingsPollInterval)
+	defer poll.Stop()
 	for {
 		select {
-		case <-end:
+		case <-stop:
 			i.Shutdown()
 			return nil
 		case <-reload:
 			file.changed()
 			c.reload(i)
-		case <-look.C:
+		case <-poll.C:
 			if file.changed() {
 				c.reload(i)
 			}
@@ -74,22 +74,22 @@
 	}
 }
 
-// reload reads the settings file again and has the instance take it in.
+// reload reads the settings file again and applies it to the instance.
 func (c *hostCommand) reload(i *hosted.Instance) {
 	s, err := settings.LoadHosted(c.settings)
 	if err != nil {
-		log.WithError(err).Error("settings refused; those before stay in force")
+		log.WithError(err).Error("settings file is invalid; keeping the previous settings")
 		return
 	}
-	log.Info("settings read again")
+	log.Info("settings reloaded")
 	i.Reload(s)
 }
 
-// watchedFile notices that a file has been written.
+// watchedFile detects changes of a file by its modification time and size.
 type watchedFile struct {
-	path string
-	at   time.Time
-	size int64
+	path    string
+	modTime time.Time
+	size    int64
 }
 
 func newWatchedFile(path string) *watchedFile {
@@ -98,14 +98,14 @@
 	return f
 }
 
-// changed reports whether the file is another one than at the last call. One that is
-// missing, as in the middle of its replacement, has not changed yet.
+// changed reports whether the file has changed since the last call. A missing file, as in the
+// middle of a replacement, counts as unchanged.
 func (f *watchedFile) changed() bool {
 	info, err := os.Stat(f.path)
 	if err != nil {
 		return false
 	}
-	changed := !info.ModTime().Equal(f.at) || info.Size() != f.size
-	f.at, f.size = info.ModTime(), info.Size()
+	changed := !info.ModTime().Equal(f.modTime) || info.Size() != f.size
+	f.modTime, f.size = info.ModTime(), info.Size()
 	return changed
 }
--- a/internal/cli/load.go
+++ b/internal/cli/load.go
@@ -10,7 +10,7 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// loadCommand drives a running instance.
+// loadCommand sends a load to a running instance.
 type loadCommand struct {
 	target   string
 	settings string
@@ -18,10 +18,10 @@
 }
 
 func (c *loadCommand) declare(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("load", "Drive a running instance, open loop, and report what callers got.")
-	clause.Flag("target", "The instance's, or the balancer's, address for callers.").Required().StringVar(&c.target)
+	clause := app.Command("load", "Send an open-loop load to a running instance and report the outcomes.")
+	clause.Flag("target", "Address for callers of the instance or of its load balancer.").Required().StringVar(&c.target)
 	clause.Flag("settings", "The file that describes the load.").Required().StringVar(&c.settings)
-	clause.Flag("report", "The report's form.").Default("text").EnumVar(&c.report, "text", "json")
+	clause.Flag("report", "Format of the report.").Default("text").EnumVar(&c.report, "text", "json")
 	return clause
 }
 
@@ -30,15 +30,15 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilTold()
+	ctx, stop := interruptContext()
 	defer stop()
 	return writeReport(out, demo.RunLoad(ctx, c.target, l, errs), c.report)
 }
 
-// writeReport prints a report; a broken invariant is an error.
-func writeReport(out io.Writer, r *demo.Report, form string) error {
+// writeReport prints a report in the given format. It returns an error if an invariant was broken.
+func writeReport(out io.Writer, r *demo.Report, format string) error {
 	var err error
-	if form == "json" {
+	if format == "json" {
 		err = json.NewEncoder(out).Encode(r)
 	} else {
 		err = r.WriteText(out)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -14,7 +14,7 @@
 	"github.com/sardinedock/sardinedock/settings"
 )
 
-// serveCommand runs one entry instance until it is told to end.
+// serveCommand runs one entry instance until SIGTERM or SIGINT.
 type serveCommand struct {
 	settings string
 }
@@ -26,8 +26,8 @@
 }
 
 func (c *serveCommand) run(out, _ io.Writer) error {
-	// There is nothing to reload, since records are followed and settings hold for the
-	// life of a process; unheeded, the signal would end it with its callers' requests.
+	// There is nothing to reload: records are watched, and settings hold for the lifetime of
+	// the process. Unhandled, SIGHUP would kill the process and its callers' requests.
 	signal.Ignore(syscall.SIGHUP)
 	s, err := settings.Load(c.settings)
 	if err != nil {
@@ -41,8 +41,8 @@
 	}
 	fmt.Fprintf(out, "serving callers on %s\n", i.Callers())
 	<-ctx.Done()
-	// A second signal ends the waiting.
-	end, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
+	// A second signal cuts the graceful shutdown short.
+	shutdownCtx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
-	return i.Shutdown(end)
+	return i.Shutdown(shutdownCtx)
 }
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -13,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/status"
 )
 
-// statusCommand prints the status objects.
+// statusCommand prints the status objects that instances write to the object API.
 type statusCommand struct {
 	store   string
 	timeout time.Duration
@@ -21,10 +21,10 @@
 }
 
 func (c *statusCommand) declare(app *kingpin.Application) *kingpin.CmdClause {
-	clause := app.Command("status", "Print what is in force, what is refused and why, and what was decided.")
+	clause := app.Command("status", "Print the status objects: what is in force, what was rejected and why, and recent decisions.")
 	clause.Flag("store", "The object API's address.").Required().StringVar(&c.store)
-	clause.Flag("timeout", "How long to wait for it.").Default("2s").DurationVar(&c.timeout)
-	clause.Flag("report", "The report's form.").Default("text").EnumVar(&c.report, "text", "json")
+	clause.Flag("timeout", "How long to wait for the object API.").Default("2s").DurationVar(&c.timeout)
+	clause.Flag("report", "Format of the report.").Default("text").EnumVar(&c.report, "text", "json")
 	return clause
 }
 
--- a/internal/cli/status_test.go
+++ b/internal/cli/status_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// The object API is away when an operator asks for the status. The command has
-// to say so in the end, not hang.
+// The object API is down when an operator asks for the status. The command must report that
+// instead of hanging.
 func TestStatusWithTheObjectAPIDown(t *testing.T) {
 	store, err := emulator.StartStore("127.0.0.1:0")
 	if err != nil {
--- a/internal/cli/version.go
+++ b/internal/cli/version.go
@@ -13,7 +13,6 @@
 // Version is the program's version.
 const Version = "0.1.0"
 
-// versionCommand prints the program's version.
 type versionCommand struct{}
 
 func (c *versionCommand) declare(app *kingpin.Application) *kingpin.CmdClause {
