--- a/internal/docs/metrics_test.go
+++ b/internal/docs/metrics_test.go
@@ -12,44 +12,44 @@
 )
 
 var (
-	// metricName is a whole name; the object API's client puts its own
-	// together from apiPrefix and the word that it passes to counter.
+	// metricName matches a complete name. The object API's client builds its names from
+	// apiPrefix and the argument of counter.
 	metricName   = regexp.MustCompile(`sardinedock_[a-z_]*_(total|seconds)`)
 	apiPrefix    = "sardinedock_objectapi_"
 	apiCounter   = regexp.MustCompile(`\bcounter\("([a-z_]+)"`)
 	quotedMetric = regexp.MustCompile("[\"`](sardinedock_[a-z_]*)")
 )
 
-// An alert is written from the page. A metric that has another name there than
-// in the program never rises, and nobody notices.
-func TestOperatingPageNamesEveryMetric(t *testing.T) {
+// Alerts are written from the page. An alert on a metric whose name on the page differs from
+// the one in the code never fires, and this goes unnoticed.
+func TestOperationsPageListsEveryMetric(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := map[string]bool{}
+	documented := map[string]bool{}
 	for _, name := range metricName.FindAllString(string(page), -1) {
-		told[name] = true
+		documented[name] = true
 	}
-	counted := metricsInCode(t)
-	if len(counted) == 0 {
+	defined := metricsInCode(t)
+	if len(defined) == 0 {
 		t.Fatal("no metric was found in the code")
 	}
-	for _, name := range slices.Sorted(maps.Keys(counted)) {
-		if !told[name] {
-			t.Errorf("%s of %s is missing in docs/OPERATIONS.md", name, counted[name])
+	for _, name := range slices.Sorted(maps.Keys(defined)) {
+		if !documented[name] {
+			t.Errorf("%s of %s is missing in docs/OPERATIONS.md", name, defined[name])
 		}
 	}
-	for _, name := range slices.Sorted(maps.Keys(told)) {
-		if counted[name] == "" {
-			t.Errorf("docs/OPERATIONS.md names %s, which no code counts", name)
+	for _, name := range slices.Sorted(maps.Keys(documented)) {
+		if defined[name] == "" {
+			t.Errorf("docs/OPERATIONS.md names %s, which is not defined in the code", name)
 		}
 	}
 }
 
-// metricsInCode returns each metric and a file that counts it.
+// metricsInCode returns the metrics defined in the code, each with a file that defines it.
 func metricsInCode(t *testing.T) map[string]string {
-	counted := map[string]string{}
+	defined := map[string]string{}
 	err := filepath.WalkDir("../..", func(path string, _ fs.DirEntry, err error) error {
 		if err != nil || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
@@ -60,12 +60,12 @@
 		}
 		for _, m := range quotedMetric.FindAllStringSubmatch(string(source), -1) {
 			if m[1] != apiPrefix {
-				counted[m[1]] = path
+				defined[m[1]] = path
 			}
 		}
 		if filepath.Base(filepath.Dir(path)) == "objectapi" {
 			for _, m := range apiCounter.FindAllStringSubmatch(string(source), -1) {
-				counted[apiPrefix+m[1]+"_total"] = path
+				defined[apiPrefix+m[1]+"_total"] = path
 			}
 		}
 		return nil
@@ -73,5 +73,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return counted
+	return defined
 }
--- a/internal/docs/settings_test.go
+++ b/internal/docs/settings_test.go
@@ -1,4 +1,4 @@
-// Package docs keeps the pages for operators true to the code.
+// Package docs tests that the documentation for operators matches the code.
 package docs
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-var refresh = flag.Bool("refresh", false, "write docs/SETTINGS.md anew")
+var refresh = flag.Bool("refresh", false, "regenerate docs/SETTINGS.md")
 
 const (
 	settingsPage = "../../docs/SETTINGS.md"
@@ -30,9 +30,9 @@
 `
 )
 
-// The page is read when the program is not at hand. One that names a field or
-// default which the program no longer has sends an operator the wrong way.
-func TestSettingsPageIsThatOfTheSchema(t *testing.T) {
+// Operators read the page without the program at hand. A field or default that the program no
+// longer has would mislead them.
+func TestSettingsPageMatchesTheSchema(t *testing.T) {
 	page := settingsHead +
 		section(t, "Settings of an instance", "settings.proto", settingspb.File_settings_proto) +
 		section(t, "Records", "records.proto", recordspb.File_records_proto) +
@@ -42,9 +42,9 @@
 			t.Fatal(err)
 		}
 	}
-	stands, err := os.ReadFile(settingsPage)
-	if err != nil || string(stands) != page {
-		t.Fatalf("docs/SETTINGS.md is not what the schema says (%v); run: go test ./internal/docs -refresh", err)
+	current, err := os.ReadFile(settingsPage)
+	if err != nil || string(current) != page {
+		t.Fatalf("docs/SETTINGS.md does not match the schema (%v); run: go test ./internal/docs -refresh", err)
 	}
 }
 
@@ -89,8 +89,8 @@
 	fieldLine   = regexp.MustCompile(`^\s+(?:repeated |optional )?[\w.]+ (\w+) = \d+`)
 )
 
-// fieldComments reads the comment above each field, since compiled schemas
-// leave comments out.
+// fieldComments reads the comment above each field from the source, since compiled schemas
+// contain no comments.
 func fieldComments(source string) map[protoreflect.Name]string {
 	comments := map[protoreflect.Name]string{}
 	var message string
--- a/internal/jsonscan/scan.go
+++ b/internal/jsonscan/scan.go
@@ -1,7 +1,6 @@
-// Package jsonscan reads the outline of long JSON texts: the fields of an
-// object and the elements of an array, as the bytes that they are written in.
-// It accepts what encoding/json accepts, at several times its speed, and leaves
-// the values undecoded.
+// Package jsonscan splits large JSON texts into the fields of an object or the elements of an
+// array without decoding the values. It accepts the same inputs as encoding/json, at several
+// times its speed.
 package jsonscan
 
 import (
@@ -11,12 +10,12 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// maxDepth bounds how deep values may be nested; it is encoding/json's bound.
+// maxDepth is the maximum nesting depth of values, the same as encoding/json's.
 const maxDepth = 10000
 
-// Fields calls field for each field of the object in data, in order, with the
-// decoded name and the value's bytes, which alias data. A name may come twice.
-// An error is of kind fault.BadRequest.
+// Fields calls field for each field of the object in data, in order, with the decoded name and
+// the value's bytes, which alias data. Duplicate names are passed on. Errors are of kind
+// fault.BadRequest.
 func Fields(data []byte, field func(name string, value []byte)) error {
 	s := scanner{data: data}
 	s.space()
@@ -26,7 +25,8 @@
 	return s.end()
 }
 
-// Elements calls element for each element of the array in data.
+// Elements calls element for each element of the array in data, with the element's bytes, which
+// alias data. Errors are of kind fault.BadRequest.
 func Elements(data []byte, element func(value []byte)) error {
 	s := scanner{data: data}
 	s.space()
@@ -36,8 +36,8 @@
 	return s.end()
 }
 
-// scanner is a position in a text. Its methods advance it and report whether
-// what they expect stood there.
+// scanner is a position in a JSON text. Its methods advance the position and report whether they
+// found the expected syntax.
 type scanner struct {
 	data  []byte
 	at    int
@@ -48,7 +48,7 @@
 	return fault.New(fault.BadRequest, "send JSON as the API defines it", "not the JSON expected, near byte %d", s.at)
 }
 
-// end checks that nothing but space is left.
+// end returns an error unless only white space is left.
 func (s *scanner) end() error {
 	s.space()
 	if s.at < len(s.data) {
@@ -68,8 +68,8 @@
 	}
 }
 
-// take advances over one byte if it stands there.
-func (s *scanner) take(c byte) bool {
+// consume advances past the next byte if it is c.
+func (s *scanner) consume(c byte) bool {
 	if s.at < len(s.data) && s.data[s.at] == c {
 		s.at++
 		return true
@@ -82,7 +82,7 @@
 		return false
 	}
 	s.space()
-	for first := true; !s.take('}'); first = false {
+	for first := true; !s.consume('}'); first = false {
 		if !first && !s.comma() {
 			return false
 		}
@@ -96,12 +96,12 @@
 
 func (s *scanner) field(field func(string, []byte)) bool {
 	from := s.at
-	if !s.text() {
+	if !s.str() {
 		return false
 	}
 	name := s.data[from:s.at]
 	s.space()
-	if !s.take(':') {
+	if !s.consume(':') {
 		return false
 	}
 	s.space()
@@ -122,7 +122,7 @@
 		return false
 	}
 	s.space()
-	for first := true; !s.take(']'); first = false {
+	for first := true; !s.consume(']'); first = false {
 		if !first && !s.comma() {
 			return false
 		}
@@ -141,11 +141,11 @@
 
 func (s *scanner) enter(c byte) bool {
 	s.depth++
-	return s.depth <= maxDepth && s.take(c)
+	return s.depth <= maxDepth && s.consume(c)
 }
 
 func (s *scanner) comma() bool {
-	if !s.take(',') {
+	if !s.consume(',') {
 		return false
 	}
 	s.space()
@@ -158,7 +158,7 @@
 	}
 	switch c := s.data[s.at]; {
 	case c == '"':
-		return s.text()
+		return s.str()
 	case c == '{':
 		return s.object(nil)
 	case c == '[':
@@ -182,18 +182,18 @@
 }
 
 func (s *scanner) number() bool {
-	s.take('-')
-	if !s.take('0') && !s.digits() {
+	s.consume('-')
+	if !s.consume('0') && !s.digits() {
 		return false
 	}
-	if s.take('.') && !s.digits() {
+	if s.consume('.') && !s.digits() {
 		return false
 	}
-	if !s.take('e') && !s.take('E') {
+	if !s.consume('e') && !s.consume('E') {
 		return true
 	}
-	if !s.take('+') {
-		s.take('-')
+	if !s.consume('+') {
+		s.consume('-')
 	}
 	return s.digits()
 }
@@ -206,13 +206,13 @@
 	return s.at > from
 }
 
-// text advances over a string.
-func (s *scanner) text() bool {
-	if !s.take('"') {
+// str advances past a string.
+func (s *scanner) str() bool {
+	if !s.consume('"') {
 		return false
 	}
 	for {
-		s.at += plain(s.data[s.at:])
+		s.at += plainLen(s.data[s.at:])
 		if s.at == len(s.data) {
 			return false
 		}
@@ -257,24 +257,25 @@
 	return true
 }
 
+// The lowest and the highest bit of each byte of a word.
 const (
-	lows  = 0x0101010101010101
-	highs = 0x8080808080808080
+	lowBits  = 0x0101010101010101
+	highBits = 0x8080808080808080
 )
 
-// plain returns how many bytes stand before the first quote, backslash or
-// control character. It looks at eight bytes at a time: prompts are hundreds
-// of kilobytes of almost nothing else.
-func plain(b []byte) int {
+// plainLen returns the number of bytes before the first quote, backslash or control character.
+// It examines eight bytes at a time, since prompts are hundreds of kilobytes of almost nothing
+// else.
+func plainLen(b []byte) int {
 	n := 0
 	for ; len(b)-n >= 8; n += 8 {
 		x := binary.LittleEndian.Uint64(b[n:])
-		quote := x ^ lows*'"'
-		slash := x ^ lows*'\\'
-		found := (x - lows*0x20) &^ x
-		found |= (quote - lows) &^ quote
-		found |= (slash - lows) &^ slash
-		if found &= highs; found != 0 {
+		quote := x ^ lowBits*'"'
+		slash := x ^ lowBits*'\\'
+		found := (x - lowBits*0x20) &^ x
+		found |= (quote - lowBits) &^ quote
+		found |= (slash - lowBits) &^ slash
+		if found &= highBits; found != 0 {
 			return n + bits.TrailingZeros64(found)/8
 		}
 	}
--- a/internal/jsonscan/scan_test.go
+++ b/internal/jsonscan/scan_test.go
@@ -5,10 +5,9 @@
 	"testing"
 )
 
-// Engines decode the body with a JSON library of their own. A field that the
-// router reads otherwise than they do, such as another organisation's cache
-// salt behind a crooked quote, would slip past it. So the scanner has to agree
-// with the standard library on every input.
+// Engines decode the body with their own JSON library. A field that the router parses
+// differently, such as another organisation's cache salt after a malformed quote, would bypass
+// its checks. So the scanner must agree with the standard library on every input.
 func FuzzFields(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","prompt":"a\nb\"c\\","n":-1.5e+3,"x":[1,{"y":null}],"model":"k"}`,
@@ -27,7 +26,7 @@
 			wantErr = json.Unmarshal([]byte("x"), &want)
 		}
 		if (err == nil) != (wantErr == nil) {
-			t.Fatalf("%q: %v, the library: %v", data, err, wantErr)
+			t.Fatalf("%q: %v, encoding/json: %v", data, err, wantErr)
 		}
 		if err != nil {
 			return
@@ -44,7 +43,7 @@
 	})
 }
 
-// checkValue compares strings and arrays inside.
+// checkValue compares Unquote and Elements with the standard library on one value.
 func checkValue(t *testing.T, value []byte) {
 	t.Helper()
 	var text string
--- a/internal/jsonscan/unquote.go
+++ b/internal/jsonscan/unquote.go
@@ -5,17 +5,17 @@
 	"unicode/utf8"
 )
 
-// Unquote decodes a JSON string; value must be valid JSON. A text without
-// escapes aliases value. ok is false where value is no string.
+// Unquote decodes a JSON string; value must be valid JSON. The result aliases value if the
+// string has no escapes. ok is false if value is not a string.
 func Unquote(value []byte) (text []byte, ok bool) {
 	if len(value) < 2 || value[0] != '"' {
 		return nil, false
 	}
 	body := value[1 : len(value)-1]
 	if !utf8.Valid(body) {
-		return slow(value)
+		return unquoteStd(value)
 	}
-	n := plain(body)
+	n := plainLen(body)
 	if n == len(body) {
 		return body, true
 	}
@@ -28,15 +28,15 @@
 		}
 		c, simple := unescape(body)
 		if !simple {
-			return slow(value)
+			return unquoteStd(value)
 		}
 		out = append(out, c)
 		body = body[2:]
-		n = plain(body)
+		n = plainLen(body)
 	}
 }
 
-// unescape decodes an escape of two bytes.
+// unescape decodes a two-byte escape at the start of b.
 func unescape(b []byte) (c byte, simple bool) {
 	if len(b) < 2 || b[0] != '\\' {
 		return 0, false
@@ -58,8 +58,8 @@
 	return 0, false
 }
 
-// slow leaves code points, broken UTF-8 and errors to the standard library.
-func slow(value []byte) ([]byte, bool) {
+// unquoteStd decodes \u escapes, invalid UTF-8 and erroneous strings with encoding/json.
+func unquoteStd(value []byte) ([]byte, bool) {
 	var text string
 	if json.Unmarshal(value, &text) != nil {
 		return nil, false
