--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -1,5 +1,5 @@
-// Package sockstate asks a socket, without waiting and without taking data
-// from it, whether its other end has closed it.
+// Package sockstate checks, without blocking and without consuming data, whether the peer has
+// closed a connection. It also sets the TCP user timeout of sockets.
 package sockstate
 
 import (
@@ -8,22 +8,21 @@
 	"syscall"
 )
 
-// State is what a socket shows.
+// State is the state of a socket as seen from this end.
 type State int
 
 // The states.
 const (
-	// Quiet sockets are open and hold nothing to read. Sockets that can't be
-	// asked count as quiet.
+	// Quiet sockets are open with no data to read. Connections that don't give access to a
+	// socket count as quiet.
 	Quiet State = iota
-	// Readable sockets are open and hold data.
+	// Readable sockets are open with data to read.
 	Readable
-	// Closed sockets were closed or reset by the other end.
+	// Closed sockets were closed or reset by the peer.
 	Closed
 )
 
-// Of returns the state of a connection. It may be called while other
-// goroutines read or write.
+// Of returns the state of a connection. It may be called concurrently with reads and writes.
 func Of(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/sockstate/timeout_linux.go
+++ b/internal/sockstate/timeout_linux.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall lacks.
+// tcpUserTimeout is Linux's TCP_USER_TIMEOUT, which package syscall does not define.
 const tcpUserTimeout = 18
 
-// UserTimeout returns a control function for net.Dialer and net.ListenConfig.
-// A connection whose sent data the other end does not confirm within the bound
-// is then broken. Where something in between has forgotten a connection, small
-// writes go on to succeed into the socket's buffer for minutes, and keep-alive
-// probes are not sent while data is unconfirmed; only this bound notices.
-// Connections that a listener accepts inherit it.
-func UserTimeout(bound time.Duration) func(network, address string, c syscall.RawConn) error {
+// UserTimeout returns a Control function for net.Dialer and net.ListenConfig that sets
+// TCP_USER_TIMEOUT: the kernel closes a connection whose sent data is not acknowledged within
+// timeout. When a middlebox has dropped a connection's state, small writes still succeed into
+// the socket's buffer for minutes, and keep-alive probes are not sent while data is
+// unacknowledged, so only this timeout detects the failure. Accepted connections inherit it from
+// their listener.
+func UserTimeout(timeout time.Duration) func(network, address string, c syscall.RawConn) error {
 	return func(_, _ string, c syscall.RawConn) error {
 		var err error
-		ctrl := c.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(bound.Milliseconds()))
+		ctrlErr := c.Control(func(fd uintptr) {
+			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(timeout.Milliseconds()))
 		})
-		if ctrl != nil {
-			return ctrl
+		if ctrlErr != nil {
+			return ctrlErr
 		}
 		return err
 	}
--- a/internal/sockstate/timeout_linux_test.go
+++ b/internal/sockstate/timeout_linux_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// A caller's connection is forgotten by something in between. What bounds the
-// wait for it is set on the listener and has to reach each connection.
-func TestAcceptedConnectionsInheritTheBound(t *testing.T) {
-	const bound = 7 * time.Second
-	lc := net.ListenConfig{Control: UserTimeout(bound)}
+// A middlebox drops the state of a caller's connection. The timeout that detects this is set on
+// the listener and must apply to each accepted connection.
+func TestAcceptedConnectionsInheritUserTimeout(t *testing.T) {
+	const timeout = 7 * time.Second
+	lc := net.ListenConfig{Control: UserTimeout(timeout)}
 	ln, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = ln.Close() }()
-	d := net.Dialer{Control: UserTimeout(bound)}
+	d := net.Dialer{Control: UserTimeout(timeout)}
 	near, err := d.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -30,8 +30,8 @@
 	}
 	defer func() { _ = far.Close() }()
 	for name, c := range map[string]net.Conn{"dialled": near, "accepted": far} {
-		if got := userTimeout(t, c); got != bound {
-			t.Errorf("%s connection: bound %v, want %v", name, got, bound)
+		if got := userTimeout(t, c); got != timeout {
+			t.Errorf("%s connection: user timeout %v, want %v", name, got, timeout)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// A caller closes its connection while nothing is written to it.
+// A caller closes its connection while nothing is written to it, so no write error shows it.
 func TestStates(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	var one [1]byte
 	if n, err := far.Read(one[:]); n != 1 || err != nil {
-		t.Fatalf("looking took the data away: %d, %v", n, err)
+		t.Fatalf("Of consumed the data: read %d, %v", n, err)
 	}
 	_ = near.Close()
 	for Of(far) == Quiet {
--- a/internal/sockstate/timeout_other.go
+++ b/internal/sockstate/timeout_other.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// UserTimeout does nothing where the system has no such bound.
+// UserTimeout returns nil: it is only implemented on Linux.
 func UserTimeout(time.Duration) func(network, address string, c syscall.RawConn) error {
 	return nil
 }
--- a/internal/startsignal/startsignal.go
+++ b/internal/startsignal/startsignal.go
@@ -1,10 +1,10 @@
-// Package startsignal keeps a program that is starting from dying of SIGHUP. A program that
-// imports it ignores the signal from before its first line of Go, until it asks for it.
+// Package startsignal keeps SIGHUP from killing a program that is starting. A program that
+// imports it ignores the signal from before the Go runtime starts until it calls signal.Notify.
 //
-// Failure: the platform changes the settings of a process that it has just started, and says
-// so by SIGHUP. Until a program asks for that signal it ends of it, and a Go program comes to
-// ask only once all its packages are initialised, some ms after its start and more on a busy
-// machine. The process is seen to end by itself, without a line in its log.
+// The platform sends SIGHUP when it changes the settings of a process, which it may have just
+// started. The default action of the signal kills the process, and a Go program can install a
+// handler only after its packages are initialised: some ms after its start, longer on a busy
+// machine. Such a process dies without a line in its log.
 package startsignal
 
 /*
--- a/internal/yamlpb/check.go
+++ b/internal/yamlpb/check.go
@@ -15,10 +15,10 @@
 	"github.com/sardinedock/sardinedock/schema/options"
 )
 
-// recordName is what a record's name may look like; it ends up in URL paths.
+// recordName matches valid names of records, which are used in URL paths.
 var recordName = regexp.MustCompile(`^[a-z0-9]([a-z0-9.:_-]*[a-z0-9])?$`)
 
-// validate returns the shared validator with the rules of our own.
+// validate returns the shared validator with this package's additional rules.
 var validate = sync.OnceValue(func() *validator.Validate {
 	v := validator.New()
 	mustRegister(v, "hostport_ip", isAddrPort)
@@ -34,7 +34,7 @@
 	}
 }
 
-// isAddrPort accepts IP:port only: instances do not resolve names.
+// isAddrPort accepts IP:port only, since instances do not resolve host names.
 func isAddrPort(fl validator.FieldLevel) bool {
 	host, port, err := net.SplitHostPort(fl.Field().String())
 	if err != nil {
@@ -47,7 +47,7 @@
 	return err == nil && n <= 65535
 }
 
-// check fills in the defaults and applies the rules of one message.
+// check fills in the defaults of a message and applies the rules of its fields.
 func (d *decoder) check(path string, msg protoreflect.Message) {
 	fields := msg.Descriptor().Fields()
 	for i := range fields.Len() {
@@ -77,6 +77,7 @@
 	}
 }
 
+// written reports whether the field occurs in the file.
 func (d *decoder) written(path string) bool {
 	return d.lines.find(path) != 0
 }
@@ -109,7 +110,8 @@
 	return rule
 }
 
-// goValue returns a field as the plain Go value that the validator reads.
+// goValue returns a field's value as a type that the validator supports. Of lists of other types
+// than strings it keeps the length only.
 func goValue(value protoreflect.Value, field protoreflect.FieldDescriptor) any {
 	if !field.IsList() {
 		return value.Interface()
@@ -125,8 +127,8 @@
 	return texts
 }
 
-// defaultValue converts the text of a default. A default that does not parse
-// is a mistake in the schema, found by the first test that uses the field.
+// defaultValue parses the text of a default. It panics if the text is invalid, which is a mistake
+// in the schema that the first test to use the field finds.
 func defaultValue(field protoreflect.FieldDescriptor, text string) protoreflect.Value {
 	switch field.Kind() {
 	case protoreflect.StringKind:
--- a/internal/yamlpb/scalar.go
+++ b/internal/yamlpb/scalar.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// scalar converts one YAML value to the field's type.
+// scalar converts a YAML value to the field's type. It reports false after recording a fault.
 func (d *decoder) scalar(path string, node ast.Node, field protoreflect.FieldDescriptor) (protoreflect.Value, bool) {
 	switch field.Kind() {
 	case protoreflect.StringKind:
--- a/internal/yamlpb/yamlpb.go
+++ b/internal/yamlpb/yamlpb.go
@@ -1,6 +1,6 @@
-// Package yamlpb reads YAML into protobuf messages and checks the values by
-// the rules that the schema states. It reports every fault of a file at once,
-// each with its line, its field path and a remedy.
+// Package yamlpb decodes YAML into protobuf messages and validates the values by the rules in
+// the schema. It reports all faults of a file at once, each with its line, field path and
+// remedy.
 package yamlpb
 
 import (
@@ -13,15 +13,15 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
-	// Line counts from 1; 0 means that the fault has no line of its own.
+	// Line is the line number, from 1; 0 if the fault belongs to no line.
 	Line int
-	// Path is the field, such as "listen.callers" or "pool.endpoints[2]".
+	// Path is the path of the field, such as "listen.callers" or "pool.endpoints[2]".
 	Path string
-	// Found is what the file says.
+	// Found describes what was found in the file.
 	Found string
-	// Remedy is what to write instead.
+	// Remedy says what to write instead.
 	Remedy string
 }
 
@@ -38,8 +38,8 @@
 	return b.String()
 }
 
-// DecodeOne reads a YAML file that has to hold one document, and returns nil with
-// the faults, for which remedy says what to write, where it does not.
+// DecodeOne decodes a YAML file with exactly one document. For any other number of documents it
+// returns a nil message and a fault with the given remedy.
 func DecodeOne[M proto.Message](data []byte, newMessage func() M, remedy string) (M, []Fault) {
 	documents, faults := Decode(data, func() proto.Message { return newMessage() })
 	if len(documents) != 1 {
@@ -49,9 +49,8 @@
 	return documents[0].(M), faults
 }
 
-// Decode reads the documents of a YAML file. For each document newMessage
-// makes the message to fill. Messages are returned also where there are
-// faults; they are then not to be used.
+// Decode decodes the documents of a YAML file, each into a message from newMessage. If there are
+// faults, the messages are incomplete and must not be used.
 func Decode(data []byte, newMessage func() proto.Message) ([]proto.Message, []Fault) {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
@@ -73,7 +72,7 @@
 	return messages, faults
 }
 
-// Check fills in defaults and checks a message that did not come from YAML.
+// Check fills in the defaults of a message that was not read from YAML, and validates it.
 func Check(msg proto.Message) []Fault {
 	d := decoder{}
 	d.check("", msg.ProtoReflect())
@@ -85,13 +84,13 @@
 	return line
 }
 
-// decoder collects the faults of one document.
+// decoder decodes one document and collects its faults.
 type decoder struct {
 	faults []Fault
 	lines  fieldLines
 }
 
-// fieldLines remembers on which line each field path stands.
+// fieldLines records the line number of each field path.
 type fieldLines struct {
 	paths []string
 	lines []int
--- a/internal/yamlpb/yamlpb_test.go
+++ b/internal/yamlpb/yamlpb_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestDecodeNamesEachFault(t *testing.T) {
+func TestDecodeReportsFaultWithPathAndRemedy(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -65,9 +65,9 @@
 	}
 }
 
-// A pool that keeps no slots for urgent requests is written with an explicit
-// zero. If the way through the object API's JSON lost it, the default would
-// come back and the pool would run with fewer slots than its record says.
+// A pool without slots reserved for urgent requests is written with an explicit zero. If
+// encoding it as the object API's JSON lost the zero, the default would apply and the pool would
+// run with fewer slots than its record says.
 func TestExplicitZeroSurvivesTheObjectAPI(t *testing.T) {
 	r, faults := decode(t, "schema_version: 1\nname: a\npool: {urgent_slots: 0}")
 	if faults != "" {
