--- a/internal/jsonscan/scan.go
+++ b/internal/jsonscan/scan.go
@@ -110,8 +110,8 @@
 		return false
 	}
 	if field != nil {
-		text, _ := Unquote(name)
-		field(string(text), s.data[from:s.at])
+		str, _ := Unquote(name)
+		field(string(str), s.data[from:s.at])
 	}
 	s.space()
 	return true
--- a/internal/slopes/ask.go
+++ b/internal/slopes/ask.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	// askRequests is how many requests are placed one after the other.
+	// askRequests is the number of requests that are placed one after the other.
 	askRequests = 3000
-	// blockTokens is the block size of the pools.
+	// blockTokens is the block size of the pools in tokens.
 	blockTokens = 64
 )
 
-// placer is one instance's placing, with or without connections.
-type placer struct {
+// placementNode is the request placement of one instance, with its server and client for peers.
+type placementNode struct {
 	fleetpb.DRPCFleetUnimplementedServer
 	fleet   *place.Fleet
 	traffic *transport.Traffic
@@ -39,28 +39,28 @@
 }
 
 // Ask implements the Fleet service.
-func (p *placer) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
+func (p *placementNode) Ask(ctx context.Context, in *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	return p.fleet.Ask(ctx, in)
 }
 
 // Report implements the Fleet service.
-func (p *placer) Report(ctx context.Context, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error) {
+func (p *placementNode) Report(ctx context.Context, in *fleetpb.ReportRequest) (*fleetpb.ReportReply, error) {
 	return p.fleet.Report(ctx, in)
 }
 
-func startPlacer(ctx context.Context, name string) (*placer, error) {
+func startPlacementNode(ctx context.Context, name string) (*placementNode, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	p := &placer{traffic: &transport.Traffic{}, address: ln.Addr().String()}
-	duty := place.NewOwnerServer(place.OwnerServerConfig{
+	p := &placementNode{traffic: &transport.Traffic{}, address: ln.Addr().String()}
+	ownerServer := place.NewOwnerServer(place.OwnerServerConfig{
 		Self: name, Clock: clock.System{}, FirstGrantID: 1, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
 	p.fleet = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: name, Incarnation: uint64(time.Now().UnixNano())},
-		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), OwnerServer: duty,
+		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), OwnerServer: ownerServer,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
 	})
 	server, err := transport.NewServer(fleetName, p, nil, p.traffic)
@@ -68,13 +68,13 @@
 		return nil, err
 	}
 	go server.Serve(ctx, ln)
-	go duty.Run(ctx)
+	go ownerServer.Run(ctx)
 	go p.fleet.Run(ctx)
 	return p, nil
 }
 
-// viewOf is a list of members, self first, that all may own endpoints.
-func viewOf(self string, names []string, addresses []string) *member.View {
+// memberView returns a view in which all the named members are alive and may own endpoints.
+func memberView(self string, names []string, addresses []string) *member.View {
 	v := &member.View{Self: self}
 	for i, name := range names {
 		v.Members = append(v.Members, member.Member{
@@ -107,8 +107,8 @@
 	})
 }
 
-// chain is a prompt's blocks: all share the first half.
-func chain(blocks, request int) []prefix.Hash {
+// promptBlocks returns the block hashes of a prompt. The first half is the same in all requests.
+func promptBlocks(blocks, request int) []prefix.Hash {
 	list := make([]prefix.Hash, blocks)
 	for i := range list {
 		binary.LittleEndian.PutUint64(list[i][:], uint64(i+1))
@@ -123,45 +123,45 @@
 	return place.Request{
 		ID: fmt.Sprintf("req-%d", i), Organisation: "accra", PoolName: "engines", Model: "counter", Version: "1",
 		Class:  &recordspb.RequestClass{MaxWaitMs: 20000, TimeoutMs: 60000},
-		Blocks: chain(blocks, i), PromptTokens: int64(blocks * blockTokens), MaxTokens: 100,
+		Blocks: promptBlocks(blocks, i), PromptTokens: int64(blocks * blockTokens), MaxTokens: 100,
 	}
 }
 
-// measureAsk places requests whose endpoints another instance owns.
+// measureAsk measures placing requests on endpoints that another instance owns.
 func measureAsk(_ Options, out io.Writer) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	entry, err := startPlacer(ctx, "entry")
+	entry, err := startPlacementNode(ctx, "entry")
 	if err != nil {
 		return err
 	}
-	other, err := startPlacer(ctx, "other")
+	other, err := startPlacementNode(ctx, "other")
 	if err != nil {
 		return err
 	}
-	// The entry is not among the owners, so that each ask goes over the wire.
+	// The entry is not an owner, so that each Ask goes over the network.
 	names, addresses := []string{"other"}, []string{other.address}
 	for _, p := range []struct {
-		p    *placer
+		p    *placementNode
 		self string
 	}{{entry, "entry"}, {other, "other"}} {
-		p.p.fleet.SetView(ctx, viewOf(p.self, names, addresses))
+		p.p.fleet.SetView(ctx, memberView(p.self, names, addresses))
 		p.p.fleet.SetRecords(ctx, poolRecord(9))
 	}
 	fmt.Fprintf(out, "ask and reports of one request over loopback, %d requests one by one\n", askRequests)
 	fmt.Fprintf(out, "%7s %9s %9s %12s %14s %14s %8s\n", "blocks", "p50", "p99", "with owner", "entry sent B", "entry recv B", "cpu us")
 	for _, blocks := range []int{8, 64, 256} {
-		if err := askWith(ctx, out, entry, blocks); err != nil {
+		if err := measureAskBlocks(ctx, out, entry, blocks); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func askWith(ctx context.Context, out io.Writer, entry *placer, blocks int) error {
+func measureAskBlocks(ctx context.Context, out io.Writer, entry *placementNode, blocks int) error {
 	var took []time.Duration
 	owned := 0
-	used, sent, received := cpu(), entry.traffic.Sent.Load(), entry.traffic.Received.Load()
+	startCPU, sent, received := cpuTime(), entry.traffic.Sent.Load(), entry.traffic.Received.Load()
 	for i := range askRequests {
 		r := requestOf(blocks<<20+i, blocks)
 		begin := time.Now()
@@ -176,8 +176,8 @@
 		entry.fleet.FirstToken(g, 0, time.Millisecond)
 		entry.fleet.Done(g, place.Result{End: place.EndDone, OutputTokens: 100})
 	}
-	time.Sleep(100 * time.Millisecond) // the last reports
-	spent := cpu() - used
+	time.Sleep(100 * time.Millisecond) // until the last reports are sent
+	spent := cpuTime() - startCPU
 	slices.Sort(took)
 	n := float64(askRequests)
 	fmt.Fprintf(out, "%7d %9v %9v %12d %14.0f %14.0f %8.1f\n", blocks, quantile(took, 0.5).Round(time.Microsecond), quantile(took, 0.99).Round(time.Microsecond),
--- a/internal/slopes/change.go
+++ b/internal/slopes/change.go
@@ -18,35 +18,35 @@
 )
 
 const (
-	changeInstances = 8
-	changePoll      = time.Millisecond
-	// maxSeeds is how many of the first instances the others know.
-	maxSeeds    = 3
-	changeBound = 30 * time.Second
-	// betweenChanges keeps a change from riding on the messages of the last.
-	betweenChanges = 150 * time.Millisecond
+	changeInstances    = 8
+	changePollInterval = time.Millisecond
+	// maxSeeds is the number of first instances that the others get as seeds.
+	maxSeeds      = 3
+	changeTimeout = 30 * time.Second
+	// changePause keeps a change from being sent along with messages about the previous one.
+	changePause = 150 * time.Millisecond
 )
 
-// measureChange times an operator's change until it is in force at all of
-// eight instances: with the object API in reach of all, and of half of them.
+// measureChange measures how long an operator's change takes to be in force at all of eight
+// instances, with the object API reachable from all of them and from half of them.
 func measureChange(o Options, out io.Writer) error {
 	fmt.Fprintf(out, "change in force at all of %d instances, %d changes\n", changeInstances, o.Changes)
 	fmt.Fprintf(out, "%24s %10s %10s %10s\n", "object API in reach of", "p50", "p99", "slowest")
 	for _, reach := range []int{changeInstances, changeInstances / 2} {
-		if err := changeWith(o, out, reach); err != nil {
+		if err := measureChangeReach(o, out, reach); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func changeWith(o Options, out io.Writer, reach int) error {
+func measureChangeReach(o Options, out io.Writer, reach int) error {
 	store, err := emulator.StartStore("127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	defer func() { _ = store.Close() }()
-	if err := setWait(store, 1); err != nil {
+	if err := setMaxWait(store, 1); err != nil {
 		return err
 	}
 	list, err := startInstances(store.Addr(), changeInstances, reach)
@@ -58,14 +58,14 @@
 	for n := range o.Changes {
 		wait := int64(n + 2)
 		begin := time.Now()
-		if err := setWait(store, wait); err != nil {
+		if err := setMaxWait(store, wait); err != nil {
 			return err
 		}
-		if err := awaitWait(list, wait); err != nil {
+		if err := awaitMaxWait(list, wait); err != nil {
 			return err
 		}
 		took = append(took, time.Since(begin))
-		time.Sleep(betweenChanges)
+		time.Sleep(changePause)
 	}
 	slices.Sort(took)
 	fmt.Fprintf(out, "%24d %10v %10v %10v\n", reach, quantile(took, 0.5).Round(time.Millisecond),
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// setWait edits the record that is followed.
-func setWait(store *emulator.Store, wait int64) error {
+// setMaxWait writes the class record whose propagation is timed.
+func setMaxWait(store *emulator.Store, wait int64) error {
 	r := &recordspb.Record{SchemaVersion: 1, Name: "quote", Spec: &recordspb.Record_Class{
 		Class: &recordspb.RequestClass{MaxWaitMs: wait, TimeoutMs: 1000},
 	}}
@@ -85,21 +85,21 @@
 	return err
 }
 
-// startInstances starts the instances; those from reach on are given an
-// address of the object API where nobody answers.
+// startInstances starts count instances. Only the first reach of them can reach the object API;
+// the others are given an address where nothing listens.
 func startInstances(store string, count, reach int) ([]*instance.Instance, error) {
-	nobody, err := net.Listen("tcp", "127.0.0.1:0")
+	unused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	dead := nobody.Addr().String()
-	_ = nobody.Close()
+	unreachable := unused.Addr().String()
+	_ = unused.Close()
 	var list []*instance.Instance
 	var seeds []string
 	for k := range count {
 		address := store
 		if k >= reach {
-			address = dead
+			address = unreachable
 		}
 		text := fmt.Sprintf("fleet: slopes\ninstance: entry-%d\ndata_centre: accra-1\nplatform: {address: %q}\nseeds: [%s]\n"+
 			"listen: {callers: \"127.0.0.1:0\", admin: \"127.0.0.1:0\", fleet: \"127.0.0.1:0\"}\n", k, address, strings.Join(seeds, ", "))
@@ -116,7 +116,7 @@
 			seeds = append(seeds, fmt.Sprintf("%q", i.Fleet()))
 		}
 	}
-	return list, awaitWait(list, 1)
+	return list, awaitMaxWait(list, 1)
 }
 
 func stopInstances(list []*instance.Instance) {
@@ -125,10 +125,11 @@
 	}
 }
 
-// awaitWait returns once the change is in force at all instances.
-func awaitWait(list []*instance.Instance, wait int64) error {
-	for begin := time.Now(); ; time.Sleep(changePoll) {
-		behind := slices.ContainsFunc(list, func(i *instance.Instance) bool {
+// awaitMaxWait returns once the change is in force at all instances, or an error after
+// changeTimeout.
+func awaitMaxWait(list []*instance.Instance, wait int64) error {
+	for begin := time.Now(); ; time.Sleep(changePollInterval) {
+		pending := slices.ContainsFunc(list, func(i *instance.Instance) bool {
 			s := i.Records()
 			if s == nil {
 				return true
@@ -136,11 +137,11 @@
 			c, ok := s.Class("quote")
 			return !ok || c.GetMaxWaitMs() != wait
 		})
-		if !behind {
+		if !pending {
 			return nil
 		}
-		if time.Since(begin) > changeBound {
-			return fault.New(fault.Internal, "look at the instances' logs", "change %d is not in force everywhere after %v", wait, changeBound)
+		if time.Since(begin) > changeTimeout {
+			return fault.New(fault.Internal, "look at the instances' logs", "change %d is not in force everywhere after %v", wait, changeTimeout)
 		}
 	}
 }
--- a/internal/slopes/connection.go
+++ b/internal/slopes/connection.go
@@ -11,28 +11,28 @@
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
-// answering refuses every ask.
-type answering struct {
+// refusingServer refuses every Ask.
+type refusingServer struct {
 	fleetpb.DRPCFleetUnimplementedServer
 }
 
-func (*answering) Ask(context.Context, *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
+func (*refusingServer) Ask(context.Context, *fleetpb.AskRequest) (*fleetpb.AskReply, error) {
 	return &fleetpb.AskReply{Refusal: "endpoint"}, nil
 }
 
-// measureConnection prints what an idle connection between two instances holds
-// of the heap and the stacks, both ends together.
+// measureConnection prints the heap and stack memory of an idle connection between two instances,
+// both ends together.
 func measureConnection(_ Options, out io.Writer) error {
 	fmt.Fprintf(out, "idle connections between instances\n%12s %22s\n", "connections", "bytes each, both ends")
 	for _, n := range []int{100, 400, 800} {
-		if err := connect(out, n); err != nil {
+		if err := measureConnectionCount(out, n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func connect(out io.Writer, n int) error {
+func measureConnectionCount(out io.Writer, n int) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -40,12 +40,12 @@
 		return err
 	}
 	traffic := &transport.Traffic{}
-	server, err := transport.NewServer(fleetName, &answering{}, nil, traffic)
+	server, err := transport.NewServer(fleetName, &refusingServer{}, nil, traffic)
 	if err != nil {
 		return err
 	}
 	go server.Serve(ctx, ln)
-	before := heap()
+	before := heapInUse()
 	clients := make([]*transport.Client, n)
 	for i := range clients {
 		clients[i] = transport.NewClient(transport.DialTCP, nil, traffic)
@@ -55,6 +55,6 @@
 			return err
 		}
 	}
-	fmt.Fprintf(out, "%12d %22.0f\n", n, float64(heap()-before)/float64(n))
+	fmt.Fprintf(out, "%12d %22.0f\n", n, float64(heapInUse()-before)/float64(n))
 	return nil
 }
--- a/internal/slopes/exchange.go
+++ b/internal/slopes/exchange.go
@@ -19,23 +19,23 @@
 
 const (
 	fleetName = "slopes"
-	// recordBytes is the size of a record of an organisation.
+	// recordBytes is the size of an organisation's record.
 	recordBytes = 400
-	// settle is how long a fleet is left alone before it is measured.
-	settle = 12 * time.Second
-	// headerBytes is what a TCP segment has beside its payload.
+	// settleTime is how long a new fleet runs before it is measured.
+	settleTime = 12 * time.Second
+	// headerBytes is the size of a TCP segment's headers, including IP and Ethernet.
 	headerBytes = 66
 )
 
-// node is one instance without callers.
+// node is the fleet membership and exchange of one instance, without request traffic.
 type node struct {
 	fleetpb.DRPCFleetUnimplementedServer
 	node    *fleet.Node
 	client  *transport.Client
 	traffic *transport.Traffic
 	address string
-	// heard is the highest version of the followed record here.
-	heard atomic.Uint64
+	// followedVersion is the highest version of followedRecord known to this node.
+	followedVersion atomic.Uint64
 }
 
 // Exchange implements the Fleet service.
@@ -44,7 +44,7 @@
 }
 
 // startNode serves and runs one node until ctx ends.
-func startNode(ctx context.Context, open *sync.WaitGroup, i int, seeds []string) (*node, error) {
+func startNode(ctx context.Context, wg *sync.WaitGroup, i int, seeds []string) (*node, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -61,8 +61,8 @@
 		Complete: func() bool { return true },
 		Changed: func(items []exchange.Item) {
 			for _, it := range items {
-				if it.Key.Name == followed {
-					n.heard.Store(it.Version)
+				if it.Key.Name == followedRecord {
+					n.followedVersion.Store(it.Version)
 				}
 			}
 		},
@@ -71,18 +71,18 @@
 	if err != nil {
 		return nil, err
 	}
-	open.Go(func() { server.Serve(ctx, ln) })
-	open.Go(func() { n.node.Run(ctx) })
+	wg.Go(func() { server.Serve(ctx, ln) })
+	wg.Go(func() { n.node.Run(ctx) })
 	return n, nil
 }
 
-// startNodes starts n nodes; the first is the seed of the others, and each
-// holds the same items.
-func startNodes(ctx context.Context, open *sync.WaitGroup, count int, items []exchange.Item) ([]*node, error) {
+// startNodes starts count nodes that hold the same items. The first node is the seed of the
+// others.
+func startNodes(ctx context.Context, wg *sync.WaitGroup, count int, items []exchange.Item) ([]*node, error) {
 	var nodes []*node
 	var seeds []string
 	for i := range count {
-		n, err := startNode(ctx, open, i, seeds)
+		n, err := startNode(ctx, wg, i, seeds)
 		if err != nil {
 			return nil, err
 		}
@@ -99,8 +99,8 @@
 	return nodes, nil
 }
 
-// someItems are states of endpoints and records as the target has them.
-func someItems(endpoints, records int) []exchange.Item {
+// syntheticItems returns items for endpoints and records, of the sizes at the target.
+func syntheticItems(endpoints, records int) []exchange.Item {
 	var items []exchange.Item
 	for i := range endpoints {
 		key := exchange.Key{Kind: fleetpb.ItemKind_ITEM_KIND_ENDPOINT, Name: fmt.Sprintf("engine-%04d", i)}
@@ -113,11 +113,11 @@
 	return items
 }
 
-// counts sums up the traffic of nodes.
-type counts struct{ sent, received, segments uint64 }
+// trafficCounts is the summed traffic of several nodes: bytes sent and received, and segments.
+type trafficCounts struct{ sent, received, segments uint64 }
 
-func total(nodes []*node) counts {
-	var c counts
+func trafficOfNodes(nodes []*node) trafficCounts {
+	var c trafficCounts
 	for _, n := range nodes {
 		c.sent += n.traffic.Sent.Load()
 		c.received += n.traffic.Received.Load()
@@ -126,6 +126,7 @@
 	return c
 }
 
+// measureExchange measures the traffic, CPU time and memory of the exchange when nothing changes.
 func measureExchange(o Options, out io.Writer) error {
 	fmt.Fprintf(out, "exchange at rest, %d endpoints and %d records held, %v each\n", o.Endpoints, o.Records, o.Rest)
 	fmt.Fprintf(out, "%9s %12s %12s %14s %12s %12s %10s\n", "instances", "sent B/s", "received B/s", "with headers", "cpu % core", "heap MB", "members")
@@ -139,22 +140,22 @@
 
 func exchangeAtRest(o Options, out io.Writer, size int) error {
 	ctx, cancel := context.WithCancel(context.Background())
-	var open sync.WaitGroup
-	defer open.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer cancel()
-	before := heap()
-	nodes, err := startNodes(ctx, &open, size, someItems(o.Endpoints, o.Records))
+	before := heapInUse()
+	nodes, err := startNodes(ctx, &wg, size, syntheticItems(o.Endpoints, o.Records))
 	if err != nil {
 		return err
 	}
-	time.Sleep(settle)
-	memory := float64(heap()-before) / float64(size) / (1 << 20)
-	begin, used, was := time.Now(), cpu(), total(nodes)
+	time.Sleep(settleTime)
+	memory := float64(heapInUse()-before) / float64(size) / (1 << 20)
+	begin, startCPU, startTraffic := time.Now(), cpuTime(), trafficOfNodes(nodes)
 	time.Sleep(o.Rest)
 	seconds := time.Since(begin).Seconds() * float64(size)
-	now, spent := total(nodes), cpu()-used
-	sent, received := float64(now.sent-was.sent)/seconds, float64(now.received-was.received)/seconds
-	headers := float64(now.segments-was.segments) / seconds * headerBytes
+	now, spent := trafficOfNodes(nodes), cpuTime()-startCPU
+	sent, received := float64(now.sent-startTraffic.sent)/seconds, float64(now.received-startTraffic.received)/seconds
+	headers := float64(now.segments-startTraffic.segments) / seconds * headerBytes
 	fmt.Fprintf(out, "%9d %12.0f %12.0f %14.0f %12.3f %12.2f %10d\n", size, sent, received, sent+received+headers,
 		100*spent.Seconds()/seconds, memory, len(nodes[size-1].node.View().Owners))
 	return nil
--- a/internal/slopes/instance.go
+++ b/internal/slopes/instance.go
@@ -12,22 +12,21 @@
 )
 
 const (
-	// maxInstances bounds the whole instances in one process; with the engines
-	// that each follows, maxWithEngines, so that the open files of a process
-	// suffice.
+	// maxInstances is the maximum number of complete instances in one process, and
+	// maxWithEngines the maximum if each also monitors engines. Larger numbers exceed the
+	// process's limit of open files.
 	maxInstances   = 32
 	maxWithEngines = 8
 )
 
-// enginesEach is how many engines each instance owns at the target.
-const enginesEach = 7
+// enginesPerInstance is the number of engines that each instance owns at the target.
+const enginesPerInstance = 7
 
-// measureInstance measures whole instances at rest, with all duties but
-// without callers: what a process costs, and what the object API gets from it.
-// The engines are stand-ins in the same process, so that their part of the
-// processor time is in the figures.
+// measureInstance measures complete instances without callers: the cost of a process and its
+// calls to the object API. The engines are emulated in the same process, so the figures include
+// their CPU time.
 func measureInstance(o Options, out io.Writer) error {
-	for _, engines := range []int{0, enginesEach} {
+	for _, engines := range []int{0, enginesPerInstance} {
 		fmt.Fprintf(out, "whole instances at rest, %d engines each, %v each\n", engines, o.Rest)
 		fmt.Fprintf(out, "%9s %14s %16s %12s %12s %14s %14s %10s\n", "instances", "exchange B/s", "all sockets B/s", "cpu % core", "heap MB", "reads/s each", "writes/s each", "watches")
 		for _, size := range o.Sizes {
@@ -42,7 +41,7 @@
 	return nil
 }
 
-// enginePool is a pool whose engines the emulator starts.
+// enginePool returns the record of a pool whose engines the emulator starts; none for 0 engines.
 func enginePool(engines int) []*recordspb.Record {
 	if engines == 0 {
 		return nil
@@ -61,30 +60,30 @@
 		return err
 	}
 	defer e.Close()
-	if err := setWait(e.Store, 1); err != nil {
+	if err := setMaxWait(e.Store, 1); err != nil {
 		return err
 	}
-	before := heap()
+	before := heapInUse()
 	list, err := startInstances(e.Store.Addr(), size, size)
 	defer stopInstances(list)
 	if err != nil {
 		return err
 	}
-	time.Sleep(2 * settle)
-	memory := float64(heap()-before) / float64(size) / (1 << 20)
-	begin, used, was, calls, written := time.Now(), cpu(), trafficOf(list), e.Store.Counts(), writtenBytes()
+	time.Sleep(2 * settleTime)
+	memory := float64(heapInUse()-before) / float64(size) / (1 << 20)
+	begin, startCPU, startTraffic, calls, written := time.Now(), cpuTime(), trafficOf(list), e.Store.Counts(), writtenBytes()
 	time.Sleep(o.Rest)
 	seconds := time.Since(begin).Seconds() * float64(size)
-	now, after, spent := trafficOf(list), e.Store.Counts(), cpu()-used
+	now, after, spent := trafficOf(list), e.Store.Counts(), cpuTime()-startCPU
 	fmt.Fprintf(out, "%9d %14.0f %16.0f %12.3f %12.2f %14.3f %14.3f %10d\n", size,
-		float64(now.sent-was.sent)/seconds, float64(writtenBytes()-written)/seconds, 100*spent.Seconds()/seconds, memory,
+		float64(now.sent-startTraffic.sent)/seconds, float64(writtenBytes()-written)/seconds, 100*spent.Seconds()/seconds, memory,
 		float64(after.Reads-calls.Reads)/seconds, float64(after.Writes-calls.Writes)/seconds, after.Watches)
 	return nil
 }
 
-// writtenBytes is what the process has written to all its sockets and files;
-// 0 where the system does not tell. Both ends of each connection are in the
-// process, so that this is the traffic of one direction and the other.
+// writtenBytes returns the number of bytes that the process has written to sockets and files; 0
+// if the system does not report it. Both ends of each connection are in the process, so this
+// covers the traffic in both directions.
 func writtenBytes() uint64 {
 	data, err := os.ReadFile("/proc/self/io")
 	if err != nil {
@@ -95,8 +94,8 @@
 	return written
 }
 
-func trafficOf(list []*instance.Instance) counts {
-	var c counts
+func trafficOf(list []*instance.Instance) trafficCounts {
+	var c trafficCounts
 	for _, i := range list {
 		c.sent += i.Traffic().Sent.Load()
 		c.received += i.Traffic().Received.Load()
--- a/internal/slopes/owner.go
+++ b/internal/slopes/owner.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// ownerRounds is how often each step of an owner is timed.
+	// ownerRounds is the number of timed calls of each operation.
 	ownerRounds = 20000
 	// eventBlocks is the number of blocks of one cache event.
 	eventBlocks = 4
 )
 
-// measureOwner times what an owner does for a request, for a cache event and
-// between them, with one processor and no messages.
+// measureOwner measures the time that an owner's operations take for a request, a cache event and
+// a tick, on one CPU and without messages.
 func measureOwner(_ Options, out io.Writer) error {
 	fmt.Fprintf(out, "an owner of 7 endpoints, 64 blocks a prompt, %d blocks a cache event\n", eventBlocks)
 	fmt.Fprintf(out, "%14s %16s %14s %16s\n", "blocks known", "us a request", "us an event", "us a tick")
 	for _, blocks := range []int{1000, 16000, 150000} {
-		b := bookOf(7, blocks)
+		b := registryOf(7, blocks)
 		now := time.Now()
-		request := timed(ownerRounds, func(i int) { askAndEnd(b, now, i) })
-		event := timed(ownerRounds, func(i int) { cacheEvent(b, i) })
-		tick := timed(ownerRounds, func(int) { b.Tick(now) })
+		request := microsecondsPerCall(ownerRounds, func(i int) { askFirstTokenEnd(b, now, i) })
+		event := microsecondsPerCall(ownerRounds, func(i int) { cacheEvent(b, i) })
+		tick := microsecondsPerCall(ownerRounds, func(int) { b.Tick(now) })
 		fmt.Fprintf(out, "%14d %16.2f %14.2f %16.2f\n", blocks, request, event, tick)
 	}
 	decode, err := timeDecode()
@@ -36,17 +36,17 @@
 	return err
 }
 
-// timeDecode times what it takes to read one cache event from its JSON line.
+// timeDecode returns the microseconds it takes to decode one cache event from its JSON line.
 func timeDecode() (float64, error) {
 	e := endpoint.CacheEvent{Seq: 1, Incarnation: 1, Op: endpoint.CacheStore}
-	for _, h := range chain(eventBlocks, 1) {
+	for _, h := range promptBlocks(eventBlocks, 1) {
 		e.Blocks = append(e.Blocks, h.String())
 	}
 	line, err := json.Marshal(e)
 	if err != nil {
 		return 0, err
 	}
-	took := timed(ownerRounds, func(int) {
+	took := microsecondsPerCall(ownerRounds, func(int) {
 		var read endpoint.CacheEvent
 		if json.Unmarshal(line, &read) != nil {
 			return
@@ -58,8 +58,8 @@
 	return took, nil
 }
 
-// timed returns the microseconds of one call.
-func timed(rounds int, call func(i int)) float64 {
+// microsecondsPerCall calls a function rounds times and returns the mean duration of a call.
+func microsecondsPerCall(rounds int, call func(i int)) float64 {
 	begin := time.Now()
 	for i := range rounds {
 		call(i)
@@ -67,11 +67,11 @@
 	return float64(time.Since(begin).Microseconds()) / float64(rounds)
 }
 
-// askAndEnd is all that an owner does for one request.
-func askAndEnd(b *owner.Registry, now time.Time, i int) {
+// askFirstTokenEnd runs all the owner's operations for one request.
+func askFirstTokenEnd(b *owner.Registry, now time.Time, i int) {
 	name := fmt.Sprintf("engine-%d", i%7)
 	d := b.Ask(now, owner.Ask{
-		Caller: "entry", RequestID: fmt.Sprint(i), Organisation: "accra", Blocks: chain(64, i), PromptTokens: 64 * blockTokens,
+		Caller: "entry", RequestID: fmt.Sprint(i), Organisation: "accra", Blocks: promptBlocks(64, i), PromptTokens: 64 * blockTokens,
 		Deadline: now.Add(time.Minute),
 	}, []string{name})
 	e := b.Endpoint(name)
@@ -82,7 +82,7 @@
 func cacheEvent(b *owner.Registry, i int) {
 	blocks := make([]prefix.Hash, eventBlocks)
 	for k := range blocks {
-		blocks[k] = chain(1, i*eventBlocks+k)[0]
+		blocks[k] = promptBlocks(1, i*eventBlocks+k)[0]
 	}
 	op := owner.CacheStore
 	if i%2 == 1 {
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -1,6 +1,6 @@
-// Package slopes measures what the duties between instances cost, at several
-// sizes in one process, over real loopback connections. The figures are what
-// docs/CAPACITY.md works out the target from.
+// Package slopes measures how the resource costs of the communication between instances grow with
+// the size of the fleet. All instances run in one process, over real loopback connections.
+// docs/CAPACITY.md extrapolates the target size from these figures.
 package slopes
 
 import (
@@ -12,20 +12,20 @@
 	"time"
 )
 
-// Options choose what is measured.
+// Options selects what to measure.
 type Options struct {
-	// Parts are the names of the parts to run; empty runs all.
+	// Parts are the names of the parts to run; all if empty.
 	Parts []string
-	// Sizes are the numbers of instances.
+	// Sizes are the numbers of instances to measure with.
 	Sizes []int
-	// Rest is how long the exchange at rest is measured at each size.
+	// Rest is how long the exchange without load is measured at each size.
 	Rest time.Duration
 	// Endpoints and Records are the numbers of items that each instance holds.
 	Endpoints int
 	Records   int
 	// ValueBytes is the size of a record that is changed.
 	ValueBytes int
-	// Changes is the number of record changes that are timed.
+	// Changes is the number of record changes to time.
 	Changes int
 }
 
@@ -56,7 +56,7 @@
 	return names
 }
 
-// Run measures and writes a table for each part.
+// Run runs the selected parts and writes a table for each.
 func Run(o Options, out io.Writer) error {
 	for _, p := range parts {
 		if len(o.Parts) > 0 && !slices.Contains(o.Parts, p.name) {
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// cpu is the processor time that the process has used.
-func cpu() time.Duration {
+// cpuTime returns the CPU time that the process has used; 0 if it is unknown.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -79,8 +79,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heap is the memory in use after a collection; signed, for differences.
-func heap() int64 {
+// heapInUse returns the heap and stack memory in use after a garbage collection, in bytes. It is
+// signed so that callers can subtract.
+func heapInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -88,7 +89,7 @@
 	return int64(m.HeapInuse + m.StackInuse)
 }
 
-// quantile of sorted durations.
+// quantile returns the q-quantile of sorted durations; 0 if there are none.
 func quantile(sorted []time.Duration, q float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -19,33 +19,33 @@
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
-// measureState prints the heap that each kind of state takes, at three sizes.
+// measureState prints the heap memory that each kind of state takes, at several sizes.
 func measureState(_ Options, out io.Writer) error {
 	fmt.Fprintf(out, "heap bytes of one piece of state\n%-34s %10s %12s\n", "state", "pieces", "bytes each")
 	for _, n := range []int{600, 1200, 2400} {
-		printHeap(out, "endpoint's item in the exchange", n, func() any { return storeOf(someItems(n, 0)) })
-		printHeap(out, "record's item in the exchange", n, func() any { return storeOf(someItems(0, n)) })
-		printHeap(out, "record in the keeper", n, func() any { return keeperOf(n) })
-		printHeap(out, "member", n, func() any { return tableOf(n) })
-		printHeap(out, "endpoint in routes and ranking", n, func() any { return fleetOf(n) })
+		printHeap(out, "endpoint's item in the exchange", n, func() any { return exchangeStoreOf(syntheticItems(n, 0)) })
+		printHeap(out, "record's item in the exchange", n, func() any { return exchangeStoreOf(syntheticItems(0, n)) })
+		printHeap(out, "record in the keeper", n, func() any { return recordsOf(n) })
+		printHeap(out, "member", n, func() any { return memberTableOf(n) })
+		printHeap(out, "endpoint in routes and ranking", n, func() any { return placementOf(n) })
 	}
-	printHeap(out, "placing without records", 1, func() any { return fleetOf(0) })
+	printHeap(out, "placing without records", 1, func() any { return placementOf(0) })
 	for _, blocks := range []int{1000, 4000, 16000, 150000} {
-		printHeap(out, fmt.Sprintf("owned endpoint, %d blocks known", blocks), 16, func() any { return bookOf(16, blocks) })
+		printHeap(out, fmt.Sprintf("owned endpoint, %d blocks known", blocks), 16, func() any { return registryOf(16, blocks) })
 	}
 	return nil
 }
 
-// printHeap builds something and prints what it holds of the heap.
+// printHeap prints how much memory the value that build returns retains, divided by pieces.
 func printHeap(out io.Writer, name string, pieces int, build func() any) {
-	before := heap()
+	before := heapInUse()
 	built := build()
-	after := heap()
+	after := heapInUse()
 	runtime.KeepAlive(built)
 	fmt.Fprintf(out, "%-34s %10d %12.0f\n", name, pieces, float64(after-before)/float64(pieces))
 }
 
-func storeOf(items []exchange.Item) *exchange.Store {
+func exchangeStoreOf(items []exchange.Item) *exchange.Store {
 	s := exchange.NewStore()
 	now := time.Now()
 	for _, it := range items {
@@ -54,7 +54,7 @@
 	return s
 }
 
-func tableOf(n int) *member.Table {
+func memberTableOf(n int) *member.Table {
 	t := member.New(member.Member{Name: "self"}, nil, member.DefaultBounds, rand.New(rand.NewPCG(1, 1)))
 	other := member.New(member.Member{Name: "other"}, nil, member.DefaultBounds, rand.New(rand.NewPCG(1, 1)))
 	for i := range n {
@@ -66,20 +66,20 @@
 	return t
 }
 
-func bookOf(endpoints, blocks int) *owner.Registry {
+func registryOf(endpoints, blocks int) *owner.Registry {
 	b := owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute})
 	now := time.Now()
 	for e := range endpoints {
 		name := fmt.Sprintf("engine-%d", e)
 		o := b.Add(owner.Config{Name: name, Slots: 64, BlockTokens: blockTokens, CacheBlocks: int64(blocks), PrefillTokensPerSecond: 20000})
 		o.Status(now, fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, 1)
-		o.CacheEvent(owner.CacheEvent{Seq: 1, Incarnation: 1, Op: owner.CacheStore, Blocks: chain(blocks, e)})
+		o.CacheEvent(owner.CacheEvent{Seq: 1, Incarnation: 1, Op: owner.CacheStore, Blocks: promptBlocks(blocks, e)})
 	}
 	return b
 }
 
-// keeperOf holds records of organisations as they are in the object API.
-func keeperOf(n int) *record.Registry {
+// recordsOf returns a registry with n records of organisations, encoded as in the object API.
+func recordsOf(n int) *record.Registry {
 	k := record.NewRegistry(clock.System{})
 	var items []record.Item
 	for i := range n {
@@ -95,15 +95,15 @@
 	return k
 }
 
-// fleetOf is a placer that knows a pool of n endpoints.
-func fleetOf(n int) *place.Fleet {
-	duty := place.NewOwnerServer(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
+// placementOf returns the placement of an instance that knows a pool of n endpoints.
+func placementOf(n int) *place.Fleet {
+	ownerServer := place.NewOwnerServer(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
 	f := place.NewFleet(place.FleetConfig{
-		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &granting{}, OwnerServer: duty,
+		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &grantingPeers{}, OwnerServer: ownerServer,
 	})
 	if n > 0 {
 		f.SetRecords(context.Background(), poolRecord(n))
-		f.SetView(context.Background(), viewOf("entry", []string{"other"}, []string{"peer"}))
+		f.SetView(context.Background(), memberView("entry", []string{"other"}, []string{"peer"}))
 	}
 	return f
 }
