--- a/soak/caller_test.go
+++ b/soak/caller_test.go
@@ -15,19 +15,19 @@
 
 const (
 	host = "desk.example"
-	// forged stands in headers that callers must not set.
+	// forged is the value callers send in headers that only the router may set.
 	forged = "forged"
-	// isolated is the organisation that shares no cached parts.
-	isolated = "khangai"
-	open     = "kumasi"
-	// patience is the callers' own bound, in their requests too.
-	patience = 3 * time.Second
-	// lateBound is how much later than its timeout a final answer may come.
-	lateBound = 700 * time.Millisecond
+	// isolatedOrg is the organisation that shares no cached prompt parts with others.
+	isolatedOrg = "khangai"
+	openOrg     = "kumasi"
+	// callerTimeout is the callers' own timeout, which they also send as the deadline.
+	callerTimeout = 3 * time.Second
+	// lateTolerance is how much later than the route's timeout a final answer may come.
+	lateTolerance = 700 * time.Millisecond
 )
 
-// caller sends one request after the other over a kept connection, until the
-// instance closes it.
+// caller sends requests one after the other over a persistent connection, and reconnects to a
+// random instance when the connection is closed.
 type caller struct {
 	soak *soak
 	rng  *rand.Rand
@@ -37,11 +37,11 @@
 	conn     net.Conn
 	reader   *bufio.Reader
 	instance *instance
-	life     int
+	starts   int
 }
 
 func (c *caller) run() {
-	for !c.soak.over.Load() {
+	for !c.soak.callersStop.Load() {
 		if c.conn == nil && !c.connect() {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -49,12 +49,12 @@
 		c.request()
 		time.Sleep(time.Duration(c.rng.IntN(40)) * time.Millisecond)
 	}
-	c.drop()
+	c.disconnect()
 }
 
 func (c *caller) connect() bool {
 	c.instance = c.soak.instances[c.rng.IntN(len(c.soak.instances))]
-	c.life = c.instance.life()
+	c.starts = c.instance.starts()
 	conn, err := net.DialTimeout("tcp4", c.instance.callers.address(), time.Second)
 	if err != nil {
 		return false
@@ -63,22 +63,22 @@
 	return true
 }
 
-func (c *caller) drop() {
+func (c *caller) disconnect() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-// paths by kind of request.
+// paths are the path prefixes by kind of request.
 var paths = map[kind]string{lookup: "/stock/", confirm: "/confirm/", draft: "/draft/", check: "/check/"}
 
-func (c *caller) next() *call {
+func (c *caller) newCall() *call {
 	c.sent++
 	k := kind(c.rng.IntN(4))
-	r := &call{id: fmt.Sprintf("c%d-%d", c.n, c.sent), kind: k, instance: c.instance.n, incarnation: c.life, organisation: open}
+	r := &call{id: fmt.Sprintf("c%d-%d", c.n, c.sent), kind: k, instance: c.instance.n, incarnation: c.starts, organisation: openOrg}
 	if c.rng.IntN(3) == 0 {
-		r.organisation = isolated
+		r.organisation = isolatedOrg
 	}
 	r.key, r.droppedIn = c.soak.keyFor(c.rng, r.organisation)
 	r.path = fmt.Sprintf("%s%d?x=%d", paths[k], c.rng.IntN(50), c.sent)
@@ -94,7 +94,7 @@
 	return r
 }
 
-// head of the request on the wire.
+// head returns the request line and headers.
 func (r *call) head() string {
 	method := "POST"
 	if r.kind == lookup {
@@ -102,7 +102,7 @@
 	}
 	h := fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\nSardinedock-Request-Id: %s\r\nSardinedock-Deadline-Ms: %d\r\nAuthorization: Bearer %s\r\n"+
 		"Sardinedock-Hold: %s\r\nSardinedock-Kv-Backup: %s\r\nKv-From: %s\r\nSardinedock-Tenant-Id: %s\r\n",
-		method, r.path, host, r.id, patience.Milliseconds(), r.key, forged, forged, forged, forged)
+		method, r.path, host, r.id, callerTimeout.Milliseconds(), r.key, forged, forged, forged, forged)
 	if r.parts != "" {
 		h += fmt.Sprintf("Sardinedock-Model: %s\r\nSardinedock-Token-Usage: 1200,40\r\nSardinedock-Prompt-Prefix: %s\r\n", model, r.parts)
 	}
@@ -112,36 +112,37 @@
 	return h + "\r\n"
 }
 
-// request sends one request and judges its answer.
+// request sends one request and checks its answer. Some streams are abandoned by closing the
+// connection.
 func (c *caller) request() {
-	r := c.next()
+	r := c.newCall()
 	r.sentAt = time.Now()
-	c.soak.ledger.sent(r)
-	_ = c.conn.SetDeadline(r.sentAt.Add(patience))
+	c.soak.checker.sent(r)
+	_ = c.conn.SetDeadline(r.sentAt.Add(callerTimeout))
 	if _, err := io.WriteString(c.conn, r.head()+r.body); err != nil {
-		c.drop()
+		c.disconnect()
 		return
 	}
 	if (r.kind == draft || r.kind == check) && c.rng.IntN(10) == 0 {
 		time.Sleep(time.Duration(c.rng.IntN(150)) * time.Millisecond)
-		c.drop()
-		c.soak.ledger.left(r)
+		c.disconnect()
+		c.soak.checker.left(r)
 		return
 	}
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: http.MethodGet})
 	if err != nil {
-		c.cut(r, nil)
+		c.checkBrokenConnection(r, nil)
 		return
 	}
 	body, err := io.ReadAll(resp.Body)
 	_ = resp.Body.Close()
 	if err != nil {
-		c.cut(r, body)
+		c.checkBrokenConnection(r, body)
 		return
 	}
-	c.judge(r, resp, string(body))
+	c.checkResponse(r, resp, string(body))
 	if resp.Close {
-		c.drop()
+		c.disconnect()
 		return
 	}
 	if resp.StatusCode >= http.StatusInternalServerError {
@@ -149,58 +150,58 @@
 	}
 }
 
-func (c *caller) judge(r *call, resp *http.Response, body string) {
-	l := c.soak.ledger
+func (c *caller) checkResponse(r *call, resp *http.Response, body string) {
+	ck := c.soak.checker
 	signature := resp.Header.Get("Sardinedock-Response-Signature")
-	c.soak.judgeRecords(r, resp.StatusCode, signature != "")
-	c.late(r, resp.StatusCode)
+	c.soak.checkRecords(r, resp.StatusCode, signature != "")
+	c.checkLateness(r, resp.StatusCode)
 	if signature != "" && resp.StatusCode == http.StatusOK && r.parts != "" {
-		l.answered(r, resp.StatusCode, signature, "")
+		ck.answered(r, resp.StatusCode, signature, "")
 		want := ""
 		for n := 1; n <= eventsOf(r.kind); n++ {
 			want += eventText(r.id, n)
 		}
 		if body != want {
-			l.breach("ORDER: the stream of %s ends as complete with %q", r.id, body)
+			ck.addViolation("ORDER: the stream of %s ends as complete with %q", r.id, body)
 		}
 		return
 	}
-	l.answered(r, resp.StatusCode, signature, body)
+	ck.answered(r, resp.StatusCode, signature, body)
 }
 
-// late judges whether a final answer came in time.
-func (c *caller) late(r *call, status int) {
+// checkLateness checks that a final answer came in time.
+func (c *caller) checkLateness(r *call, status int) {
 	took := time.Since(r.sentAt)
-	if took > platformtest.RouteTimeout+lateBound && c.instance.calm(r.sentAt.Add(-contact), time.Now()) {
-		c.soak.ledger.breach("LATE: %s got %d after %v", r.id, status, took)
+	if took > platformtest.RouteTimeout+lateTolerance && c.instance.undisturbed(r.sentAt.Add(-stabilisationTime), time.Now()) {
+		c.soak.checker.addViolation("LATE: %s got %d after %v", r.id, status, took)
 	}
 }
 
-// cut judges a connection that ended before the answer did.
-func (c *caller) cut(r *call, got []byte) {
-	c.drop()
+// checkBrokenConnection checks a connection that ended before the answer was complete.
+func (c *caller) checkBrokenConnection(r *call, got []byte) {
+	c.disconnect()
 	now := time.Now()
-	l := c.soak.ledger
-	l.count("cut")
+	ck := c.soak.checker
+	ck.count("cut")
 	want := ""
 	for n := 1; n <= eventsOf(r.kind); n++ {
 		want += eventText(r.id, n)
 	}
 	if len(got) > 0 && r.parts != "" && !strings.HasPrefix(want, string(got)) {
-		l.breach("ORDER: %s got %q before the connection ended", r.id, got)
+		ck.addViolation("ORDER: %s got %q before the connection ended", r.id, got)
 	}
-	if now.Sub(r.sentAt) >= patience {
-		if c.instance.calm(r.sentAt.Add(-contact), now) {
-			l.breach("LATE: %s got no whole answer within %v", r.id, patience)
+	if now.Sub(r.sentAt) >= callerTimeout {
+		if c.instance.undisturbed(r.sentAt.Add(-stabilisationTime), now) {
+			ck.addViolation("LATE: %s got no whole answer within %v", r.id, callerTimeout)
 		}
 		return
 	}
-	if now.Sub(r.sentAt) > platformtest.RouteTimeout-lateBound/2 {
-		// The route's time was over, or all but.
+	if now.Sub(r.sentAt) > platformtest.RouteTimeout-lateTolerance/2 {
+		// The route's timeout had passed, or nearly.
 		return
 	}
-	if !c.instance.calm(r.sentAt.Add(-contact), now) || c.soak.endpointFaults.meets(r.sentAt.Add(-contact), now) {
+	if !c.instance.undisturbed(r.sentAt.Add(-stabilisationTime), now) || c.soak.endpointFaults.overlaps(r.sentAt.Add(-stabilisationTime), now) {
 		return
 	}
-	l.cutAtPeace(r, c.instance.terms.meets(r.sentAt, now))
+	ck.unansweredWithoutFault(r, c.instance.shutdowns.overlaps(r.sentAt, now))
 }
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -10,102 +10,102 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// fault is one thing that goes wrong, or one piece of planned work.
+// fault is one kind of fault, or of planned work.
 type fault struct {
 	name string
-	// do carries it out and returns when it is over. lasts is how long it is to
-	// take where that is free.
-	do func(s *soak, rng *rand.Rand, lasts time.Duration)
+	// run injects the fault and returns when it is over. duration is how long it is to
+	// last, for the kinds that can choose.
+	run func(s *soak, rng *rand.Rand, duration time.Duration)
 }
 
-// faults are all kinds that a run draws from.
+// faults are the kinds of faults that all runs but those of planned work draw from.
 var faults = []fault{
-	{"instance killed", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmInstance(rng, func(i *instance) {
-			if !i.cycle.TryLock() {
+	{"instance killed", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbInstance(rng, func(i *instance) {
+			if !i.lifecycle.TryLock() {
 				return
 			}
-			defer i.cycle.Unlock()
+			defer i.lifecycle.Unlock()
 			i.signal(syscall.SIGKILL)
-			i.waitEnd(5 * time.Second)
-			time.Sleep(lasts / 4)
+			i.waitExit(5 * time.Second)
+			time.Sleep(duration / 4)
 			i.start()
 		})
 	}},
-	{"instance told to end", func(s *soak, rng *rand.Rand, _ time.Duration) { s.restart(s.pick(rng)) }},
-	{"all instances told to end in turn", func(s *soak, _ *rand.Rand, lasts time.Duration) {
+	{"instance terminated", func(s *soak, rng *rand.Rand, _ time.Duration) { s.restart(s.pickInstance(rng)) }},
+	{"all instances terminated in turn", func(s *soak, _ *rand.Rand, duration time.Duration) {
 		for _, i := range s.instances {
 			go s.restart(i)
-			time.Sleep(lasts / 8)
+			time.Sleep(duration / 8)
 		}
 	}},
-	{"all instances killed", func(s *soak, _ *rand.Rand, lasts time.Duration) {
-		var struck []*instance
+	{"all instances killed", func(s *soak, _ *rand.Rand, duration time.Duration) {
+		var killed []*instance
 		var ends []func()
 		for _, i := range s.instances {
-			if !i.cycle.TryLock() {
+			if !i.lifecycle.TryLock() {
 				continue
 			}
-			struck, ends = append(struck, i), append(ends, i.faults.begin())
+			killed, ends = append(killed, i), append(ends, i.faults.begin())
 			i.signal(syscall.SIGKILL)
 		}
-		for _, i := range struck {
-			i.waitEnd(5 * time.Second)
+		for _, i := range killed {
+			i.waitExit(5 * time.Second)
 		}
-		time.Sleep(lasts / 8)
-		for k, i := range struck {
+		time.Sleep(duration / 8)
+		for k, i := range killed {
 			i.start()
-			i.cycle.Unlock()
+			i.lifecycle.Unlock()
 			ends[k]()
 		}
 	}},
-	{"instance paused", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmInstance(rng, func(i *instance) {
+	{"instance paused", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbInstance(rng, func(i *instance) {
 			i.signal(syscall.SIGSTOP)
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			i.signal(syscall.SIGCONT)
 		})
 	}},
-	{"instance told to reload", func(s *soak, rng *rand.Rand, _ time.Duration) { s.pick(rng).signal(syscall.SIGHUP) }},
+	{"instance reloaded", func(s *soak, rng *rand.Rand, _ time.Duration) { s.pickInstance(rng).signal(syscall.SIGHUP) }},
 	{"callers' connections reset", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmInstance(rng, func(i *instance) { i.callers.reset(1 + rng.IntN(2)) })
+		s.disturbInstance(rng, func(i *instance) { i.callers.reset(1 + rng.IntN(2)) })
 	}},
-	{"callers' connections silent", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmInstance(rng, func(i *instance) { i.callers.silence() })
+	{"callers' connections blackholed", func(s *soak, rng *rand.Rand, _ time.Duration) {
+		s.disturbInstance(rng, func(i *instance) { i.callers.blackhole() })
 	}},
-	{"callers far away", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmInstance(rng, func(i *instance) { s.during(i.callers, harm{delay: 40 * time.Millisecond}, lasts) })
+	{"callers slow to reach an instance", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbInstance(rng, func(i *instance) { s.impairFor(i.callers, impairment{delay: 40 * time.Millisecond}, duration) })
 	}},
-	{"instance cut from the store", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmInstance(rng, func(i *instance) { s.during(i.store, harm{cutUp: true, cutDown: true}, lasts) })
+	{"instance cut from the store", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbInstance(rng, func(i *instance) { s.impairFor(i.store, impairment{cutUp: true, cutDown: true}, duration) })
 	}},
-	{"instance hears nothing from the store", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmInstance(rng, func(i *instance) { s.during(i.store, harm{cutDown: true}, lasts) })
+	{"instance gets no replies from the store", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbInstance(rng, func(i *instance) { s.impairFor(i.store, impairment{cutDown: true}, duration) })
 	}},
-	{"store slow for an instance", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmInstance(rng, func(i *instance) { s.during(i.store, harm{delay: 150 * time.Millisecond}, lasts) })
+	{"store slow for an instance", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbInstance(rng, func(i *instance) { s.impairFor(i.store, impairment{delay: 150 * time.Millisecond}, duration) })
 	}},
-	{"connections to the store silent", func(s *soak, _ *rand.Rand, _ time.Duration) {
-		s.harmStore(func() { s.store.SilenceOpen() })
+	{"connections to the store blackholed", func(s *soak, _ *rand.Rand, _ time.Duration) {
+		s.disturbStore(func() { s.store.SilenceOpen() })
 	}},
 	{"connections to the store reset", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmInstance(rng, func(i *instance) { i.store.reset(1) })
+		s.disturbInstance(rng, func(i *instance) { i.store.reset(1) })
 	}},
-	{"store down", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmStore(func() {
+	{"store down", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbStore(func() {
 			s.store.Refuse([]int{503, 429}[rng.IntN(2)])
-			time.Sleep(lasts)
+			time.Sleep(duration)
 			s.store.Refuse(0)
 		})
 	}},
-	{"store forgets its history", func(s *soak, _ *rand.Rand, _ time.Duration) { s.harmStore(s.store.DropHistory) }},
-	{"answers of the store lost", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmStore(func() { s.store.LoseWriteReplies(1 + rng.IntN(4)) })
+	{"store drops its watch history", func(s *soak, _ *rand.Rand, _ time.Duration) { s.disturbStore(s.store.DropHistory) }},
+	{"replies to writes to the store lost", func(s *soak, rng *rand.Rand, _ time.Duration) {
+		s.disturbStore(func() { s.store.LoseWriteReplies(1 + rng.IntN(4)) })
 	}},
-	{"endpoint crashes", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmServer(rng, func(x *server) {
+	{"endpoint crashes", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) {
 			x.remove()
-			time.Sleep(lasts / 4)
+			time.Sleep(duration / 4)
 			s.addServer(x.service)
 			time.Sleep(3 * heartbeatMs * time.Millisecond)
 			s.store.Remove("servers", x.ID)
@@ -116,50 +116,50 @@
 		s.addServer(x.service)
 		x.leave()
 	}},
-	{"endpoint cut off", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmServer(rng, func(x *server) { s.during(x.link, harm{cutUp: true, cutDown: true}, lasts) })
+	{"endpoint cut off", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { s.impairFor(x.link, impairment{cutUp: true, cutDown: true}, duration) })
 	}},
-	{"endpoint heard by nobody", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmServer(rng, func(x *server) { s.during(x.link, harm{cutDown: true}, lasts) })
+	{"replies from an endpoint blackholed", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { s.impairFor(x.link, impairment{cutDown: true}, duration) })
 	}},
-	{"endpoint slow to reach", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmServer(rng, func(x *server) { s.during(x.link, harm{delay: 60 * time.Millisecond}, lasts) })
+	{"endpoint slow to reach", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { s.impairFor(x.link, impairment{delay: 60 * time.Millisecond}, duration) })
 	}},
-	{"connections to an endpoint silent", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmServer(rng, func(x *server) { x.link.silence() })
+	{"connections to an endpoint blackholed", func(s *soak, rng *rand.Rand, _ time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { x.link.blackhole() })
 	}},
 	{"connections to an endpoint reset", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmServer(rng, func(x *server) { x.link.reset(1 + rng.IntN(2)) })
+		s.disturbEndpoint(rng, func(x *server) { x.link.reset(1 + rng.IntN(2)) })
 	}},
-	{"endpoint loses answers", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmServer(rng, func(x *server) { x.feel(losing, lasts) })
+	{"endpoint closes connections without an answer", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { x.behaveFor(losing, duration) })
 	}},
-	{"endpoint misbehaves", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		s.harmServer(rng, func(x *server) { x.feel(mood(1+rng.IntN(int(moods)-1)), lasts) })
+	{"endpoint misbehaves", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { x.behaveFor(behaviour(1+rng.IntN(int(behaviours)-1)), duration) })
 	}},
 	{"records change", func(s *soak, rng *rand.Rand, _ time.Duration) { s.changeRecords(rng.IntN(2) == 0) }},
-	{"weights named", func(s *soak, _ *rand.Rand, _ time.Duration) { s.nameWeights() }},
+	{"weights version published", func(s *soak, _ *rand.Rand, _ time.Duration) { s.publishVersion() }},
 }
 
-// firstWithStarts is the first seed whose endpoints tell when they started, start again
-// under their ids and meet entries of other writers; those before it draw what they
-// always drew.
-const firstWithStarts = 8000
+// firstRestartSeed is the first seed whose endpoints publish their start time, restart under the
+// same id and have their entries overwritten by other writers. Lower seeds draw from the original
+// faults, so that they still produce the same schedules.
+const firstRestartSeed = 8000
 
-// startFaults are drawn too from firstWithStarts on.
-var startFaults = []fault{
-	{"endpoint starts again", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmServer(rng, func(x *server) { x.restart() })
+// restartFaults are the additional faults of seeds from firstRestartSeed on.
+var restartFaults = []fault{
+	{"endpoint restarts", func(s *soak, rng *rand.Rand, _ time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) { x.restart() })
 	}},
-	{"endpoint starts again twice", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmServer(rng, func(x *server) {
+	{"endpoint restarts twice", func(s *soak, rng *rand.Rand, _ time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) {
 			x.restart()
 			time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 			x.restart()
 		})
 	}},
-	{"entry spoiled by another writer", func(s *soak, rng *rand.Rand, _ time.Duration) {
-		s.harmServer(rng, func(x *server) {
+	{"entry corrupted by another writer", func(s *soak, rng *rand.Rand, _ time.Duration) {
+		s.disturbEndpoint(rng, func(x *server) {
 			entry := platformtest.EntryAt(x.link.address(), x.service, "ready", nil)
 			switch rng.IntN(4) {
 			case 0:
@@ -171,114 +171,114 @@
 			case 3:
 				entry["born"] = 1.5
 			}
-			x.spoil(entry)
+			x.overwriteEntry(entry)
 		})
 	}},
-	{"entry of no endpoint", func(s *soak, rng *rand.Rand, lasts time.Duration) {
-		ghost := fmt.Sprintf("ghost-%d", rng.Uint64())
-		s.store.Put("servers", ghost, map[string]any{"service": s.pickServer(rng).service, "state": "ready", "address": 7})
-		time.Sleep(lasts)
-		s.store.Remove("servers", ghost)
+	{"invalid entry without an endpoint", func(s *soak, rng *rand.Rand, duration time.Duration) {
+		entryName := fmt.Sprintf("ghost-%d", rng.Uint64())
+		s.store.Put("servers", entryName, map[string]any{"service": s.pickServer(rng).service, "state": "ready", "address": 7})
+		time.Sleep(duration)
+		s.store.Remove("servers", entryName)
 	}},
 }
 
-// firstOfPlannedWork is the first seed that draws planned work alone: instances are ended and
-// told to reload, one by one and in turn, records and weights change. Nothing excuses what
-// callers lose then.
-const firstOfPlannedWork = 70000
+// firstPlannedWorkSeed is the first seed that draws planned work only: instances are terminated
+// and reloaded, singly and in turn, and records and weights change. No request may be lost then.
+const firstPlannedWorkSeed = 70000
 
-// plannedWork are the names of the faults that are none.
-var plannedWork = []string{"instance told to end", "all instances told to end in turn", "instance told to reload", "records change", "weights named"}
+// plannedWork are the names of those faults that are planned work.
+var plannedWork = []string{"instance terminated", "all instances terminated in turn", "instance reloaded", "records change", "weights version published"}
 
-// faultsOf returns what a seed draws from.
+// faultsOf returns the faults that a seed draws from.
 func faultsOf(seed uint64) []fault {
 	switch {
-	case seed >= firstOfPlannedWork:
+	case seed >= firstPlannedWorkSeed:
 		return slices.DeleteFunc(slices.Clone(faults), func(f fault) bool { return !slices.Contains(plannedWork, f.name) })
-	case seed >= firstWithStarts:
-		return slices.Concat(faults, startFaults)
+	case seed >= firstRestartSeed:
+		return slices.Concat(faults, restartFaults)
 	}
 	return faults
 }
 
-func (s *soak) pick(rng *rand.Rand) *instance { return s.instances[rng.IntN(len(s.instances))] }
+func (s *soak) pickInstance(rng *rand.Rand) *instance { return s.instances[rng.IntN(len(s.instances))] }
 
-// harmInstance does something to one instance, and notes that it is disturbed.
-func (s *soak) harmInstance(rng *rand.Rand, do func(*instance)) {
-	i := s.pick(rng)
-	over := i.faults.begin()
-	do(i)
-	over()
+// disturbInstance calls do with a random instance and records the time of the disturbance.
+func (s *soak) disturbInstance(rng *rand.Rand, run func(*instance)) {
+	i := s.pickInstance(rng)
+	end := i.faults.begin()
+	run(i)
+	end()
 }
 
-// harmStore does something to the store, which disturbs all instances.
-func (s *soak) harmStore(do func()) {
+// disturbStore calls do and records its time as a disturbance of all instances.
+func (s *soak) disturbStore(run func()) {
 	var ends []func()
 	for _, i := range s.instances {
 		ends = append(ends, i.faults.begin())
 	}
-	do()
-	for _, over := range ends {
-		over()
+	run()
+	for _, end := range ends {
+		end()
 	}
 }
 
-// harmServer does something to one endpoint.
-func (s *soak) harmServer(rng *rand.Rand, do func(*server)) {
-	over := s.endpointFaults.begin()
-	do(s.pickServer(rng))
-	over()
+// disturbEndpoint calls do with a random endpoint and records the time of the fault.
+func (s *soak) disturbEndpoint(rng *rand.Rand, run func(*server)) {
+	end := s.endpointFaults.begin()
+	run(s.pickServer(rng))
+	end()
 }
 
-func (s *soak) during(l *link, h harm, lasts time.Duration) {
+// impairFor impairs a link for the given duration.
+func (s *soak) impairFor(l *link, h impairment, duration time.Duration) {
 	l.set(h)
-	time.Sleep(lasts)
-	l.set(harm{})
+	time.Sleep(duration)
+	l.set(impairment{})
 }
 
-// restart ends an instance as planned work does, and starts it again.
+// restart ends an instance gracefully, as planned work does, and starts it again.
 func (s *soak) restart(i *instance) {
-	if !i.cycle.TryLock() {
+	if !i.lifecycle.TryLock() {
 		return
 	}
-	defer i.cycle.Unlock()
-	told := time.Now()
+	defer i.lifecycle.Unlock()
+	signalledAt := time.Now()
 	i.signal(syscall.SIGTERM)
-	if !i.waitEnd(graceSeconds*time.Second + 500*time.Millisecond) {
-		// A process that was paused meanwhile has lost that time.
-		if i.calm(told, time.Now()) {
-			s.ledger.breach("GRACE: %s has not ended %d s after SIGTERM", i.name, graceSeconds)
+	if !i.waitExit(graceSeconds*time.Second + 500*time.Millisecond) {
+		// A process that was paused in the meantime is allowed to take longer.
+		if i.undisturbed(signalledAt, time.Now()) {
+			s.checker.addViolation("GRACE: %s has not ended %d s after SIGTERM", i.name, graceSeconds)
 		}
 		i.signal(syscall.SIGKILL)
-		i.waitEnd(5 * time.Second)
+		i.waitExit(5 * time.Second)
 	}
 	i.start()
 }
 
-// event of a run's schedule.
+// event is one fault in a run's schedule.
 type event struct {
-	at    time.Duration
-	lasts time.Duration
-	fault fault
-	// seed of the fault's own choices.
+	at       time.Duration
+	duration time.Duration
+	fault    fault
+	// seed is the seed of the fault's own random choices.
 	seed uint64
 }
 
-// A run has at least leastFaults faults and less than moreFaults more, those of
-// series left out: so many that a router with one broken promise is found by most
-// seeds, and few enough that callers are served between them.
+// A run has at least minFaults faults and fewer than faultSpread more, not counting repetitions:
+// enough that most seeds find a router that breaks one guarantee, and few enough that requests
+// are served between them.
 const (
-	leastFaults = 12
-	moreFaults  = 12
+	minFaults   = 12
+	faultSpread = 12
 )
 
-// schedule draws from the faults what goes wrong when. Faults overlap, and some come in series.
-func schedule(rng *rand.Rand, drawn []fault, length time.Duration) []event {
+// schedule draws faults and their times. Faults may overlap, and some are repeated.
+func schedule(rng *rand.Rand, choices []fault, length time.Duration) []event {
 	var list []event
-	for range leastFaults + rng.IntN(moreFaults) {
+	for range minFaults + rng.IntN(faultSpread) {
 		e := event{
-			at: time.Duration(rng.Int64N(int64(length))), lasts: time.Duration(200+rng.IntN(2500)) * time.Millisecond,
-			fault: drawn[rng.IntN(len(drawn))], seed: rng.Uint64(),
+			at: time.Duration(rng.Int64N(int64(length))), duration: time.Duration(200+rng.IntN(2500)) * time.Millisecond,
+			fault: choices[rng.IntN(len(choices))], seed: rng.Uint64(),
 		}
 		list = append(list, e)
 		if rng.IntN(4) > 0 {
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// graceSeconds, leaseMs, weightsMs and heartbeatMs are the bounds of the
-	// instances' settings. They are short, so that a run sees several of each.
+	// The time limits and the retry budget in the instances' settings. The times are short,
+	// so that each passes several times in a run.
 	graceSeconds = 4
 	leaseMs      = 1000
 	weightsMs    = 4000
@@ -23,12 +23,12 @@
 	retryRatio   = 0.2
 	retrySlack   = 50
 	retryWindow  = 10
-	// contact is how long an instance has to be without disturbance before
-	// promises with a time bound hold for it.
-	contact = 2 * time.Second
+	// stabilisationTime is how long an instance must have been undisturbed before
+	// guarantees with a time bound apply to it.
+	stabilisationTime = 2 * time.Second
 )
 
-// instance is one process of the program under test.
+// instance is one instance of the program under test, which may be restarted.
 type instance struct {
 	n       int
 	name    string
@@ -37,26 +37,27 @@
 	listen  [4]string
 	callers *link
 	store   *link
-	ledger  *ledger
+	checker *checker
 
-	// cycle is held by whoever ends the process and starts it again.
-	cycle sync.Mutex
+	// lifecycle is held while the process is ended and started again.
+	lifecycle sync.Mutex
 
 	mu          sync.Mutex
 	cmd         *exec.Cmd
-	ended       chan struct{}
+	exited      chan struct{}
 	incarnation int
-	// ending says that the process was told to end or killed.
-	ending bool
+	// terminating is set once SIGTERM or SIGKILL has been sent to the process.
+	terminating bool
 
-	// faults at this instance or its links, and the time from each SIGTERM on.
-	faults, terms timeline
+	// faults are the disturbances of this instance and its links; shutdowns are the grace
+	// periods from each SIGTERM on.
+	faults, shutdowns timeline
 }
 
-// calm reports whether nothing disturbed the instance in a span.
-func (i *instance) calm(from, to time.Time) bool { return !i.faults.meets(from, to) }
+// undisturbed reports whether there was no disturbance of the instance in the given time span.
+func (i *instance) undisturbed(from, to time.Time) bool { return !i.faults.overlaps(from, to) }
 
-// timeline is when something went on. Any goroutine may use it.
+// timeline records time spans. It is safe for concurrent use.
 type timeline struct {
 	mu    sync.Mutex
 	spans []span
@@ -64,13 +65,13 @@
 
 type span struct{ from, to time.Time }
 
-// begin notes that it goes on from now; the returned function notes its end.
+// begin opens a span that starts now; the returned function closes it.
 func (t *timeline) begin() (end func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	const untilTold = time.Hour
+	const openEnd = time.Hour
 	k := len(t.spans)
-	t.spans = append(t.spans, span{time.Now(), time.Now().Add(untilTold)})
+	t.spans = append(t.spans, span{time.Now(), time.Now().Add(openEnd)})
 	return func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
@@ -78,8 +79,8 @@
 	}
 }
 
-// meets reports whether it went on at any moment of a span.
-func (t *timeline) meets(from, to time.Time) bool {
+// overlaps reports whether any recorded span overlaps the given one.
+func (t *timeline) overlaps(from, to time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, s := range t.spans {
@@ -90,23 +91,23 @@
 	return false
 }
 
-// The ports of instances lie below those that the system gives out itself: a link or
-// a caller would otherwise take the port of an instance while that is down.
+// The instances' ports are below the system's ephemeral port range. Otherwise a link or a caller
+// could be given the port of an instance that is down.
 const (
 	firstPort = 12000
 	lastPort  = 30000
 )
 
-var portsGiven atomic.Int64
+var portsUsed atomic.Int64
 
-// freeAddress returns a loopback address that nothing is bound to.
+// freeAddress returns an unused loopback address.
 func freeAddress() (string, error) {
 	for {
-		port := firstPort + (int64(os.Getpid())*61+portsGiven.Add(1))%(lastPort-firstPort)
+		port := firstPort + (int64(os.Getpid())*61+portsUsed.Add(1))%(lastPort-firstPort)
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		ln, err := net.Listen("tcp4", address)
 		if err != nil {
-			if portsGiven.Load() > lastPort-firstPort {
+			if portsUsed.Load() > lastPort-firstPort {
 				return "", err
 			}
 			continue
@@ -115,10 +116,10 @@
 	}
 }
 
-// newInstance prepares an instance; start starts it.
-func newInstance(t *testing.T, n int, binary, dir, store string, l *ledger) *instance {
+// newInstance prepares an instance without starting its process.
+func newInstance(t *testing.T, n int, binary, dir, store string, ck *checker) *instance {
 	t.Helper()
-	i := &instance{n: n, name: fmt.Sprintf("front-%d", n), binary: binary, dir: dir, ledger: l}
+	i := &instance{n: n, name: fmt.Sprintf("front-%d", n), binary: binary, dir: dir, checker: ck}
 	for k := range i.listen {
 		a, err := freeAddress()
 		if err != nil {
@@ -145,13 +146,13 @@
 
 func (i *instance) settings() string { return filepath.Join(i.dir, i.name+".yaml") }
 
-// start starts the process and watches for its end.
+// start starts the process and watches for its exit.
 func (i *instance) start() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	out, err := os.OpenFile(filepath.Join(i.dir, i.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		i.ledger.breach("start %s: %v", i.name, err)
+		i.checker.addViolation("start %s: %v", i.name, err)
 		return
 	}
 	cmd := exec.Command(i.binary, "host", "--settings", i.settings())
@@ -159,64 +160,66 @@
 	err = cmd.Start()
 	_ = out.Close()
 	if err != nil {
-		i.ledger.breach("start %s: %v", i.name, err)
+		i.checker.addViolation("start %s: %v", i.name, err)
 		return
 	}
-	i.cmd, i.ended, i.ending = cmd, make(chan struct{}), false
+	i.cmd, i.exited, i.terminating = cmd, make(chan struct{}), false
 	i.incarnation++
-	go i.watch(cmd, i.ended)
+	go i.watch(cmd, i.exited)
 }
 
-// watch notes a process that ends by itself: callers lose what it served.
-func (i *instance) watch(cmd *exec.Cmd, ended chan struct{}) {
+// watch reports a process that exits without having been told to, since its open requests are
+// lost.
+func (i *instance) watch(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	i.mu.Lock()
-	asked := i.ending
+	expected := i.terminating
 	i.mu.Unlock()
-	if !asked {
-		i.ledger.breach("ENDS: %s ended by itself: %v; see its log", i.name, err)
+	if !expected {
+		i.checker.addViolation("ENDS: %s ended by itself: %v; see its log", i.name, err)
 	}
-	close(ended)
+	close(exited)
 }
 
 func (i *instance) signal(s syscall.Signal) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		i.ending = true
+		i.terminating = true
 	}
 	if s == syscall.SIGTERM {
-		time.AfterFunc(graceSeconds*time.Second, i.terms.begin())
+		time.AfterFunc(graceSeconds*time.Second, i.shutdowns.begin())
 	}
 	if i.cmd != nil {
 		_ = i.cmd.Process.Signal(s)
 	}
 }
 
-// waitEnd waits until the process has ended and reports whether it did.
-func (i *instance) waitEnd(d time.Duration) bool {
+// waitExit waits up to d for the process to exit and reports whether it did.
+func (i *instance) waitExit(d time.Duration) bool {
 	i.mu.Lock()
-	ended := i.ended
+	exited := i.exited
 	i.mu.Unlock()
 	select {
-	case <-ended:
+	case <-exited:
 		return true
 	case <-time.After(d):
 		return false
 	}
 }
 
-func (i *instance) life() int {
+// starts returns how often the process has been started.
+func (i *instance) starts() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.incarnation
 }
 
-// close ends the process and the links.
+// close kills the process and closes the links.
 func (i *instance) close() {
 	i.signal(syscall.SIGKILL)
 	i.signal(syscall.SIGCONT)
-	i.waitEnd(5 * time.Second)
+	i.waitExit(5 * time.Second)
 	i.callers.close()
 	i.store.close()
 }
--- a/soak/lines_test.go
+++ b/soak/lines_test.go
@@ -8,31 +8,32 @@
 	"time"
 )
 
-// lineAfter is how long after its end a request's line may come: lines are gathered for a
-// tenth of a second.
-const lineAfter = time.Second
+// logDelay is how long after the end of a request its log line may be written: lines are
+// buffered for a tenth of a second.
+const logDelay = time.Second
 
-// judgeLines judges whether each request that has run or was answered, if only by a refusal,
-// has a line in the log of its instance. On-call has only the id that a caller tells. A process that was killed has told
-// nothing of what it served; that is a fault of its instance, as paused and cut ones are.
-func (s *soak) judgeLines(settledAt time.Time) {
-	told := map[string]bool{}
+// checkLogLines checks that each request that ran or was answered, even by a refusal, has a line
+// in the log of its instance, since the engineer on call has only the id that the caller reports.
+// Requests around a fault of their instance are exempt: a process that was killed, for example,
+// has not logged what it was serving.
+func (s *soak) checkLogLines(stableSince time.Time) {
+	logged := map[string]bool{}
 	for _, i := range s.instances {
-		requestLines(filepath.Join(i.dir, i.name+".log"), told)
+		readRequestIDs(filepath.Join(i.dir, i.name+".log"), logged)
 	}
-	for _, c := range s.ledger.settled() {
-		if c.runs == 0 && !c.answered || c.sentAt.After(settledAt.Add(-patience)) || !s.calm(c.instance, c.sentAt.Add(-contact), c.sentAt.Add(patience+lineAfter)) {
+	for _, c := range s.checker.finalCalls() {
+		if c.runs == 0 && !c.answered || c.sentAt.After(stableSince.Add(-callerTimeout)) || !s.undisturbed(c.instance, c.sentAt.Add(-stabilisationTime), c.sentAt.Add(callerTimeout+logDelay)) {
 			continue
 		}
-		s.ledger.count("line due")
-		if !told[c.id] {
-			s.ledger.breach("LINE: %s, sent at %s to front-%d, ran %d times, answered %v, and no line has its id", c.id, stamp(c.sentAt), c.instance, c.runs, c.answered)
+		s.checker.count("line due")
+		if !logged[c.id] {
+			s.checker.addViolation("LINE: %s, sent at %s to front-%d, ran %d times, answered %v, and no line has its id", c.id, formatTime(c.sentAt), c.instance, c.runs, c.answered)
 		}
 	}
 }
 
-// requestLines adds the ids that an instance's log tells of.
-func requestLines(path string, told map[string]bool) {
+// readRequestIDs adds the request ids in an instance's log to logged.
+func readRequestIDs(path string, logged map[string]bool) {
 	f, err := os.Open(path)
 	if err != nil {
 		return
@@ -41,7 +42,7 @@
 	for sc := bufio.NewScanner(f); sc.Scan(); {
 		var line struct{ Event, Request string }
 		if json.Unmarshal(sc.Bytes(), &line) == nil && line.Event == "request" {
-			told[line.Request] = true
+			logged[line.Request] = true
 		}
 	}
 }
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -7,55 +7,54 @@
 	"time"
 )
 
-// link forwards connections to one address and harms them on request. Whoever is
-// behind it sees what a network does: late bytes, bytes that never come, resets.
+// link is a TCP proxy to one address that simulates network faults: delays, lost data and resets.
 type link struct {
 	ln     net.Listener
 	target string
 
 	mu    sync.Mutex
-	pairs map[*pair]bool
-	// seen are all connections there were, by the address that the target sees. An address
-	// that is used again names the newest.
-	seen map[string]*pair
-	// harm is what befalls bytes and new connections now.
-	harm harm
+	conns map[*proxiedConn]bool
+	// byAddress holds all connections so far, including closed ones, by the address that the
+	// target sees. For a reused address it holds the newest.
+	byAddress map[string]*proxiedConn
+	// impairment applies to all connections, including new ones.
+	impairment impairment
 }
 
-// harm is the state of a link.
-type harm struct {
-	// delay of each piece of bytes, either way.
+// impairment is a fault of a link; the zero value is none.
+type impairment struct {
+	// delay is added to each read of bytes, in either direction.
 	delay time.Duration
-	// cutUp and cutDown drop what goes to the target and what comes back. New
-	// connections are taken and hear nothing, as behind a partition.
+	// cutUp and cutDown drop the data to and from the target. New connections are accepted
+	// but get no data, as in a network partition.
 	cutUp, cutDown bool
 }
 
-// pair is one connection through a link, from both sides.
-type pair struct {
+// proxiedConn is one connection through a link: the sockets to its caller and its target.
+type proxiedConn struct {
 	caller, target net.Conn
-	// silent connections bring nothing for good, though they stay open.
-	silent bool
-	// closedAt is when the caller's side closed, in ns since 1970; 0 before. It is seen
-	// here whatever the link does with it.
+	// blackholed connections stay open but pass no more data.
+	blackholed bool
+	// closedAt is when the caller's side closed, in Unix ns; 0 before that. It is recorded
+	// even if the link does not forward the close.
 	closedAt atomic.Int64
 }
 
-// callerClosed returns when the caller's side closed; zero before.
-func (p *pair) callerClosed() time.Time {
+// callerClosed returns when the caller's side closed; zero before that.
+func (p *proxiedConn) callerClosed() time.Time {
 	if ns := p.closedAt.Load(); ns > 0 {
 		return time.Unix(0, ns)
 	}
 	return time.Time{}
 }
 
-// newLink listens on a free port.
+// newLink starts a link to target on a free port.
 func newLink(target string) (*link, error) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &link{ln: ln, target: target, pairs: map[*pair]bool{}, seen: map[string]*pair{}}
+	l := &link{ln: ln, target: target, conns: map[*proxiedConn]bool{}, byAddress: map[string]*proxiedConn{}}
 	go l.accept()
 	return l, nil
 }
@@ -67,29 +66,28 @@
 	l.reset(1)
 }
 
-// set replaces the link's state.
-func (l *link) set(h harm) {
+// set replaces the link's impairment.
+func (l *link) set(h impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.harm = h
+	l.impairment = h
 }
 
-// silence makes all connections that are open now bring nothing for good.
-func (l *link) silence() {
+// blackhole makes all connections that are open now drop all further data.
+func (l *link) blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		p.silent = true
+	for p := range l.conns {
+		p.blackholed = true
 	}
 }
 
-// reset resets each open connection whose turn it is: all with every 1, a half
-// with 2.
+// reset resets every n-th open connection, n being every: all with 1, half of them with 2.
 func (l *link) reset(every int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
-	for p := range l.pairs {
+	for p := range l.conns {
 		if n++; n%every == 0 {
 			abort(p.caller)
 			abort(p.target)
@@ -97,7 +95,7 @@
 	}
 }
 
-// abort closes a connection such that the other end sees a reset.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -105,12 +103,12 @@
 	_ = c.Close()
 }
 
-// pairTo returns the connection that the target sees as coming from an address, also once it
-// has ended; nil if there was none.
-func (l *link) pairTo(address string) *pair {
+// connFrom returns the connection that the target sees as coming from address, even if it is
+// closed by now; nil if there was none.
+func (l *link) connFrom(address string) *proxiedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.seen[address]
+	return l.byAddress[address]
 }
 
 func (l *link) accept() {
@@ -123,38 +121,38 @@
 	}
 }
 
-const dialBound = time.Second
+const dialTimeout = time.Second
 
 func (l *link) forward(caller net.Conn) {
-	target, err := net.DialTimeout("tcp4", l.target, dialBound)
+	target, err := net.DialTimeout("tcp4", l.target, dialTimeout)
 	if err != nil {
 		abort(caller)
 		return
 	}
-	p := &pair{caller: caller, target: target}
+	p := &proxiedConn{caller: caller, target: target}
 	l.mu.Lock()
-	l.pairs[p] = true
-	l.seen[target.LocalAddr().String()] = p
+	l.conns[p] = true
+	l.byAddress[target.LocalAddr().String()] = p
 	l.mu.Unlock()
 	var wg sync.WaitGroup
-	wg.Go(func() { l.pump(p, caller, target, true) })
-	wg.Go(func() { l.pump(p, target, caller, false) })
+	wg.Go(func() { l.forwardBytes(p, caller, target, true) })
+	wg.Go(func() { l.forwardBytes(p, target, caller, false) })
 	wg.Wait()
 	l.mu.Lock()
-	delete(l.pairs, p)
+	delete(l.conns, p)
 	l.mu.Unlock()
 }
 
-// pump passes bytes on in one direction until either end closes. An end that
-// closes cleanly is told to the other one; a reset too.
-func (l *link) pump(p *pair, from, to net.Conn, up bool) {
+// forwardBytes copies data in one direction until either end closes or resets, and then closes
+// both. up is the direction to the target.
+func (l *link) forwardBytes(p *proxiedConn, from, to net.Conn, up bool) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
 		if up && err != nil {
 			p.closedAt.CompareAndSwap(0, time.Now().UnixNano())
 		}
-		dropped := l.pass(p, up)
+		dropped := l.delayOrDrop(p, up)
 		if n > 0 && !dropped {
 			_, _ = to.Write(buf[:n])
 		}
@@ -162,7 +160,7 @@
 			continue
 		}
 		if dropped {
-			// Its end is as lost as its bytes.
+			// The close is dropped like the data.
 			return
 		}
 		_ = to.Close()
@@ -171,19 +169,18 @@
 	}
 }
 
-// pass waits for the link's delay and reports whether the bytes are lost.
-func (l *link) pass(p *pair, up bool) (dropped bool) {
+// delayOrDrop waits for the link's delay and reports whether the data is to be dropped.
+func (l *link) delayOrDrop(p *proxiedConn, up bool) (dropped bool) {
 	l.mu.Lock()
-	h, silent := l.harm, p.silent
+	h, blackholed := l.impairment, p.blackholed
 	l.mu.Unlock()
 	if h.delay > 0 {
 		time.Sleep(h.delay)
 	}
-	if silent || up && h.cutUp || !up && h.cutDown {
-		// A stream without some of its bytes is no network's doing: from now on
-		// nothing of it comes through.
+	if blackholed || up && h.cutUp || !up && h.cutDown {
+		// TCP never delivers a stream with bytes missing, so drop everything from now on.
 		l.mu.Lock()
-		p.silent = true
+		p.blackholed = true
 		l.mu.Unlock()
 		return true
 	}
--- a/soak/pool_test.go
+++ b/soak/pool_test.go
@@ -16,123 +16,123 @@
 
 const (
 	model = "m0"
-	// drainMs is how long after its leaving was acknowledged an endpoint may
-	// still get requests, and lingerFor how long it serves.
-	drainMs   = 2000
-	lingerFor = 3 * time.Second
-	// draftEvents and checkEvents are the lengths of streams, eventPause the time
+	// drainMs is how long an endpoint may still get requests after the store has acknowledged
+	// its state "draining", and lingerTime how long it keeps serving.
+	drainMs    = 2000
+	lingerTime = 3 * time.Second
+	// draftEvents and checkEvents are the numbers of events in a stream, eventPause the time
 	// between two events.
 	draftEvents = 60
 	checkEvents = 6
 	eventPause  = 20 * time.Millisecond
-	// goneBound is how long an endpoint may work on for a caller that has left.
-	goneBound = 700 * time.Millisecond
-	// loadTime of new weights.
+	// abandonedWorkBound is how soon after a caller has disconnected the router must close its
+	// connection to the endpoint.
+	abandonedWorkBound = 700 * time.Millisecond
+	// loadTime is the time an engine takes to load new weights.
 	loadTime = 250 * time.Millisecond
 )
 
-// mood is how an endpoint treats requests.
-type mood int32
+// behaviour is how an endpoint handles requests.
+type behaviour int32
 
 const (
-	sound mood = iota
-	// failing endpoints answer with an error of their own.
+	normal behaviour = iota
+	// failing endpoints answer with status 500.
 	failing
-	// full endpoints reject.
-	full
-	// losing endpoints run a request and close the connection.
+	// rejecting endpoints reject each request without running it.
+	rejecting
+	// losing endpoints run a request and close the connection without an answer.
 	losing
-	// garbling endpoints send bytes that are no whole answer.
+	// garbling endpoints send an incomplete answer.
 	garbling
 	// doubling endpoints send a second answer after the first.
 	doubling
-	moods
+	behaviours
 )
 
 // server is one incarnation of an endpoint, behind a link.
 type server struct {
 	*platformtest.Endpoint
-	soak    *soak
-	service string
-	link    *link
-	engine  *platformtest.Engine
-	mood    atomic.Int32
-	// born is when it started, in ms since 1970; 0 tells nobody.
-	born    atomic.Int64
-	nextRun atomic.Int64
+	soak      *soak
+	service   string
+	link      *link
+	engine    *platformtest.Engine
+	behaviour atomic.Int32
+	// startedAt is when it started, in Unix ms; 0 if its entry does not contain that.
+	startedAt atomic.Int64
+	nextRun   atomic.Int64
 
 	mu sync.Mutex
-	// leftAt is when its leaving was acknowledged.
+	// leftAt is when the store acknowledged its state "draining"; zero before that.
 	leftAt time.Time
 }
 
-// addServer starts an endpoint and lists it.
+// addServer starts an endpoint and publishes its entry.
 func (s *soak) addServer(service string) *server {
 	id := fmt.Sprintf("%s-%d", service, s.nextServer.Add(1))
 	x := &server{soak: s, service: service}
 	e, err := platformtest.NewEndpoint(id, x.handle)
 	if err != nil {
-		s.ledger.breach("start %s: %v", id, err)
+		s.checker.addViolation("start %s: %v", id, err)
 		return nil
 	}
 	x.Endpoint = e
 	if x.link, err = newLink(e.Address()); err != nil {
-		s.ledger.breach("start %s: %v", id, err)
+		s.checker.addViolation("start %s: %v", id, err)
 		return nil
 	}
 	if service == "pool" {
-		x.engine = platformtest.NewEngine(model, s.named.Load(), loadTime, func(v int64) bool { return v <= s.named.Load() })
+		x.engine = platformtest.NewEngine(model, s.publishedVersion.Load(), loadTime, func(v int64) bool { return v <= s.publishedVersion.Load() })
 		e.HandleControl(x.engine.Control)
 	}
-	if s.seed >= firstWithStarts {
+	if s.seed >= firstRestartSeed {
 		x.start()
 	}
 	s.mu.Lock()
 	s.servers[id] = x
 	s.mu.Unlock()
-	x.list("ready")
+	x.publishEntry("ready")
 	return x
 }
 
-// start notes when the endpoint starts, or starts again.
+// start sets the start time of the endpoint when it starts or restarts.
 func (x *server) start() {
-	x.born.Store(max(time.Now().UnixMilli(), x.born.Load()+1))
+	x.startedAt.Store(max(time.Now().UnixMilli(), x.startedAt.Load()+1))
 	if x.engine != nil {
-		x.engine.Restart(x.born.Load())
+		x.engine.Restart(x.startedAt.Load())
 	}
 }
 
-// restart has the endpoint lose its power and be back under its id and address.
+// restart simulates a power loss: the endpoint comes back under the same id and address.
 func (x *server) restart() {
 	x.start()
 	x.link.reset(1)
-	x.list("ready")
+	x.publishEntry("ready")
 }
 
-// spoil has another writer put something else where the endpoint's entry stands, until
-// its next heartbeat.
-func (x *server) spoil(entry map[string]any) {
+// overwriteEntry replaces the endpoint's entry, as another writer would, until its next heartbeat.
+func (x *server) overwriteEntry(entry map[string]any) {
 	x.soak.store.Put("servers", x.ID, entry)
 	time.Sleep(heartbeatMs * time.Millisecond)
 	if !x.isLeaving() {
-		x.list("ready")
+		x.publishEntry("ready")
 	}
 }
 
-// list writes the endpoint's entry.
-func (x *server) list(state string) {
+// publishEntry writes the endpoint's entry to the store.
+func (x *server) publishEntry(state string) {
 	versions := map[string]int64{}
 	if x.engine != nil {
 		versions[model], _ = x.engine.Version()
 	}
 	entry := platformtest.EntryAt(x.link.address(), x.service, state, versions)
-	if born := x.born.Load(); born > 0 {
-		entry["born"] = born
+	if startedAt := x.startedAt.Load(); startedAt > 0 {
+		entry["born"] = startedAt
 	}
 	x.soak.store.Put("servers", x.ID, entry)
 }
 
-// remove takes the endpoint out of the run.
+// remove stops the endpoint and its link, but leaves its entry in the store.
 func (x *server) remove() {
 	x.soak.mu.Lock()
 	delete(x.soak.servers, x.ID)
@@ -141,22 +141,22 @@
 	x.link.close()
 }
 
-// leave has the endpoint go as planned work does.
+// leave drains and removes the endpoint, as planned work does.
 func (x *server) leave() {
-	x.list("draining")
+	x.publishEntry("draining")
 	x.mu.Lock()
 	x.leftAt = time.Now()
 	x.mu.Unlock()
-	time.Sleep(lingerFor)
+	time.Sleep(lingerTime)
 	x.soak.store.Remove("servers", x.ID)
 	x.remove()
 }
 
-// feel has the endpoint treat requests so for a while.
-func (x *server) feel(m mood, lasts time.Duration) {
-	x.mood.Store(int32(m))
-	time.Sleep(lasts)
-	x.mood.Store(int32(sound))
+// behaveFor changes the endpoint's behaviour for the given duration.
+func (x *server) behaveFor(m behaviour, duration time.Duration) {
+	x.behaviour.Store(int32(m))
+	time.Sleep(duration)
+	x.behaviour.Store(int32(normal))
 }
 
 func (x *server) isLeaving() bool {
@@ -165,16 +165,16 @@
 	return !x.leftAt.IsZero()
 }
 
-// handle answers one request as an endpoint of the platform does.
+// handle answers one request as an endpoint of the platform does, according to its behaviour.
 func (x *server) handle(e *platformtest.Exchange) bool {
-	c := x.soak.ledger.arrived(e.ID())
+	c := x.soak.checker.arrived(e.ID())
 	if c == nil {
 		e.Reject(503)
 		return true
 	}
-	x.judge(c, e)
-	mood := mood(x.mood.Load())
-	if mood == full {
+	x.checkRequest(c, e)
+	behaviour := behaviour(x.behaviour.Load())
+	if behaviour == rejecting {
 		e.Reject(503)
 		return true
 	}
@@ -188,61 +188,61 @@
 			e.Reject(503)
 			return true
 		}
-		x.cached(c, e, version)
+		x.cacheParts(c, e, version)
 	}
-	x.soak.ledger.ran(c, x.ID)
-	w := &work{at: x, pair: x.link.pairTo(e.Conn.RemoteAddr().String()), from: time.Now()}
-	x.soak.ledger.begins(c, w)
-	defer x.soak.ledger.ends(w)
-	if mood == losing {
+	x.soak.checker.ran(c, x.ID)
+	w := &work{at: x, proxiedConn: x.link.connFrom(e.Conn.RemoteAddr().String()), from: time.Now()}
+	x.soak.checker.workStarted(c, w)
+	defer x.soak.checker.workEnded(w)
+	if behaviour == losing {
 		return false
 	}
-	if x.engine != nil && mood != failing {
-		return x.stream(c, e, mood)
+	if x.engine != nil && behaviour != failing {
+		return x.stream(c, e, behaviour)
 	}
-	return x.whole(c, e, mood)
+	return x.answer(c, e, behaviour)
 }
 
-// judge looks at what the router has made of a request.
-func (x *server) judge(c *call, e *platformtest.Exchange) {
-	l := x.soak.ledger
+// checkRequest checks that the router forwarded the request correctly.
+func (x *server) checkRequest(c *call, e *platformtest.Exchange) {
+	ck := x.soak.checker
 	if got := string(e.Request.Header.RequestURI()); got != c.path {
-		l.breach("UNASKED: %s arrives with path %q, sent with %q", c.id, got, c.path)
+		ck.addViolation("UNASKED: %s arrives with path %q, sent with %q", c.id, got, c.path)
 	}
 	if got := string(e.Request.Body()); got != c.body {
-		l.breach("UNASKED: %s arrives with body %q, sent with %q", c.id, got, c.body)
+		ck.addViolation("UNASKED: %s arrives with body %q, sent with %q", c.id, got, c.body)
 	}
 	if got := e.Header("Sardinedock-Tenant-Id"); got != c.organisation {
-		l.breach("UNASKED: %s arrives for organisation %q, the key is of %q", c.id, got, c.organisation)
+		ck.addViolation("UNASKED: %s arrives for organisation %q, the key is of %q", c.id, got, c.organisation)
 	}
 	if got := e.Header("Authorization"); got != "" {
-		l.breach("UNASKED: %s arrives with its key", c.id)
+		ck.addViolation("UNASKED: %s arrives with its key", c.id)
 	}
 	if got := e.Header("Sardinedock-Prompt-Prefix"); got != c.parts {
-		l.breach("UNASKED: %s arrives with parts %q, sent with %q", c.id, got, c.parts)
+		ck.addViolation("UNASKED: %s arrives with parts %q, sent with %q", c.id, got, c.parts)
 	}
 	for _, name := range []string{"Sardinedock-Hold", "Sardinedock-Kv-Backup", "Kv-From"} {
 		if e.Header(name) == forged {
-			l.breach("UNASKED: %s arrives with %s of the caller", c.id, name)
+			ck.addViolation("UNASKED: %s arrives with %s of the caller", c.id, name)
 		}
 	}
 	x.mu.Lock()
 	leftAt := x.leftAt
 	x.mu.Unlock()
-	if late := time.Since(leftAt); !leftAt.IsZero() && late > drainMs*time.Millisecond && x.soak.calm(c.instance, leftAt.Add(-contact), time.Now()) {
-		l.breach("DRAIN: %s reaches %s %v after its leaving was acknowledged", c.id, x.ID, late)
+	if late := time.Since(leftAt); !leftAt.IsZero() && late > drainMs*time.Millisecond && x.soak.undisturbed(c.instance, leftAt.Add(-stabilisationTime), time.Now()) {
+		ck.addViolation("DRAIN: %s reaches %s %v after its leaving was acknowledged", c.id, x.ID, late)
 	}
-	x.soak.judgeKey(c)
+	x.soak.checkKey(c)
 }
 
-// cached notes under which text the request's parts are kept.
-func (x *server) cached(c *call, e *platformtest.Exchange, version int64) {
+// cacheParts checks the request's cache salt and adds its parts to the engine's cache.
+func (x *server) cacheParts(c *call, e *platformtest.Exchange, version int64) {
 	scope := e.Header("Sardinedock-Cache-Salt")
 	use := scopeUse{version: version}
-	if c.organisation == isolated {
-		use.wall = isolated
+	if c.organisation == isolatedOrg {
+		use.isolatedFor = isolatedOrg
 	}
-	x.soak.ledger.scoped(scope, use)
+	x.soak.checker.cachedUnder(scope, use)
 	for entry := range strings.SplitSeq(c.parts, ",") {
 		part, tokens, _ := strings.Cut(entry, ":")
 		n, _ := strconv.ParseInt(tokens, 10, 64)
@@ -252,34 +252,35 @@
 
 func (x *server) signature() string { return fmt.Sprintf("%s.%d", x.ID, x.nextRun.Add(1)) }
 
-// longOnes is how many requests there are to one that takes long.
-const longOnes = 6
+// One in longRequestOneIn requests takes long.
+const longRequestOneIn = 6
 
-// workTime of a plain request: short as a rule, long now and then, so that faults
-// meet requests that run.
+// workTime returns the time to run a plain request: usually short, sometimes long, so that faults
+// occur while requests run.
 func (s *soak) workTime(c *call) time.Duration {
-	rng := s.chances(c)
+	rng := s.requestRand(c)
 	least, more := 5*time.Millisecond, 25*time.Millisecond
-	if rng.IntN(longOnes) == 0 {
+	if rng.IntN(longRequestOneIn) == 0 {
 		least, more = 50*time.Millisecond, 250*time.Millisecond
 	}
 	return least + time.Duration(rng.Int64N(int64(more)))
 }
 
-// chances of one request come from the run's seed, whichever endpoint gets it.
-func (s *soak) chances(c *call) *rand.Rand {
+// requestRand returns a generator that depends on the run's seed and the request, but not on the
+// endpoint.
+func (s *soak) requestRand(c *call) *rand.Rand {
 	return rand.New(rand.NewPCG(s.seed, xxh3.HashString(c.id)))
 }
 
-// whole answers with a body at once.
-func (x *server) whole(c *call, e *platformtest.Exchange, m mood) bool {
+// answer sends a complete response with a body.
+func (x *server) answer(c *call, e *platformtest.Exchange, m behaviour) bool {
 	time.Sleep(x.soak.workTime(c))
 	status, signature := 200, x.signature()
 	if m == failing {
 		status = 500
 	}
 	body := fmt.Sprintf("answer to %s by %s", c.id, signature)
-	x.soak.ledger.made(c, signature, body, status)
+	x.soak.checker.responded(c, signature, body, status)
 	e.Head(status, signature, len(body))
 	if m == garbling {
 		e.Write("%s", body[:len(body)/2])
@@ -293,12 +294,12 @@
 	return true
 }
 
-// readPrompt takes long now and then, as for a long prompt. Nothing is sent
-// meanwhile, so a caller that leaves then is noticed by its close alone. It reports
-// whether the sender is still there.
+// readPrompt sometimes takes long, as for a long prompt. Nothing is sent in that time, so only the
+// close of the connection shows that the caller has disconnected. It reports whether the
+// connection is still open.
 func (x *server) readPrompt(c *call, e *platformtest.Exchange) bool {
 	const longSteps = 60
-	if x.soak.chances(c).IntN(longOnes) > 0 {
+	if x.soak.requestRand(c).IntN(longRequestOneIn) > 0 {
 		return true
 	}
 	for range longSteps {
@@ -309,14 +310,14 @@
 	return true
 }
 
-// stream answers with events, after the one that the caller has.
-func (x *server) stream(c *call, e *platformtest.Exchange, m mood) bool {
+// stream answers with the events after the last one that the caller has received.
+func (x *server) stream(c *call, e *platformtest.Exchange, m behaviour) bool {
 	if !x.readPrompt(c, e) {
 		return false
 	}
 	last, _ := strconv.Atoi(e.Header("Last-Event-Id"))
 	signature := x.signature()
-	x.soak.ledger.made(c, signature, "", 200)
+	x.soak.checker.responded(c, signature, "", 200)
 	e.SignedStreamHead(signature)
 	for n := last + 1; n <= eventsOf(c.kind); n++ {
 		if e.CallerClosed(eventPause) {
--- a/soak/quotas_test.go
+++ b/soak/quotas_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// firstWithQuotas is the first seed in which the isolated organisation has a quota, far
-// below what its callers send.
-const firstWithQuotas = 90000
+// firstQuotaSeed is the first seed in which the isolated organisation has a quota, far below
+// what its callers send.
+const firstQuotaSeed = 90000
 
-// The quota in tokens, and what a request counts; plain requests state no size.
+// The quota in tokens, and the tokens that a request is charged; plain requests state no size.
 const (
 	quotaRate    = 3000
 	quotaBurst   = 3000
 	promptTokens = 1240
 	plainTokens  = 100
-	// quotaWindow is over what the quota is judged, quotaOver the share above it that is
-	// allowed. quotaSlack is what else may pass: one prompt at each instance and one for
-	// each of its restarts.
-	quotaWindow = 8 * time.Second
-	quotaOver   = 0.1
-	quotaSlack  = 15_000
+	// quotaWindow is the time window over which the quota is checked, and quotaTolerance the
+	// tolerated excess as a share of it. quotaSlack is a further allowance: one prompt for
+	// each instance and one for each of its restarts.
+	quotaWindow    = 8 * time.Second
+	quotaTolerance = 0.1
+	quotaSlack     = 15_000
 )
 
-// limited reports whether an organisation has a quota in this run.
+// limited reports whether the organisation has a quota in this run.
 func (s *soak) limited(organisation string) bool {
-	return s.seed >= firstWithQuotas && organisation == isolated
+	return s.seed >= firstQuotaSeed && organisation == isolatedOrg
 }
 
-// addQuota gives an organisation's record its quota.
+// addQuota adds the quota, if any, to an organisation's record.
 func (s *soak) addQuota(organisation string, record map[string]any) {
 	if s.limited(organisation) {
 		record["unit"], record["ratePerS"], record["burst"], record["plainTokens"] = "token_stream", quotaRate, quotaBurst, plainTokens
 	}
 }
 
-// judgeQuota judges what endpoints have run for the limited organisation.
-func (s *soak) judgeQuota(calls []call) {
+// checkQuota checks the tokens that endpoints have run for the organisation with a quota.
+func (s *soak) checkQuota(calls []call) {
 	type run struct {
 		at   time.Time
 		cost float64
@@ -55,7 +55,7 @@
 		}
 	}
 	slices.SortFunc(runs, func(a, b run) int { return a.at.Compare(b.at) })
-	const most = (quotaRate*8+quotaBurst)*(1+quotaOver) + quotaSlack
+	const most = (quotaRate*8+quotaBurst)*(1+quotaTolerance) + quotaSlack
 	sum, first := 0.0, 0
 	for _, r := range runs {
 		sum += r.cost
@@ -64,11 +64,11 @@
 			first++
 		}
 		if sum > most {
-			s.ledger.breach("QUOTA: %.0f tokens of %s ran in 8 s until %s, %.0f are allowed", sum, isolated, r.at.Format("05.000"), float64(most))
+			s.checker.addViolation("QUOTA: %.0f tokens of %s ran in 8 s until %s, %.0f are allowed", sum, isolatedOrg, r.at.Format("05.000"), float64(most))
 			return
 		}
 	}
-	if len(runs) > 0 && s.seed >= firstWithQuotas {
-		s.ledger.counts["runs under a quota"] = len(runs)
+	if len(runs) > 0 && s.seed >= firstQuotaSeed {
+		s.checker.counts["runs under a quota"] = len(runs)
 	}
 }
--- a/soak/records_test.go
+++ b/soak/records_test.go
@@ -9,27 +9,27 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// applyBound is how long after its acknowledgement a change of the records is in
-// force at calm instances.
+// applyBound is how long after its acknowledgement by the store a change of the records must be
+// in force at undisturbed instances.
 const applyBound = 2 * time.Second
 
-// change is one version of the records that added a route and may have dropped a
-// key.
+// change is a version of the records, which adds a route and may drop a key, and the time when the
+// store acknowledged it.
 type change struct {
 	version int64
 	ackedAt time.Time
 }
 
-// records is what the operator has written.
+// records is the state of the records that the operator writes.
 type records struct {
 	version int64
 	changes []change
-	// added are the versions whose route is there.
+	// added are the versions that added a route.
 	added []int64
-	// dropped maps a key that was taken away to the version.
+	// dropped maps a dropped key to the version that dropped it.
 	dropped map[string]int64
 	keys    map[string][]string
-	// seen is the highest version whose effect an incarnation has shown.
+	// seen maps an incarnation of an instance to the highest version whose effect it has shown.
 	seen map[string]effect
 }
 
@@ -38,10 +38,10 @@
 	at      time.Time
 }
 
-// newRecords has four keys for each organisation; the first is never dropped.
+// newRecords returns records with four keys for each organisation; the first is never dropped.
 func newRecords() records {
 	r := records{version: 1, dropped: map[string]int64{}, keys: map[string][]string{}, seen: map[string]effect{}}
-	for _, o := range []string{open, isolated} {
+	for _, o := range []string{openOrg, isolatedOrg} {
 		for n := range 4 {
 			r.keys[o] = append(r.keys[o], fmt.Sprintf("%s-key-%d", o, n))
 		}
@@ -49,7 +49,7 @@
 	return r
 }
 
-// writeRecords puts the records into the store and notes the acknowledgement.
+// writeRecords writes the records to the store and records the time of the acknowledgement.
 func (s *soak) writeRecords() {
 	s.mu.Lock()
 	r := &s.records
@@ -60,14 +60,14 @@
 	}
 	value["routes"] = routes
 	var tenants []any
-	for _, o := range []string{open, isolated} {
+	for _, o := range []string{openOrg, isolatedOrg} {
 		var keys []string
 		for _, k := range r.keys[o] {
 			if r.dropped[k] == 0 {
 				keys = append(keys, k)
 			}
 		}
-		record := map[string]any{"name": o, "apiKeys": keys, "priority": 1, "isolated": o == isolated}
+		record := map[string]any{"name": o, "apiKeys": keys, "priority": 1, "isolated": o == isolatedOrg}
 		s.addQuota(o, record)
 		tenants = append(tenants, record)
 	}
@@ -80,14 +80,14 @@
 	s.mu.Unlock()
 }
 
-// changeRecords adds a route, and drops a key now and then.
+// changeRecords adds a route and, if dropKey is set, drops a key.
 func (s *soak) changeRecords(dropKey bool) {
 	s.mu.Lock()
 	r := &s.records
 	r.version += 3
 	r.added = append(r.added, r.version)
 	if dropKey {
-		o := []string{open, isolated}[r.version%2]
+		o := []string{openOrg, isolatedOrg}[r.version%2]
 		for _, k := range r.keys[o][1:] {
 			if r.dropped[k] == 0 {
 				r.dropped[k] = r.version
@@ -99,7 +99,7 @@
 	s.writeRecords()
 }
 
-// ackedAt returns when a version was acknowledged; zero where it was not yet.
+// ackedAt returns when the store acknowledged a version; zero if it has not yet.
 func (s *soak) ackedAt(version int64) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,8 @@
 	return s.records.changes[k].ackedAt
 }
 
-// keyFor returns a key of the organisation, a dropped one now and then.
+// keyFor returns a key of the organisation, and the version that dropped it or 0. Some requests
+// get a dropped key.
 func (s *soak) keyFor(rng *rand.Rand, organisation string) (key string, droppedIn int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +123,7 @@
 	return k, s.records.dropped[k]
 }
 
-// addedRoute returns a version whose route is tried now and then, or 0.
+// addedRoute returns a recent version whose added route the request is to use; 0 for most requests.
 func (s *soak) addedRoute(rng *rand.Rand) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,22 +133,21 @@
 	return 0
 }
 
-// inForce reports whether a version has to be in force at an instance for a
-// request sent at a moment.
+// inForce reports whether a version must be in force at an instance for a request sent at sentAt.
 func (s *soak) inForce(version int64, instance int, sentAt time.Time) bool {
 	acked := s.ackedAt(version)
-	return !acked.IsZero() && sentAt.Sub(acked) > applyBound && s.calm(instance, sentAt.Add(-contact-applyBound), sentAt)
+	return !acked.IsZero() && sentAt.Sub(acked) > applyBound && s.undisturbed(instance, sentAt.Add(-stabilisationTime-applyBound), sentAt)
 }
 
-// judgeKey judges a request that has reached an endpoint by its key.
-func (s *soak) judgeKey(c *call) {
+// checkKey checks that a request that has reached an endpoint has a key that is still valid.
+func (s *soak) checkKey(c *call) {
 	if c.droppedIn > 0 && s.inForce(c.droppedIn, c.instance, c.sentAt) {
-		s.ledger.breach("CONFIG: %s runs with a key that version %d dropped", c.id, c.droppedIn)
+		s.checker.addViolation("CONFIG: %s runs with a key that version %d dropped", c.id, c.droppedIn)
 	}
 }
 
-// judgeRecords judges an answer by the records that may be in force.
-func (s *soak) judgeRecords(c *call, status int, ran bool) {
+// checkRecords checks an answer against the records that may be in force at its instance.
+func (s *soak) checkRecords(c *call, status int, ran bool) {
 	const unauthorized, notFound = 401, 404
 	denied := status == unauthorized || status == notFound || status == 403 || status == 400
 	incarnation := fmt.Sprintf("%d/%d", c.instance, c.incarnation)
@@ -156,16 +156,16 @@
 		return
 	case status == notFound && c.addedIn > 0:
 		if s.inForce(c.addedIn, c.instance, c.sentAt) {
-			s.ledger.breach("CONFIG: %s is denied a route that version %d added", c.id, c.addedIn)
+			s.checker.addViolation("CONFIG: %s is denied a route that version %d added", c.id, c.addedIn)
 		}
 		s.mu.Lock()
 		seen := s.records.seen[incarnation]
 		s.mu.Unlock()
 		if seen.version >= c.addedIn && c.sentAt.Sub(seen.at) > 250*time.Millisecond {
-			s.ledger.breach("CONFIG: instance %s denies %s a route of version %d after it has shown version %d", incarnation, c.id, c.addedIn, seen.version)
+			s.checker.addViolation("CONFIG: instance %s denies %s a route of version %d after it has shown version %d", incarnation, c.id, c.addedIn, seen.version)
 		}
 	case denied:
-		s.ledger.breach("DENIED: %s got %d, all records allow it", c.id, status)
+		s.checker.addViolation("DENIED: %s got %d, all records allow it", c.id, status)
 	case ran && c.addedIn > 0:
 		s.mu.Lock()
 		if s.records.seen[incarnation].version < c.addedIn {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,56 +19,57 @@
 )
 
 var (
-	firstSeed = flag.Uint64("seed", 0, "first seed; 0 plays those of testdata/seeds.txt")
-	seeds     = flag.Int("seeds", 1, "how many seeds")
-	jobs      = flag.Int("jobs", 3, "how many runs at a time")
-	keep      = flag.Bool("keep", false, "keep the logs of all runs, and tell of each fault")
-	size      = flag.Int("instances", 5, "how many instances")
+	firstSeed = flag.Uint64("seed", 0, "first seed; 0 runs those of testdata/seeds.txt")
+	seeds     = flag.Int("seeds", 1, "number of seeds")
+	jobs      = flag.Int("jobs", 3, "number of concurrent runs")
+	keep      = flag.Bool("keep", false, "keep the logs of all runs, and print each fault")
+	size      = flag.Int("instances", 5, "number of instances")
 )
 
 const (
-	warmUp    = 1500 * time.Millisecond
-	faultsFor = 8 * time.Second
-	// calmDown is enough for planned work that begins once all instances are in
-	// touch again, and for its bounds.
-	calmDown    = contact + 5*time.Second
-	judgedAtEnd = 2 * time.Second
-	callers     = 16
-	engines     = 4
-	plain       = 3
-	// breachesTold bounds what is printed of one run.
-	breachesTold = 20
-	// servedAtEnd is the least share of requests that succeed once all is calm.
-	servedAtEnd = 0.9
+	warmUp     = 1500 * time.Millisecond
+	faultPhase = 8 * time.Second
+	// recoveryTime is long enough for planned work that starts once all instances have
+	// reconnected, and for the time bounds of that work.
+	recoveryTime = stabilisationTime + 5*time.Second
+	// stableWindow is the last part of a run, whose requests count for minServedRatio.
+	stableWindow = 2 * time.Second
+	callerCount  = 16
+	engineCount  = 4
+	plainCount   = 3
+	// maxPrintedViolations is the maximum number of violations that are printed for a run.
+	maxPrintedViolations = 20
+	// minServedRatio is the least share of requests that must succeed after recovery.
+	minServedRatio = 0.9
 )
 
-// soak is one run.
+// soak is the state of one run.
 type soak struct {
-	seed      uint64
-	ledger    *ledger
-	store     *platformtest.Store
-	instances []*instance
-	named     atomic.Int64
-	over      atomic.Bool
+	seed             uint64
+	checker          *checker
+	store            *platformtest.Store
+	instances        []*instance
+	publishedVersion atomic.Int64
+	callersStop      atomic.Bool
 
 	nextServer atomic.Int64
 	mu         sync.Mutex
 	servers    map[string]*server
 	records    records
-	// endpointFaults are faults at any endpoint.
+	// endpointFaults are the times of faults at any endpoint.
 	endpointFaults timeline
 }
 
-// Instances, endpoints, the store and the ways between them fail in random order,
-// together and in series, while callers go on. Whatever happens, a caller gets its
-// own whole answer or a word that is true, and once it is over all are served.
-func TestSoak(t *testing.T) { playAll(t, chosen(t)) }
+// Instances, endpoints, the store and the network between them fail in random order, also
+// concurrently and repeatedly, under load. In all cases a caller must get its own complete answer
+// or a truthful error, and after the faults requests must be served again.
+func TestSoak(t *testing.T) { runSeeds(t, selectedSeeds(t)) }
 
-// Seeds whose fault is not mended yet; the file tells what each shows.
-func TestOpenSeeds(t *testing.T) { playAll(t, listed(t, "testdata/open.txt")) }
+// Seeds that show faults which are not fixed yet; the file describes them.
+func TestOpenSeeds(t *testing.T) { runSeeds(t, readSeeds(t, "testdata/open.txt")) }
 
-// playAll plays seeds, as many at a time as the flags say.
-func playAll(t *testing.T, list []uint64) {
+// runSeeds runs each seed as a subtest, with the concurrency that the flag jobs sets.
+func runSeeds(t *testing.T, list []uint64) {
 	t.Helper()
 	if len(list) == 0 {
 		return
@@ -82,13 +83,13 @@
 			}
 			slots <- struct{}{}
 			defer func() { <-slots }()
-			play(t, binary, seed)
+			runSeed(t, binary, seed)
 		})
 	}
 }
 
-// chosen returns the seeds that the flags ask for.
-func chosen(t *testing.T) []uint64 {
+// selectedSeeds returns the seeds that the flags select.
+func selectedSeeds(t *testing.T) []uint64 {
 	var list []uint64
 	if *firstSeed > 0 {
 		for n := range *seeds {
@@ -96,11 +97,11 @@
 		}
 		return list
 	}
-	return listed(t, "testdata/seeds.txt")
+	return readSeeds(t, "testdata/seeds.txt")
 }
 
-// listed returns the seeds that a file lists, each at the start of a line.
-func listed(t *testing.T, name string) []uint64 {
+// readSeeds returns the seeds in a file, each at the start of a line. Other lines are ignored.
+func readSeeds(t *testing.T, name string) []uint64 {
 	t.Helper()
 	var list []uint64
 	f, err := os.Open(name)
@@ -127,27 +128,27 @@
 	return binary
 }
 
-func play(t *testing.T, binary string, seed uint64) {
+func runSeed(t *testing.T, binary string, seed uint64) {
 	dir, err := os.MkdirTemp("", "soak-")
 	if err != nil {
 		t.Fatal(err)
 	}
 	rng := rand.New(rand.NewPCG(seed, 0))
-	s := &soak{seed: seed, ledger: newLedger(), servers: map[string]*server{}, records: newRecords()}
-	s.named.Store(1)
+	s := &soak{seed: seed, checker: newChecker(), servers: map[string]*server{}, records: newRecords()}
+	s.publishedVersion.Store(1)
 	s.setUp(t, binary, dir)
-	stop := s.callAll()
+	stop := s.startCallers()
 	time.Sleep(warmUp)
-	s.harm(t, rng)
-	s.workAtPeace()
-	settledAt := time.Now().Add(-judgedAtEnd)
-	s.over.Store(true)
+	s.injectFaults(t, rng)
+	s.runPlannedWork()
+	stableSince := time.Now().Add(-stableWindow)
+	s.callersStop.Store(true)
 	stop()
-	s.judgeEnd(settledAt)
-	s.judgeLines(settledAt)
+	s.checkEnd(stableSince)
+	s.checkLogLines(stableSince)
 	s.tearDown()
-	t.Logf("seed %d: %v", seed, s.ledger.counts)
-	for _, b := range s.ledger.broken[:min(len(s.ledger.broken), breachesTold)] {
+	t.Logf("seed %d: %v", seed, s.checker.counts)
+	for _, b := range s.checker.violations[:min(len(s.checker.violations), maxPrintedViolations)] {
 		t.Error(b)
 	}
 	if t.Failed() || *keep {
@@ -163,63 +164,63 @@
 		t.Fatal(err)
 	}
 	s.store.Put("versions", model, map[string]any{"model": model, "version": 1})
-	for range engines {
+	for range engineCount {
 		s.addServer("pool")
 	}
-	for range plain {
+	for range plainCount {
 		s.addServer("orders")
 	}
 	s.writeRecords()
 	for n := range *size {
-		i := newInstance(t, n, binary, dir, s.store.Address(), s.ledger)
+		i := newInstance(t, n, binary, dir, s.store.Address(), s.checker)
 		s.instances = append(s.instances, i)
 		i.start()
 	}
 }
 
-// callAll starts the callers; the function returned waits for their end.
-func (s *soak) callAll() (wait func()) {
+// startCallers starts the callers; the returned function waits until they have finished.
+func (s *soak) startCallers() (wait func()) {
 	var wg sync.WaitGroup
-	for n := range callers {
+	for n := range callerCount {
 		c := &caller{soak: s, n: n, rng: rand.New(rand.NewPCG(s.seed, uint64(n)+1))}
 		wg.Go(c.run)
 	}
 	return wg.Wait
 }
 
-// harm plays the schedule and waits until all faults are over.
-func (s *soak) harm(t *testing.T, rng *rand.Rand) {
+// injectFaults runs the schedule and waits until all faults are over.
+func (s *soak) injectFaults(t *testing.T, rng *rand.Rand) {
 	began := time.Now()
 	var wg sync.WaitGroup
-	for _, e := range schedule(rng, faultsOf(s.seed), faultsFor) {
+	for _, e := range schedule(rng, faultsOf(s.seed), faultPhase) {
 		wg.Go(func() {
 			time.Sleep(time.Until(began.Add(e.at)))
 			if *keep {
-				t.Logf("%s %s for %v", time.Now().Format("05.000"), e.fault.name, e.lasts)
+				t.Logf("%s %s for %v", time.Now().Format("05.000"), e.fault.name, e.duration)
 			}
-			s.ledger.count("fault")
-			e.fault.do(s, rand.New(rand.NewPCG(e.seed, 0)), e.lasts)
+			s.checker.count("fault")
+			e.fault.run(s, rand.New(rand.NewPCG(e.seed, 0)), e.duration)
 		})
 	}
 	wg.Wait()
 }
 
-// workAtPeace has planned work done once all faults are over, when each bound holds:
-// endpoints leave, the records change, and weights are named.
-func (s *soak) workAtPeace() {
+// runPlannedWork does planned work after the faults, when all time bounds apply: it replaces
+// endpoints, changes the records and publishes a weights version.
+func (s *soak) runPlannedWork() {
 	began := time.Now()
-	time.Sleep(contact + 200*time.Millisecond)
+	time.Sleep(stabilisationTime + 200*time.Millisecond)
 	var wg sync.WaitGroup
 	for _, service := range []string{"pool", "orders"} {
 		wg.Go(func() { s.replace(service) })
 	}
 	s.changeRecords(true)
-	s.nameWeights()
+	s.publishVersion()
 	wg.Wait()
-	time.Sleep(time.Until(began.Add(calmDown)))
+	time.Sleep(time.Until(began.Add(recoveryTime)))
 }
 
-// replace has one endpoint of a service leave once another one is there.
+// replace adds an endpoint to a service and then drains an old one.
 func (s *soak) replace(service string) {
 	var leaving *server
 	for _, x := range s.liveServers() {
@@ -234,21 +235,21 @@
 	}
 }
 
-// nameWeights names the next version.
-func (s *soak) nameWeights() {
-	v := s.named.Add(1)
+// publishVersion writes the next weights version to the store, for the rollout to load.
+func (s *soak) publishVersion() {
+	v := s.publishedVersion.Add(1)
 	s.store.Put("versions", model, map[string]any{"model": model, "version": v})
 }
 
-// judgeEnd judges what has to hold once all is calm.
-func (s *soak) judgeEnd(settledAt time.Time) {
-	l := s.ledger
+// checkEnd checks the guarantees that have to hold at the end of a run.
+func (s *soak) checkEnd(stableSince time.Time) {
+	ck := s.checker
 	served, sent, extra := 0, 0, 0
-	calls := s.ledger.settled()
-	s.judgeQuota(calls)
+	calls := s.checker.finalCalls()
+	s.checkQuota(calls)
 	for _, c := range calls {
-		// A dropped key is not served any more, whatever its request counted on.
-		if c.sentAt.After(settledAt) && c.leftAt.IsZero() && !s.dropped(c.key) && !(s.limited(c.organisation) && c.refused == 429) {
+		// Requests with a dropped key are expected to be rejected.
+		if c.sentAt.After(stableSince) && c.leftAt.IsZero() && !s.dropped(c.key) && !(s.limited(c.organisation) && c.refused == 429) {
 			sent++
 			if len(c.answers) > 0 {
 				served++
@@ -256,25 +257,25 @@
 		}
 		extra += max(0, c.arrivals-1)
 		if !c.leftAt.IsZero() {
-			s.judgeGone(&c)
+			s.checkAbandoned(&c)
 		}
 	}
-	if float64(served) < servedAtEnd*float64(sent) || sent == 0 {
-		l.breach("RECOVER: %d of %d requests served once all was calm", served, sent)
+	if float64(served) < minServedRatio*float64(sent) || sent == 0 {
+		ck.addViolation("RECOVER: %d of %d requests served once all was calm", served, sent)
 	}
-	windows := (warmUp+faultsFor+calmDown).Seconds()/retryWindow + 1
-	if most := retryRatio*float64(len(l.calls)) + retrySlack*windows; float64(extra) > most {
-		l.breach("BUDGET: %d repeats, %.0f are allowed", extra, most)
+	windows := (warmUp+faultPhase+recoveryTime).Seconds()/retryWindow + 1
+	if most := retryRatio*float64(len(ck.calls)) + retrySlack*windows; float64(extra) > most {
+		ck.addViolation("BUDGET: %d repeats, %.0f are allowed", extra, most)
 	}
 	for _, x := range s.liveServers() {
 		if x.engine == nil {
 			continue
 		}
-		if v, _ := x.engine.Version(); v < s.named.Load() {
-			l.breach("VERSION: %s holds version %d at the end, %d is named", x.ID, v, s.named.Load())
+		if v, _ := x.engine.Version(); v < s.publishedVersion.Load() {
+			ck.addViolation("VERSION: %s holds version %d at the end, %d is named", x.ID, v, s.publishedVersion.Load())
 		}
 		if n := x.engine.FenceConflicts(); n > 0 {
-			l.breach("ONE: %s got %d orders of a second holder under one fence", x.ID, n)
+			ck.addViolation("ONE: %s got %d orders of a second holder under one fence", x.ID, n)
 		}
 	}
 }
@@ -315,34 +316,33 @@
 	return list[len(list)-1]
 }
 
-func (s *soak) calm(instance int, from, to time.Time) bool {
-	return s.instances[instance].calm(from, to)
+func (s *soak) undisturbed(instance int, from, to time.Time) bool {
+	return s.instances[instance].undisturbed(from, to)
 }
 
-// judgeGone judges for each request whose caller left whether the router has told the
-// endpoint, by closing the connection to it. The moment is seen at the endpoint's link,
-// whatever that does to the connection: an endpoint that is cut off works on, and neither
-// it nor the router could know better.
-func (s *soak) judgeGone(c *call) {
+// checkAbandoned checks that the router closed its connection to the endpoint after the caller
+// had disconnected. The endpoint's link sees the time of the close even while it drops bytes:
+// an endpoint that is cut off keeps working, and neither it nor the router can prevent that.
+func (s *soak) checkAbandoned(c *call) {
 	for _, w := range c.works {
-		bound := c.leftAt.Add(goneBound)
-		if !s.calm(c.instance, c.leftAt.Add(-contact), bound) || w.endedBy(bound) {
+		bound := c.leftAt.Add(abandonedWorkBound)
+		if !s.undisturbed(c.instance, c.leftAt.Add(-stabilisationTime), bound) || w.endedBy(bound) {
 			continue
 		}
-		s.ledger.count("left at work")
-		if w.pair == nil {
-			s.ledger.breach("GONE: %s worked on %s over a connection that its link has not seen", w.at.ID, c.id)
+		s.checker.count("left at work")
+		if w.proxiedConn == nil {
+			s.checker.addViolation("GONE: %s worked on %s over a connection that its link has not seen", w.at.ID, c.id)
 			continue
 		}
-		if closed := w.pair.callerClosed(); closed.IsZero() || closed.After(bound) {
-			s.ledger.breach("GONE: %s left front-%d at %s; %s works on it from %s, the router closed at %s", c.id, c.instance,
-				stamp(c.leftAt), w.at.ID, stamp(w.from), stamp(closed))
+		if closed := w.proxiedConn.callerClosed(); closed.IsZero() || closed.After(bound) {
+			s.checker.addViolation("GONE: %s left front-%d at %s; %s works on it from %s, the router closed at %s", c.id, c.instance,
+				formatTime(c.leftAt), w.at.ID, formatTime(w.from), formatTime(closed))
 		}
 	}
 }
 
-// stamp is a moment as breaches and logs tell it; a zero one has not come.
-func stamp(t time.Time) string {
+// formatTime formats a time for violations and logs; the zero time is "never".
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "never"
 	}
