--- a/endpoint/conn.go
+++ b/endpoint/conn.go
@@ -152,7 +152,7 @@
 	for len(p.idle) > 0 {
 		c := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
-		if time.Since(c.idleAt) < c.keepIdle && sockstate.Of(c.Conn) == sockstate.Quiet {
+		if time.Since(c.idleAt) < c.keepIdle && sockstate.Of(c.Conn) == sockstate.Idle {
 			c.reused = true
 			return c
 		}
--- a/endpoint/conn_test.go
+++ b/endpoint/conn_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	p.put(c)
-	if sockstate.Of(c.Conn) != sockstate.Quiet {
+	if sockstate.Of(c.Conn) != sockstate.Idle {
 		t.Fatal("an open connection looks closed")
 	}
 	_ = far.Close()
--- a/internal/sockstate/sockstate.go
+++ b/internal/sockstate/sockstate.go
@@ -13,9 +13,9 @@
 
 // The states.
 const (
-	// Quiet sockets are open with no data to read. Connections that don't give access to a
-	// socket count as quiet.
-	Quiet State = iota
+	// Idle sockets are open with no data to read. Connections that don't give access to a
+	// socket count as idle.
+	Idle State = iota
 	// Readable sockets are open with data to read.
 	Readable
 	// Closed sockets were closed or reset by the peer.
@@ -26,11 +26,11 @@
 func Of(c net.Conn) State {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Idle
 	}
 	raw, err := sc.SyscallConn()
 	if errors.Is(err, errors.ErrUnsupported) {
-		return Quiet
+		return Idle
 	}
 	if err != nil {
 		return Closed
@@ -48,7 +48,7 @@
 	n, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch {
 	case err == syscall.EAGAIN || err == syscall.EINTR:
-		return Quiet
+		return Idle
 	case err != nil || n == 0:
 		return Closed
 	}
--- a/internal/sockstate/timeout_linux_test.go
+++ b/internal/sockstate/timeout_linux_test.go
@@ -64,13 +64,13 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = far.Close() }()
-	if got := Of(far); got != Quiet {
+	if got := Of(far); got != Idle {
 		t.Fatalf("open connection: state %d", got)
 	}
 	if _, err := near.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for Of(far) == Quiet {
+	for Of(far) == Idle {
 	}
 	if got := Of(far); got != Readable {
 		t.Fatalf("connection with data: state %d", got)
@@ -80,7 +80,7 @@
 		t.Fatalf("Of consumed the data: read %d, %v", n, err)
 	}
 	_ = near.Close()
-	for Of(far) == Quiet {
+	for Of(far) == Idle {
 	}
 	if got := Of(far); got != Closed {
 		t.Fatalf("closed connection: state %d", got)
