--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -145,7 +145,7 @@
 	RefusedElse
 	FailedAtEndpoint
 	BrokenOff
-	CallerGone
+	CallerDisconnected
 	NotAllowed
 )
 
@@ -176,7 +176,7 @@
 func (r Request) reason(slow time.Duration) Reason {
 	switch {
 	case r.Status == statusCallerGone:
-		return CallerGone
+		return CallerDisconnected
 	case r.Status == statusCut:
 		return BrokenOff
 	case r.Status == 503 && r.Waited > 0 && float64(r.WaitedMemory) >= memoryShare*float64(r.Waited) && r.Sends == 0:
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -42,7 +42,7 @@
 func (r *Row) servable() int {
 	n := 0
 	for reason, count := range r.Count {
-		if r := Reason(reason); r != NotAllowed && r != CallerGone && r != OverQuota {
+		if r := Reason(reason); r != NotAllowed && r != CallerDisconnected && r != OverQuota {
 			n += count
 		}
 	}
