--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -144,7 +144,7 @@
 	OverQuota
 	RefusedElse
 	FailedAtEndpoint
-	BrokenOff
+	Interrupted
 	CallerDisconnected
 	NotAllowed
 )
@@ -178,7 +178,7 @@
 	case r.Status == statusCallerGone:
 		return CallerDisconnected
 	case r.Status == statusCut:
-		return BrokenOff
+		return Interrupted
 	case r.Status == 503 && r.Waited > 0 && float64(r.WaitedMemory) >= memoryShare*float64(r.Waited) && r.Sends == 0:
 		return RefusedForMemory
 	case r.Status == 503 && strings.Contains(r.Why, "behind"):
