--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -142,7 +142,7 @@
 	RefusedForWork
 	RefusedForMemory
 	OverQuota
-	RefusedElse
+	RefusedOther
 	FailedAtEndpoint
 	Interrupted
 	CallerDisconnected
@@ -186,7 +186,7 @@
 	case r.Status == 429 && strings.Contains(r.Why, "quota"):
 		return OverQuota
 	case r.Status == 503 || r.Status == 429:
-		return RefusedElse
+		return RefusedOther
 	case r.Status >= 500:
 		return FailedAtEndpoint
 	case r.Status >= 400:
