--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -35,8 +35,8 @@
 	Uncached, Shared, Ahead int64
 }
 
-// Began returns when the request arrived.
-func (r Request) Began() time.Time { return r.End.Add(-r.Took) }
+// ArrivedAt returns when the request arrived.
+func (r Request) ArrivedAt() time.Time { return r.End.Add(-r.Took) }
 
 // Log accumulates the requests read from all log files.
 type Log struct {
@@ -122,7 +122,7 @@
 
 // Finish sorts the requests and fills in Unfinished. Call it once, after the last Read.
 func (l *Log) Finish() {
-	slices.SortStableFunc(l.Requests, func(a, b Request) int { return a.Began().Compare(b.Began()) })
+	slices.SortStableFunc(l.Requests, func(a, b Request) int { return a.ArrivedAt().Compare(b.ArrivedAt()) })
 	for name, stoppedLast := range l.stoppedLast {
 		if !stoppedLast {
 			l.Unfinished = append(l.Unfinished, name)
--- a/internal/account/plot.go
+++ b/internal/account/plot.go
@@ -58,7 +58,7 @@
 	var sum, sent int64
 	var firsts []time.Duration
 	for _, q := range l.Requests {
-		if q.Began().Sub(l.Requests[0].Began()).Truncate(time.Second) != from {
+		if q.ArrivedAt().Sub(l.Requests[0].ArrivedAt()).Truncate(time.Second) != from {
 			continue
 		}
 		if q.Sends > 0 {
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -79,7 +79,7 @@
 func (l *Log) ByWindow(o Options) []Window {
 	var list []Window
 	for _, q := range l.Requests {
-		from := q.Began().Sub(l.Requests[0].Began()).Truncate(o.Window)
+		from := q.ArrivedAt().Sub(l.Requests[0].ArrivedAt()).Truncate(o.Window)
 		if len(list) == 0 || list[len(list)-1].From != from {
 			list = append(list, Window{From: from})
 		}
