--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -41,9 +41,9 @@
 // Log accumulates the requests read from all log files.
 type Log struct {
 	Requests []Request
-	// Lines is the number of valid lines, Broken the number of lines that start as JSON but
+	// Lines is the number of valid lines, Truncated the number of lines that start as JSON but
 	// can't be parsed, and Dropped the number of lines that instances reported as not written.
-	Lines, Broken, Dropped int
+	Lines, Truncated, Dropped int
 	// Unfinished lists the instances whose log does not end with a "stopped" event.
 	Unfinished []string
 
@@ -74,7 +74,7 @@
 const stopped = "stopped"
 
 // Read adds the lines of one log. Text before the first brace of a line is skipped, since
-// log collectors add prefixes; truncated lines are counted in Broken.
+// log collectors add prefixes; truncated lines are counted in Truncated.
 func (l *Log) Read(r io.Reader) error {
 	if l.stoppedLast == nil {
 		l.stoppedLast = map[string]bool{}
@@ -97,7 +97,7 @@
 	}
 	var w wireLine
 	if err := json.Unmarshal([]byte(text[start:]), &w); err != nil || w.At.IsZero() {
-		l.Broken++
+		l.Truncated++
 		return
 	}
 	l.Lines++
--- a/internal/account/table.go
+++ b/internal/account/table.go
@@ -92,8 +92,8 @@
 // windows.
 func (l *Log) Write(out io.Writer, o Options) {
 	fmt.Fprintf(out, "%d requests in %d lines", len(l.Requests), l.Lines)
-	if l.Broken > 0 {
-		fmt.Fprintf(out, "; %d lines break off", l.Broken)
+	if l.Truncated > 0 {
+		fmt.Fprintf(out, "; %d lines break off", l.Truncated)
 	}
 	if l.Dropped > 0 {
 		fmt.Fprintf(out, "; %d lines were dropped by the instances", l.Dropped)
