--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -41,8 +41,8 @@
 // Log accumulates the requests read from all log files.
 type Log struct {
 	Requests []Request
-	// Lines is the number of valid lines, Truncated the number of lines that start as JSON but
-	// can't be parsed, and Dropped the number of lines that instances reported as not written.
+	// Lines is the number of valid lines, Truncated the number of lines that contain the
+	// start of a JSON object but can't be parsed or have no time, and Dropped the number of lines that instances reported as not written.
 	Lines, Truncated, Dropped int
 	// Unfinished lists the instances whose log does not end with a "stopped" event.
 	Unfinished []string
@@ -163,8 +163,8 @@
 // Status codes that instances log in addition to HTTP's: the caller closed its connection, and
 // the answer was cut off.
 const (
-	statusCallerGone = 499
-	statusCut        = 598
+	statusCallerDisconnected = 499
+	statusInterrupted        = 598
 )
 
 // memoryShare is the least share of its waiting time that a refused request spent waiting for
@@ -175,9 +175,9 @@
 // than slow counts as Slow; 0 disables that.
 func (r Request) reason(slow time.Duration) Reason {
 	switch {
-	case r.Status == statusCallerGone:
+	case r.Status == statusCallerDisconnected:
 		return CallerDisconnected
-	case r.Status == statusCut:
+	case r.Status == statusInterrupted:
 		return Interrupted
 	case r.Status == 503 && r.Waited > 0 && float64(r.WaitedMemory) >= memoryShare*float64(r.Waited) && r.Sends == 0:
 		return RefusedForMemory
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -35,8 +35,9 @@
 	// stableWindow is the last part of a run, whose requests count for minServedRatio.
 	stableWindow = 2 * time.Second
 	callerCount  = 16
-	engineCount  = 4
-	plainCount   = 3
+	// engineCount and plainCount are the numbers of endpoints with and without an engine.
+	engineCount = 4
+	plainCount  = 3
 	// maxPrintedViolations is the maximum number of violations that are printed for a run.
 	maxPrintedViolations = 20
 	// minServedRatio is the least share of requests that must succeed after recovery.
