--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -42,7 +42,8 @@
 type Log struct {
 	Requests []Request
 	// Lines is the number of valid lines, Truncated the number of lines that contain the
-	// start of a JSON object but can't be parsed or have no time, and Dropped the number of lines that instances reported as not written.
+	// start of a JSON object but can't be parsed or have no time, and Dropped the number of
+	// lines that instances reported as not written.
 	Lines, Truncated, Dropped int
 	// Unfinished lists the instances whose log does not end with a "stopped" event.
 	Unfinished []string
