--- a/internal/cli/check.go
+++ b/internal/cli/check.go
@@ -42,7 +42,7 @@
 		fmt.Fprintln(errs, settings.Lines(file, faults))
 	}
 	if bad > 0 {
-		return fault.New(fault.Invalid, "mend the lines named above", "%d of %d files are not valid", bad, len(c.files))
+		return fault.New(fault.Invalid, "fix the lines named above", "%d of %d files are not valid", bad, len(c.files))
 	}
 	return nil
 }
--- a/internal/cli/emulate.go
+++ b/internal/cli/emulate.go
@@ -69,5 +69,5 @@
 }
 
 func invalidFile(path string, faults []yamlpb.Fault) error {
-	return fault.New(fault.Invalid, "mend the lines named above", "%s", settings.Lines(path, faults))
+	return fault.New(fault.Invalid, "fix the lines named above", "%s", settings.Lines(path, faults))
 }
