--- a/endpoint/relay.go
+++ b/endpoint/relay.go
@@ -36,7 +36,7 @@
 // Close closes the idle connections.
 func (r *Relay) Close() { r.pool.closeIdle() }
 
-// Probe dials the endpoint and reports whether that succeeds. The connection is kept for the
+// Probe dials the endpoint and returns an error if that fails. The connection is kept for the
 // next request.
 func (r *Relay) Probe(ctx context.Context) error {
 	cn, err := r.pool.get(ctx, true, 0)
@@ -170,7 +170,7 @@
 	}
 }
 
-// Drop closes the connection, by which the endpoint knows that it can stop.
+// Drop closes the connection, which signals the endpoint to stop its work on the request.
 func (in *Incoming) Drop() { in.response.conn.drop() }
 
 // keepAliveTimeout returns how long to reuse an idle connection according to the response's
--- a/instance/crash_test.go
+++ b/instance/crash_test.go
@@ -88,7 +88,7 @@
 		crashes += engine.Stats().Crashes
 	}
 	if crashes != 2 {
-		t.Errorf("%d engines were lost", crashes)
+		t.Errorf("%d engines crashed, want 2", crashes)
 	}
 	for n, resp := range neighbours {
 		if got, want := countPieces(resp.Body), 80; got != want {
@@ -143,7 +143,7 @@
 		crashes += engine.Stats().Crashes
 	}
 	if crashes != 2 {
-		t.Errorf("%d engines were lost", crashes)
+		t.Errorf("%d engines crashed, want 2", crashes)
 	}
 	for n, resp := range neighbours {
 		if got, want := countPieces(resp.Body), 200; got != want {
--- a/instance/describe.go
+++ b/instance/describe.go
@@ -25,12 +25,12 @@
 
 // describeFleet returns the status of everything that belongs to no pool.
 func (i *Instance) describeFleet(*leased) (status.Object, bool) {
-	s := i.keeper.Snapshot()
+	s := i.registry.Snapshot()
 	if s == nil {
 		return status.Object{}, false
 	}
 	var list []record.Condition
-	for _, c := range i.keeper.Conditions() {
+	for _, c := range i.registry.Conditions() {
 		if c.Kind != record.Pools && c.Kind != record.Models {
 			list = append(list, c)
 		}
@@ -47,7 +47,7 @@
 	for _, m := range i.peers.node.View().Members {
 		switch {
 		case m.Name == i.name():
-			list = append(list, status.Instance{Name: m.Name, Version: i.keeper.Version()})
+			list = append(list, status.Instance{Name: m.Name, Version: i.registry.Version()})
 		case m.Owns():
 			list = append(list, status.Instance{Name: m.Name, Version: m.RecordsVersion})
 		}
@@ -58,12 +58,12 @@
 // describePool returns the status of one pool and adds the decisions since the previous call to
 // it.
 func (i *Instance) describePool(pool string, l *leased) (status.Object, bool) {
-	s := i.keeper.Snapshot()
+	s := i.registry.Snapshot()
 	progress, ok := l.rollout.Progress()
 	if s == nil || !ok {
 		return status.Object{}, false
 	}
-	list := poolConditions(s, i.keeper.Conditions(), pool)
+	list := poolConditions(s, i.registry.Conditions(), pool)
 	o := status.Object{Instances: len(i.peers.node.View().Owners), Rollout: &progress}
 	for _, c := range list {
 		o.Version = max(o.Version, c.Newest)
@@ -123,11 +123,11 @@
 	}
 	behind := len(p.Behind) > 0
 	if d.known && behind != d.behind {
-		word := "is done"
+		phase := "is done"
 		if behind {
-			word = "begins"
+			phase = "begins"
 		}
-		texts = append(texts, fmt.Sprintf("rollout of %s %s", strings.Join(p.Wanted, ", "), word))
+		texts = append(texts, fmt.Sprintf("rollout of %s %s", strings.Join(p.Wanted, ", "), phase))
 	}
 	d.endpoints, d.behind, d.known = states, behind, true
 	return texts
--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -25,9 +25,9 @@
 	// anyway; it is only needed to rejoin partitions that have lost contact with each other for
 	// long.
 	listInterval = time.Minute
-	// pullTimeout bounds the request for a peer's state at start.
+	// pullTimeout bounds one pull of the state of a peer, at start or later.
 	pullTimeout = 600 * time.Millisecond
-	// pullInterval is the time between two such requests while records are missing.
+	// pullInterval is the time between two pulls while records are missing.
 	pullInterval = time.Second
 	// publishInterval is how often this instance publishes the version of its records to peers.
 	// Each member beyond publishIntervalMembers adds publishIntervalPerMember, so that an
@@ -146,7 +146,7 @@
 			p.placer.Lost(endpoint, incarnation, lost)
 		},
 	})
-	p.kept = i.newPrefixKeeper()
+	p.kept = i.newKeptCoordinator()
 	p.placer = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: i.settings.GetFleet(), Instance: self.Name, Incarnation: self.Incarnation},
 		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.ownerServer, Kept: p.kept,
@@ -168,7 +168,7 @@
 	p.node = fleet.NewNode(fleet.Config{
 		Fleet: i.settings.GetFleet(), Self: self, Seeds: i.settings.GetSeeds(), Timeouts: member.DefaultTimeouts,
 		Client: p.client, Clock: clock.System{}, Seed: xxh3.HashString(self.Name) ^ self.Incarnation,
-		Complete:    i.keeper.Complete,
+		Complete:    i.registry.Complete,
 		ViewChanged: func(v *member.View) { replaceLatest(p.views, v) },
 		Changed:     i.handleItems,
 	})
@@ -189,7 +189,7 @@
 		}
 	}
 	if len(records) > 0 {
-		i.keeper.Offer(records...)
+		i.registry.Offer(records...)
 	}
 	i.peers.placer.HandleItems(items)
 }
@@ -219,4 +219,4 @@
 }
 
 // Records returns the records in force at this instance, or nil if there are none yet.
-func (i *Instance) Records() *record.Snapshot { return i.keeper.Snapshot() }
+func (i *Instance) Records() *record.Snapshot { return i.registry.Snapshot() }
--- a/instance/fleet_run.go
+++ b/instance/fleet_run.go
@@ -30,7 +30,7 @@
 	pullCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
 	if p.node.Pull(pullCtx, i.settings.GetSeeds()) {
-		i.keeper.SetComplete()
+		i.registry.SetComplete()
 		return
 	}
 	p.wg.Go(func() { i.runRecordPull(run) })
@@ -43,7 +43,7 @@
 // missing. It would refuse its callers, and not monitor the endpoints that it owns, until the
 // object API is back.
 func (i *Instance) runRecordPull(ctx context.Context) {
-	for clock.Sleep(ctx, pullInterval) == nil && !i.keeper.Complete() {
+	for clock.Sleep(ctx, pullInterval) == nil && !i.registry.Complete() {
 		var addresses []string
 		for _, m := range i.peers.node.View().Members {
 			if m.Owns() {
@@ -52,7 +52,7 @@
 		}
 		pullCtx, cancel := context.WithTimeout(ctx, pullTimeout)
 		if i.peers.node.Pull(pullCtx, addresses) {
-			i.keeper.SetComplete()
+			i.registry.SetComplete()
 		}
 		cancel()
 	}
@@ -63,8 +63,8 @@
 func (i *Instance) startPlacing(ctx context.Context) {
 	p := i.peers
 	p.placer.SetView(ctx, p.node.View())
-	i.keeper.Subscribe(func(s *record.Snapshot) { replaceLatest(p.records, s) })
-	if s := i.keeper.Snapshot(); s != nil {
+	i.registry.Subscribe(func(s *record.Snapshot) { replaceLatest(p.records, s) })
+	if s := i.registry.Snapshot(); s != nil {
 		p.placer.SetRecords(ctx, s)
 	}
 	run, stop := context.WithCancel(context.Background())
@@ -105,7 +105,7 @@
 // items to the exchange, which skips those that it holds, so that changes dropped by the ring of
 // changes are published all the same.
 func (i *Instance) runRecordPublisher(ctx context.Context) {
-	changes := i.keeper.Changes()
+	changes := i.registry.Changes()
 	for {
 		select {
 		case <-ctx.Done():
@@ -116,7 +116,7 @@
 			<-changes.C()
 		}
 		var items []exchange.Item
-		for _, r := range i.keeper.Items() {
+		for _, r := range i.registry.Items() {
 			key := exchange.Key{Kind: fleetpb.ItemKind_ITEM_KIND_RECORD, Name: r.Key()}
 			items = append(items, exchange.Item{Key: key, Version: r.Version, Value: r.Encode()})
 		}
@@ -156,7 +156,7 @@
 		case <-time.After(every):
 		case <-i.publishNow:
 		}
-		_ = i.peers.node.PublishStatus(ctx, i.keeper.Version(), i.provider.StoreReachable())
+		_ = i.peers.node.PublishStatus(ctx, i.registry.Version(), i.provider.StoreReachable())
 		if time.Since(swept) >= sweepInterval {
 			swept = time.Now()
 			i.peers.client.Sweep()
--- a/instance/fleet_test.go
+++ b/instance/fleet_test.go
@@ -67,12 +67,12 @@
 // there too, received from the others.
 func TestRecordChangeReachesInstancesWithoutObjectAPI(t *testing.T) {
 	store := startObjectAPI(t)
-	away := unusedAddr(t)
+	unreachable := unusedAddr(t)
 	var all []*Instance
 	for k := range 8 {
 		address := store.Addr()
 		if k%2 == 1 {
-			address = away
+			address = unreachable
 		}
 		all = append(all, startPeer(t, address, fmt.Sprint("entry-", k), all...))
 	}
@@ -136,7 +136,7 @@
 			return
 		}
 	}
-	t.Errorf("no records in force %v after a peer has all of them: %+v", within, early.keeper.Dump())
+	t.Errorf("no records in force %v after a peer has all of them: %+v", within, early.registry.Dump())
 }
 
 // startAt starts an instance whose listener for peers has the given address.
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -23,7 +23,7 @@
 type Instance struct {
 	settings *settingspb.Settings
 	store    *objectapi.Client
-	keeper   *record.Registry
+	registry *record.Registry
 	provider *record.Provider
 	// publishNow triggers runStatePublisher before its interval is over.
 	publishNow chan struct{}
@@ -34,7 +34,8 @@
 	adminLn    net.Listener
 	peers      *peers
 	clients    *endpoint.Clients
-	// monitorBridge and leases work on the endpoints.
+	// monitorBridge has the endpoints monitored that this instance owns; leases runs the tasks
+	// that one instance at a time may run.
 	monitorBridge *monitorBridge
 	leases        *leaseManager
 	// onKill holds the functions that Kill calls to stop components at once.
@@ -64,7 +65,7 @@
 		_ = i.adminLn.Close()
 		return nil, err
 	}
-	i.admin.Require("records", i.keeper.Complete)
+	i.admin.Require("records", i.registry.Complete)
 	i.admin.SetReady(true)
 	return i, nil
 }
--- a/instance/kept.go
+++ b/instance/kept.go
@@ -8,8 +8,8 @@
 	"github.com/sardinedock/sardinedock/kept"
 )
 
-// newPrefixKeeper returns the component that has engines save shared prefixes to the KV store.
-func (i *Instance) newPrefixKeeper() *kept.Coordinator {
+// newKeptCoordinator returns the component that has engines save shared prefixes to the KV store.
+func (i *Instance) newKeptCoordinator() *kept.Coordinator {
 	return kept.NewCoordinator(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return i.clients.Engine(address) },
--- a/instance/kill.go
+++ b/instance/kill.go
@@ -14,8 +14,8 @@
 	i.callers.closeAll()
 	_ = i.adminLn.Close()
 	i.provider.Stop()
-	for _, end := range i.onKill {
-		end()
+	for _, stop := range i.onKill {
+		stop()
 	}
 }
 
--- a/instance/leaving_test.go
+++ b/instance/leaving_test.go
@@ -37,10 +37,10 @@
 	})
 	at := slices.IndexFunc(all, owns)
 	survivors := slices.Delete(slices.Clone(all), at, at+1)
-	ask := func(n int) { sendRequest(t, survivors[n%len(survivors)], n) }
+	send := func(n int) { sendRequest(t, survivors[n%len(survivors)], n) }
 	const warmUp = 40
 	for n := range warmUp {
-		ask(n)
+		send(n)
 	}
 	if engine.Stats().Runs == 0 {
 		t.Fatal("the engine got no work before it was leaving")
@@ -49,7 +49,7 @@
 	engine.SetLeaving(true)
 	began := time.Now()
 	for n := 0; time.Since(began) < sendFor; n++ {
-		ask(1000 + n)
+		send(1000 + n)
 		time.Sleep(20 * time.Millisecond)
 	}
 	if late := engine.Stats().LastStartAfterLeaving; late > bound {
--- a/instance/monitor.go
+++ b/instance/monitor.go
@@ -83,7 +83,7 @@
 
 // updateTargets passes the endpoints that this instance owns now to the monitor.
 func (b *monitorBridge) updateTargets() {
-	s := b.instance.keeper.Snapshot()
+	s := b.instance.registry.Snapshot()
 	if s == nil {
 		return
 	}
--- a/instance/pools.go
+++ b/instance/pools.go
@@ -89,7 +89,7 @@
 
 // reconcile starts the tasks of new pools and stops those of removed ones.
 func (m *leaseManager) reconcile() {
-	s := m.instance.keeper.Snapshot()
+	s := m.instance.registry.Snapshot()
 	if s == nil {
 		return
 	}
@@ -131,10 +131,10 @@
 	})
 	describe := func() (status.Object, bool) { return i.describeFleet(l) }
 	if pool == "" {
-		l.preserver = record.NewPreserver(i.store, i.keeper, l.lease)
+		l.preserver = record.NewPreserver(i.store, i.registry, l.lease)
 	} else {
 		l.rollout = rollout.NewDuty(rollout.Config{
-			Pool: pool, Lease: l.lease, Records: i.keeper.Snapshot,
+			Pool: pool, Lease: l.lease, Records: i.registry.Snapshot,
 			Dial: func(addr string) rollout.Engine { return i.clients.Engine(addr) },
 		})
 		describe = func() (status.Object, bool) { return i.describePool(pool, l) }
--- a/instance/records.go
+++ b/instance/records.go
@@ -23,10 +23,10 @@
 		Fleet:    objectapi.Rates{Reads: float64(p.GetReadsPerSecond()), Writes: float64(p.GetWritesPerSecond())},
 	})
 	i.publishNow = make(chan struct{}, 1)
-	i.keeper = record.NewRegistry(clock.System{})
+	i.registry = record.NewRegistry(clock.System{})
 	i.provider = record.NewProvider(record.ProviderConfig{
 		Store:    i.store,
-		Registry: i.keeper,
+		Registry: i.registry,
 		Self:     i.name(),
 		Spread:   i.listSpread,
 		ReachableChanged: func() {
@@ -34,7 +34,7 @@
 		},
 	})
 	i.admin.Register("platform", func() any { return i.store.Dump() })
-	i.admin.Register("records", func() any { return i.keeper.Dump() })
+	i.admin.Register("records", func() any { return i.registry.Dump() })
 	i.admin.Register("record_provider", func() any { return i.provider.Dump() })
 }
 
@@ -55,7 +55,7 @@
 func (i *Instance) startRecords(ctx context.Context) {
 	first := make(chan struct{})
 	known := false
-	i.keeper.Subscribe(func(s *record.Snapshot) {
+	i.registry.Subscribe(func(s *record.Snapshot) {
 		i.entry.SetRecords(s)
 		if !known {
 			known = true
--- a/instance/records_test.go
+++ b/instance/records_test.go
@@ -94,7 +94,7 @@
 	for _, i := range fleet {
 		seen := make(chan struct{})
 		var once sync.Once
-		i.keeper.Subscribe(func(s *record.Snapshot) {
+		i.registry.Subscribe(func(s *record.Snapshot) {
 			if c, ok := s.Class("quote"); ok && c.GetMaxWaitMs() == wait {
 				once.Do(func() { close(seen) })
 			}
--- a/logline/logtest/logtest.go
+++ b/logline/logtest/logtest.go
@@ -24,10 +24,10 @@
 }
 
 // HandleLog implements log.Handler.
-func (s *redirectHandler) HandleLog(e *log.Entry) error {
-	s.mu.RLock()
-	defer s.mu.RUnlock()
-	return s.target.HandleLog(e)
+func (r *redirectHandler) HandleLog(e *log.Entry) error {
+	r.mu.RLock()
+	defer r.mu.RUnlock()
+	return r.target.HandleLog(e)
 }
 
 // Handle has lines handled by h until the test ends. Later ones are discarded.
@@ -37,10 +37,10 @@
 	tb.Cleanup(func() { installed.set(discard.New()) })
 }
 
-func (s *redirectHandler) set(h log.Handler) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.target = h
+func (r *redirectHandler) set(h log.Handler) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.target = h
 }
 
 // Recorder records the lines of a test.
--- a/objectapi/breaker.go
+++ b/objectapi/breaker.go
@@ -6,9 +6,9 @@
 	// openAfter is the number of consecutive failures that opens the breaker. A single lost reply
 	// or reset connection is no outage.
 	openAfter = 3
-	// minProbeInterval and maxProbeInterval bound the time between two probes. The maximum is
-	// chosen so that the end of an outage does not go unnoticed for longer than a change of the
-	// records may take to take effect.
+	// minProbeInterval and maxProbeInterval bound the time between two probes. With a longer
+	// maximum, the end of an outage could go undetected for longer than a change of the records
+	// is allowed to take until it is in force.
 	minProbeInterval = 200 * time.Millisecond
 	maxProbeInterval = 4 * time.Second
 	// probesPerSecond bounds the probes of the whole fleet. A small fleet therefore probes at
--- a/objectapi/objecttest/storetest.go
+++ b/objectapi/objecttest/storetest.go
@@ -25,8 +25,8 @@
 	down bool
 	// loseNext is the number of next writes whose replies are lost.
 	loseNext int
-	// forgotten is the version from which watches can start at the earliest.
-	forgotten objectapi.Version
+	// compacted is the version from which watches can start at the earliest.
+	compacted objectapi.Version
 	counts    Counts
 }
 
@@ -56,7 +56,7 @@
 func (s *Store) DropHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.version
+	s.compacted = s.version
 	s.notifyWatches()
 }
 
@@ -233,7 +233,7 @@
 	if err := s.checkReachable(ctx); err != nil {
 		return nil, err
 	}
-	if from < s.forgotten {
+	if from < s.compacted {
 		return nil, fault.New(fault.Expired, "list again", "version %d is no longer in the history", from)
 	}
 	ctx, cancel := context.WithCancel(ctx)
--- a/objectapi/store.go
+++ b/objectapi/store.go
@@ -1,6 +1,6 @@
-// Package objectapi defines the interface of the object API, the store that holds operators' records,
-// status and sardinedock's own objects. It also provides an HTTP client of the project's stand-in for
-// that store, with rate limits, a circuit breaker and conditional writes.
+// Package objectapi defines the interface of the platform's object API, the store that holds
+// operators' records, status and sardinedock's own objects. It also provides a client of the object
+// API over HTTP and JSON, with rate limits, a circuit breaker and conditional writes.
 package objectapi
 
 import "context"
