--- a/endpoint/conn.go
+++ b/endpoint/conn.go
@@ -72,7 +72,8 @@
 	c.stop = context.AfterFunc(ctx, func() { _ = c.Conn.Close() })
 }
 
-// IsTimeout reports whether err is a read time-out: nothing was received within the bound.
+// IsTimeout reports whether err is a time-out, such as that of a read on which nothing was received
+// within the bound.
 func IsTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return errors.As(err, &t) && t.Timeout()
@@ -181,8 +182,9 @@
 	}
 }
 
-// idleLimit returns how long a connection can be reused whose endpoint states that it closes
-// idle connections after the given time; 0 means that the endpoint states none.
+// idleLimit returns how long a connection may be idle and still be reused: the pool's own limit,
+// or the one taken from the endpoint's Keep-Alive header if that is shorter. stated is 0 if the
+// endpoint states none.
 func (p *pool) idleLimit(stated time.Duration) time.Duration {
 	own := p.idleTimeout
 	if own == 0 {
--- a/endpoint/service.go
+++ b/endpoint/service.go
@@ -106,8 +106,8 @@
 	return HopHeader(name) || name == "authorization" || name == "x-request-id"
 }
 
-// HopHeader reports whether name, in lower case, is a hop-by-hop header field, which is not
-// forwarded.
+// HopHeader reports whether name, in lower case, is a header field that belongs to one connection
+// only and is not forwarded: a hop-by-hop field, or Content-Length, Host or Expect.
 func HopHeader(name string) bool {
 	switch name {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te", "trailer",
--- a/instance/pools.go
+++ b/instance/pools.go
@@ -55,7 +55,8 @@
 	i.admin.Register("leases", func() any { return i.leases.dump() })
 }
 
-// firstReport reports whether a fingerprint was not reported before, and marks it as reported.
+// firstReport reports whether a fingerprint is to be reported, and marks it as reported. It returns
+// false if it was reported before or if maxReportedFingerprints were.
 func (m *leaseManager) firstReport(name string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
