--- a/status/object.go
+++ b/status/object.go
@@ -150,7 +150,7 @@
 func (n Named) WriteText(w io.Writer, now time.Time) error {
 	var b strings.Builder
 	o := n.Object
-	fmt.Fprintf(&b, "%s: records up to version %d, %d instances; written by %s %s\n", n.Name, o.Version, o.Instances, o.WrittenBy, ago(now, o.WrittenAt))
+	fmt.Fprintf(&b, "%s: records up to version %d, %d instances; told by %s %s\n", n.Name, o.Version, o.Instances, o.WrittenBy, ago(now, o.WrittenAt))
 	for _, c := range o.Records {
 		writeRecord(&b, now, c)
 	}
