--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,56 +15,56 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// attempt is one send of the request to one endpoint.
+// attempt is one send of a request to one endpoint.
 type attempt struct {
-	req   *request
-	run   balance.RunID
-	place balance.Placement
-	// sentAt is when it was sent.
+	req    *request
+	run    balance.RunID
+	place  balance.Placement
 	sentAt time.Time
-	in     *endpoint.Incoming
+	resp   *endpoint.Incoming
 	head   Answer
 	ended  bool
-	// unsent says that no connection could be made, so that nothing arrived.
+	// unsent is set if no connection could be made, so that no byte reached the endpoint.
 	unsent bool
-	// life ends with the request's, or where the endpoint is given up.
-	life   context.Context
+	// ctx is done when the request's reqCtx is, or when the endpoint is found to be unresponsive or
+	// restarted.
+	ctx    context.Context
 	cancel context.CancelCauseFunc
 }
 
-// attempt sends the request once. again says that it should be placed anew;
-// otherwise the answer is written, or goes on as the stream that is returned.
-func (r *request) attempt(p balance.Placement) (stream *eventStream, again bool) {
+// attempt sends the request once. It reports in retry whether the request should be placed again.
+// Otherwise the answer has been written, or continues as the returned stream.
+func (r *request) attempt(p balance.Placement) (stream *eventStream, retry bool) {
 	a, o, err := r.send(p, "")
 	if err != nil {
-		return nil, r.sendFailed(o, err)
+		return nil, r.handleSendFailure(o, err)
 	}
 	if !a.usable() {
-		return nil, r.unusable(a)
+		return nil, r.handleUnusable(a)
 	}
 	r.ran++
 	if a.head.Events && a.head.Status < 300 {
 		return r.beginStream(a)
 	}
-	body, err := a.in.ReadAll()
+	body, err := a.resp.ReadAll()
 	if err != nil {
-		a.broke()
-		return nil, r.sendFailed(outcomeBroken, err)
+		a.endBroken()
+		return nil, r.handleSendFailure(outcomeBroken, err)
 	}
-	if a.head.Status >= 500 && r.mayTryAgain(outcomeFailed) {
+	if a.head.Status >= 500 && r.mayRetry(outcomeFailed) {
 		a.finish(balance.Errored)
 		r.exclude = append(r.exclude, p.Endpoint.ID)
 		return nil, true
 	}
-	r.writeWhole(a, body)
+	r.writeAnswer(a, body)
 	return nil, false
 }
 
-// send sends the request to the endpoint and reads the head of the answer.
-// resumeAfter is the last event that the caller has, for a stream that goes on.
+// send sends the request to the endpoint and reads the head of the response. resumeAfter is the ID
+// of the last event that the caller has received, for a stream that is resumed.
 func (r *request) send(p balance.Placement, resumeAfter string) (*attempt, outcome, error) {
 	a := &attempt{req: r, run: r.run, place: p}
-	a.life, a.cancel = context.WithCancelCause(r.life)
+	a.ctx, a.cancel = context.WithCancelCause(r.reqCtx)
 	r.last = p
 	r.sends++
 	now := time.Now()
@@ -72,25 +72,24 @@
 	if r.sentAt.IsZero() {
 		r.sentAt = now
 	}
-	r.srv.silence.begin(a, now)
+	r.srv.activity.begin(a, now)
 	body := r.ctx.Request.Body()
 	head := r.srv.cfg.Dialect.AppendHead(nil, &r.ctx.Request.Header, r.outgoing(p, len(body), resumeAfter))
-	in, err := r.srv.cfg.Relay(p.Endpoint.Address).Open(a.life, endpoint.Outgoing{
-		Head: head, Body: body, Accept: a.takeHead, Bodiless: r.ctx.IsHead(),
+	resp, err := r.srv.cfg.Relay(p.Endpoint.Address).Open(a.ctx, endpoint.Outgoing{
+		Head: head, Body: body, Accept: a.acceptHead, Bodiless: r.ctx.IsHead(),
 	})
 	if err != nil {
 		return nil, a.openFailed(err), err
 	}
-	a.in = in
-	r.srv.silence.heard(p.Endpoint.ID, time.Now())
-	a.learn()
-	a.learnRate()
+	a.resp = resp
+	r.srv.activity.received(p.Endpoint.ID, time.Now())
+	a.updateEndpoint()
+	a.updateRate()
 	return a, 0, nil
 }
 
-// takeHead reads the head of an answer and reports whether it belongs to this
-// request.
-func (a *attempt) takeHead(h *fasthttp.ResponseHeader) bool {
+// acceptHead parses the head of a response and reports whether it belongs to this request.
+func (a *attempt) acceptHead(h *fasthttp.ResponseHeader) bool {
 	a.head = a.req.srv.cfg.Dialect.ParseAnswer(h)
 	return a.head.ID == "" || a.head.ID == a.req.call.ID
 }
@@ -115,8 +114,8 @@
 	return s
 }
 
-// moved notes a stage here and tells the others.
-func (a *attempt) moved(stage balance.Stage) {
+// reportStage records a stage of the run in this instance's state and broadcasts it to the others.
+func (a *attempt) reportStage(stage balance.Stage) {
 	m := &gossippb.RunStage{Run: uint64(a.run), Stage: int32(stage)}
 	if stage == balance.Misdirected && a.req.service.Engine != nil {
 		m.Version = a.head.Version
@@ -128,31 +127,31 @@
 	a.req.srv.cfg.Broadcaster.ReportStage(m, a.place.PlacedBy)
 }
 
-// notRun reports whether a run of which a stage is the last certainly did not begin.
+// notRun reports whether a run that ended at stage is known not to have started.
 func notRun(stage balance.Stage) bool {
 	return stage == balance.Rejected || stage == balance.Misdirected
 }
 
-// finish ends the attempt once.
+// finish ends the attempt with its last stage. Further calls have no effect.
 func (a *attempt) finish(stage balance.Stage) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	a.req.srv.silence.end(a)
+	a.req.srv.activity.end(a)
 	defer a.cancel(context.Canceled)
-	if a.in != nil {
-		if readWhole(stage) {
-			a.in.Finish()
+	if a.resp != nil {
+		if fullyRead(stage) {
+			a.resp.Finish()
 		} else {
-			a.in.Drop()
+			a.resp.Drop()
 		}
 	}
-	a.moved(stage)
+	a.reportStage(stage)
 }
 
-// readWhole reports whether the answer was read to its end at a stage.
-func readWhole(stage balance.Stage) bool {
+// fullyRead reports whether the response has been read to its end when an attempt ends at stage.
+func fullyRead(stage balance.Stage) bool {
 	switch stage {
 	case balance.Done, balance.Errored, balance.Rejected, balance.Misdirected:
 		return true
@@ -160,59 +159,60 @@
 	return false
 }
 
-// openFailed ends an attempt that brought no answer.
+// openFailed ends an attempt that got no response head.
 func (a *attempt) openFailed(err error) outcome {
 	r := a.req
-	if a.life.Err() == nil && fault.Is(err, fault.Unavailable) {
+	if a.ctx.Err() == nil && fault.Is(err, fault.Unavailable) {
 		a.unsent = true
 		a.finish(balance.Unreachable)
-		r.avoid(a.place.Endpoint.ID, unreachableTold)
+		r.broadcastAvoid(a.place.Endpoint.ID, unreachableAvoidance)
 		return outcomeUnsent
 	}
 	r.ran++
-	a.broke()
+	a.endBroken()
 	return outcomeBroken
 }
 
-// givenUp reports whether the endpoint was given up as silent; whether it still runs
-// the request is not known.
-func (a *attempt) givenUp() bool { return errors.Is(context.Cause(a.life), errSilent) }
+// endpointUnresponsive reports whether the attempt was cancelled because the endpoint is
+// unresponsive. It is unknown whether the endpoint still runs the request.
+func (a *attempt) endpointUnresponsive() bool {
+	return errors.Is(context.Cause(a.ctx), errUnresponsive)
+}
 
-// unreachableTold and crashedTold are how long others leave out an endpoint
-// that one instance could not reach, or that broke a connection. They are short
-// since the fault may lie between these two alone.
+// unreachableAvoidance and crashAvoidance are how long all instances avoid an endpoint that one
+// instance could not reach, or that broke a connection. They are short since the fault may be
+// limited to the path between these two.
 const (
-	unreachableTold = 500 * time.Millisecond
-	crashedTold     = 300 * time.Millisecond
+	unreachableAvoidance = 500 * time.Millisecond
+	crashAvoidance       = 300 * time.Millisecond
 )
 
-// broke ends an attempt that broke off: the request's time is over, the endpoint was
-// given up, or it broke the connection.
-func (a *attempt) broke() {
+// endBroken ends an attempt whose response broke off: the request was cancelled, the endpoint is
+// unresponsive, or it closed the connection.
+func (a *attempt) endBroken() {
 	switch {
-	case a.req.life.Err() != nil:
+	case a.req.reqCtx.Err() != nil:
 		a.finish(balance.Abandoned)
-	case a.givenUp():
+	case a.endpointUnresponsive():
 		a.finish(balance.Unreachable)
 	default:
-		a.crashed()
+		a.endCrashed()
 	}
 }
 
-// crashed ends an attempt whose connection the endpoint broke, which is how a
-// crash shows.
-func (a *attempt) crashed() {
+// endCrashed ends an attempt whose connection the endpoint closed before the end of the response,
+// which is treated as a crash.
+func (a *attempt) endCrashed() {
 	a.finish(balance.Failed)
 	if a.req.service.Engine == nil {
 		return
 	}
-	a.req.noteCrash(a.place.Endpoint.ID)
-	a.req.avoid(a.place.Endpoint.ID, crashedTold)
+	a.req.reportCrash(a.place.Endpoint.ID)
+	a.req.broadcastAvoid(a.place.Endpoint.ID, crashAvoidance)
 }
 
-// noteCrash tells all instances that the request was running when the endpoint
-// broke.
-func (r *request) noteCrash(endpointID string) {
+// reportCrash notifies all instances that the request was running when the endpoint crashed.
+func (r *request) reportCrash(endpointID string) {
 	if r.srv.cfg.Guard == nil {
 		return
 	}
@@ -221,17 +221,18 @@
 	r.srv.cfg.Broadcaster.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, Crashed: fp[:]})
 }
 
-// avoid tells the others to leave an endpoint out for a while.
-func (r *request) avoid(endpointID string, d time.Duration) {
+// broadcastAvoid asks the other instances not to use an endpoint for d.
+func (r *request) broadcastAvoid(endpointID string, d time.Duration) {
 	r.srv.cfg.Broadcaster.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, AvoidMs: d.Milliseconds()})
 }
 
-// learn takes in what the answer's head says of the endpoint.
-func (a *attempt) learn() {
+// updateEndpoint corrects the recorded state of the endpoint from the response head, and notifies
+// the other instances.
+func (a *attempt) updateEndpoint() {
 	cfg, id := a.req.srv.cfg, a.place.Endpoint.ID
 	switch {
 	case a.head.Mismatch && a.head.Answerer != "" && a.head.Answerer != a.place.Endpoint.Name:
-		log.WithField("endpoint", id).WithField("address", a.place.Endpoint.Address).Info("endpoint gone: another one answers at its address")
+		log.WithField("endpoint", id).WithField("address", a.place.Endpoint.Address).Info("endpoint replaced: another one answers at its address")
 		cfg.State.MarkDraining(id)
 		cfg.Broadcaster.BroadcastNotice(&gossippb.Notice{Endpoint: id, Leaving: true})
 	case a.head.Mismatch && a.req.service.Engine != nil:
@@ -243,9 +244,9 @@
 	}
 }
 
-// learnRate takes in what the answer's head says of the rate that the endpoint takes. A head
-// that is not the endpoint's own says nothing of it.
-func (a *attempt) learnRate() {
+// updateRate passes the rate limit in the response head to Config.Rates. A head that the endpoint
+// did not write itself says nothing about its limit.
+func (a *attempt) updateRate() {
 	rates := a.req.srv.cfg.Rates
 	if rates == nil || a.head.Mismatch || !a.head.Signed && !a.head.NotRun {
 		return
@@ -255,16 +256,16 @@
 	}, a.head.RateError)
 }
 
-// usable reports whether the answer is the endpoint's own word on a request that
-// it ran. Without its signature it may be anything that came over the
-// connection, and a caller would take it for the whole answer.
+// usable reports whether the response is the endpoint's own, signed result of a request that it
+// ran. An unsigned response may be any bytes from the connection, and the caller would take it for
+// the complete answer.
 func (a *attempt) usable() bool {
-	return a.head.Signed && !a.head.Encoded && !a.head.NotRun && !statusSaysNotRun(a.head.Status)
+	return a.head.Signed && !a.head.Encoded && !a.head.NotRun && !statusImpliesNotRun(a.head.Status)
 }
 
-// statusSaysNotRun reports whether callers read a status as a promise that the
-// request has not run.
-func statusSaysNotRun(status int) bool {
+// statusImpliesNotRun reports whether callers take the status as a guarantee that the request was
+// not run.
+func statusImpliesNotRun(status int) bool {
 	switch status {
 	case fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable:
 		return true
@@ -272,63 +273,64 @@
 	return false
 }
 
-// unusable ends an attempt whose answer is not passed on as it is. It reports
-// whether the request should be placed anew.
-func (r *request) unusable(a *attempt) (again bool) {
+// handleUnusable ends an attempt whose response is not passed on. It reports whether the request
+// should be placed again.
+func (r *request) handleUnusable(a *attempt) (retry bool) {
 	if a.head.NotRun {
-		return r.turnedAway(a)
+		return r.handleNotRun(a)
 	}
 	r.ran++
 	err := fault.New(fault.Broken, "look at the endpoint's log", "status %d is not the endpoint's signed word", a.head.Status)
 	a.finish(balance.Failed)
-	return r.sendFailed(outcomeBroken, err)
+	return r.handleSendFailure(outcomeBroken, err)
 }
 
-// turnedAway ends an attempt that the endpoint did not run.
-func (r *request) turnedAway(a *attempt) (again bool) {
+// handleNotRun ends an attempt whose request the endpoint did not run. It reports whether the
+// request should be placed again.
+func (r *request) handleNotRun(a *attempt) (retry bool) {
 	r.rejected++
 	r.failedWith(fault.New(fault.Overloaded, "send the request again later", "the endpoint answered %d and did not run the request", a.head.Status))
-	if _, err := a.in.ReadAll(); err != nil {
-		a.in.Drop()
-		a.in = nil
+	if _, err := a.resp.ReadAll(); err != nil {
+		a.resp.Drop()
+		a.resp = nil
 	}
 	if a.head.Mismatch {
-		// What is known of the endpoint was put right; it may be the best choice
-		// still.
+		// The recorded state of the endpoint has been corrected, and it may still be the best
+		// choice.
 		a.finish(balance.Misdirected)
 		if a.place.PlacedBy != "" && a.head.Version == 0 {
-			// Who placed it does not learn of what was put right here.
+			// The instance that placed the request does not receive this correction.
 			r.exclude = append(r.exclude, a.place.Endpoint.ID)
 		}
 	} else {
 		a.finish(balance.Rejected)
 		r.exclude = append(r.exclude, a.place.Endpoint.ID)
 	}
-	if r.mayTryAgain(outcomeRejected) {
+	if r.mayRetry(outcomeRejected) {
 		return true
 	}
 	r.refuseUnsent(r.lastErr)
 	return false
 }
 
-// sendFailed decides what follows a send without a usable answer. It writes the
-// final answer unless the request should be placed anew.
-func (r *request) sendFailed(o outcome, err error) (again bool) {
+// handleSendFailure handles a send without a usable response. It writes the final answer unless it
+// reports that the request should be placed again.
+func (r *request) handleSendFailure(o outcome, err error) (retry bool) {
 	r.failedWith(err)
 	r.exclude = append(r.exclude, r.last.Endpoint.ID)
-	if r.mayTryAgain(o) {
+	if r.mayRetry(o) {
 		return true
 	}
-	cause := context.Cause(r.life)
+	cause := context.Cause(r.reqCtx)
 	switch {
-	case errors.Is(cause, errCallerGone):
+	case errors.Is(cause, errCallerDisconnected):
 		r.lastErr = cause
 		r.abandon()
 	case r.ran == 0:
 		r.refuseUnsent(err)
 	case errors.Is(cause, errTimeout):
 		writeRefusal(r.ctx, refusal{status: fasthttp.StatusGatewayTimeout, cause: cause})
-	case errors.Is(cause, errCut):
+	case errors.Is(cause, errAborted):
 		r.lastErr = cause
 		writeRefusal(r.ctx, refusal{status: fasthttp.StatusBadGateway, cause: cause})
 	default:
@@ -337,8 +339,8 @@
 	return false
 }
 
-// writeWhole passes on an answer that was read whole.
-func (r *request) writeWhole(a *attempt, body []byte) {
+// writeAnswer passes on a response that was read to its end.
+func (r *request) writeAnswer(a *attempt, body []byte) {
 	r.copyHead(a)
 	r.ctx.Response.SetBodyRaw(body)
 	if a.head.Status < 500 {
@@ -350,5 +352,5 @@
 
 func (r *request) copyHead(a *attempt) {
 	r.ctx.Response.SetStatusCode(a.head.Status)
-	r.srv.cfg.Dialect.CopyAnswer(&r.ctx.Response.Header, a.in.Header(), true)
+	r.srv.cfg.Dialect.CopyAnswer(&r.ctx.Response.Header, a.resp.Header(), true)
 }
--- a/gateway/conn.go
+++ b/gateway/conn.go
@@ -14,20 +14,19 @@
 	"github.com/sardinedock/sardinedock/route"
 )
 
-// listener wraps accepted connections, so that the limits in force bound them and those
-// that are open are counted.
+// listener wraps accepted connections to apply the limits in force and to count those open.
 type listener struct {
 	net.Listener
 	limits func() route.Limits
 	open   *atomic.Int64
 }
 
-// acceptPause is the wait before another try where no connection could be
-// accepted, such as without free file descriptors.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the delay after a failed Accept, for example when the process has no free
+// file descriptors.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// Accept implements net.Listener. The HTTP server takes any error for the end of
-// the listener, so all but its closing are waited out here.
+// Accept implements net.Listener. The HTTP server stops at any error, so every error but the
+// listener's closing is retried.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -38,58 +37,58 @@
 		if errors.Is(err, net.ErrClosed) {
 			return nil, err
 		}
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// callerConn is a caller's connection. The HTTP server reads and writes it from
-// one goroutine; while a request is served, watch reads it from another.
+// callerConn is a caller's connection. The HTTP server reads and writes it from one goroutine;
+// while a request is served, watch reads it from another.
 type callerConn struct {
 	net.Conn
 	limits func() route.Limits
-	// open counts all connections until they are closed; closing says that this one is.
+	// open counts all open connections; closing makes Close count this one once.
 	open    *atomic.Int64
 	closing sync.Once
-	// unread says that it is closed with a part of a request unread.
+	// unread is set if the connection is to be closed with part of a request unread.
 	unread atomic.Bool
-	// started says that bytes of the next request have come.
+	// started is set once bytes of the next request have been received.
 	started bool
-	// request is the id of the one that is being answered; empty once a failure to
-	// write that answer was told.
+	// request is the ID of the request being answered; empty once a failure to write its answer has
+	// been logged.
 	request string
-	// ahead holds what watch read of the next request.
-	ahead []byte
-	watch watch
+	// readAhead holds the bytes that watch read of the next request.
+	readAhead []byte
+	watch     watch
 }
 
-// watch waits for the caller to close its connection during a request.
+// watch detects that the caller closes its connection during a request.
 type watch struct {
 	wg      sync.WaitGroup
 	running bool
-	byte1   [1]byte
+	buf     [1]byte
 	got     bool
 }
 
 const (
-	// writeTimeout bounds one write to a caller that does not read.
+	// writeTimeout bounds one write to a caller that has stopped reading.
 	writeTimeout = 10 * time.Second
-	// lingerTime bounds how long the rest of a refused request is read.
-	lingerTime = time.Second
-	// defaultIdle and defaultHeader hold until records are known.
+	// lingerTimeout bounds how long the rest of a refused request is read and discarded.
+	lingerTimeout = time.Second
+	// defaultIdle and defaultHeader apply until the first records are loaded.
 	defaultIdle   = 15 * time.Second
 	defaultHeader = 5 * time.Second
 )
 
-// Read implements net.Conn. A caller may stay idle between requests for the
-// limit of the records, and has to send a head within another one.
+// Read implements net.Conn. Limits.IdleTimeout bounds the time between requests, and
+// Limits.HeaderTimeout the time until the head has been received.
 func (c *callerConn) Read(p []byte) (int, error) {
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
+	if len(c.readAhead) > 0 {
+		n := copy(p, c.readAhead)
+		c.readAhead = c.readAhead[n:]
 		c.started = true
 		return n, nil
 	}
-	if err := c.SetReadDeadline(time.Now().Add(c.readBound())); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(c.readTimeout())); err != nil {
 		return 0, err
 	}
 	n, err := c.Conn.Read(p)
@@ -99,7 +98,7 @@
 	return n, err
 }
 
-func (c *callerConn) readBound() time.Duration {
+func (c *callerConn) readTimeout() time.Duration {
 	l := c.limits()
 	if c.started {
 		if l.HeaderTimeout > 0 {
@@ -113,8 +112,8 @@
 	return defaultIdle
 }
 
-// Write implements net.Conn. A caller that stops reading fills its buffers; the
-// next write then ends after the bound, and the endpoint's work with it.
+// Write implements net.Conn. Once a caller that stops reading has filled its buffers, the next
+// write fails after writeTimeout, which also ends the endpoint's work on the request.
 func (c *callerConn) Write(p []byte) (int, error) {
 	err := c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	n := 0
@@ -122,13 +121,13 @@
 		n, err = c.Conn.Write(p)
 	}
 	if err != nil {
-		c.undelivered(err)
+		c.logUndelivered(err)
 	}
 	return n, err
 }
 
-// Close implements net.Conn. The HTTP server calls it once the last answer is written, and
-// sooner where nothing is being answered.
+// Close implements net.Conn. The HTTP server calls it after the last answer is written, or earlier
+// if no request is being answered.
 func (c *callerConn) Close() error {
 	c.closing.Do(func() {
 		c.open.Add(-1)
@@ -137,26 +136,25 @@
 	return c.Conn.Close()
 }
 
-// linger reads on where a part of a request is unread, until the caller closes the
-// connection too.
+// linger reads and discards the unread rest of a request until the caller closes the connection or
+// lingerTimeout has passed.
 //
-// Failure: a connection that is closed with bytes unread, or to which more are sent, is
-// reset. A caller that is still sending its request then gets an error in place of the
-// refusal.
+// Without it, closing a connection with unread bytes, or one that receives more, resets it, and a
+// caller that is still sending its request gets a connection error instead of the refusal.
 func (c *callerConn) linger() {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	if !ok || !c.unread.Load() || half.CloseWrite() != nil {
 		return
 	}
-	if c.SetReadDeadline(time.Now().Add(lingerTime)) == nil {
-		// It ends with the deadline, or with whatever the caller does to the connection.
+	if c.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
+		// Ends at the deadline or when the caller closes or resets the connection.
 		_, _ = io.Copy(io.Discard, c.Conn)
 	}
 }
 
-// undelivered tells once that an answer could not be written. The request's own line tells
-// what was decided; that the caller did not get it shows here alone.
-func (c *callerConn) undelivered(err error) {
+// logUndelivered logs, once for each request, that its answer could not be written. The request's
+// own log line has the status that was decided, not whether the caller received it.
+func (c *callerConn) logUndelivered(err error) {
 	if c.request == "" {
 		return
 	}
@@ -164,32 +162,32 @@
 	c.request = ""
 }
 
-// watchClose calls gone when the caller closes its connection. stopWatch has to
-// follow before the connection is read again.
-func (c *callerConn) watchClose(gone context.CancelCauseFunc) {
-	if len(c.ahead) > 0 {
+// watchClose calls cancel when the caller closes its connection. Call stopWatch before the
+// connection is read again.
+func (c *callerConn) watchClose(cancel context.CancelCauseFunc) {
+	if len(c.readAhead) > 0 {
 		return
 	}
 	w := &c.watch
 	w.running, w.got = true, false
 	if c.SetReadDeadline(time.Time{}) != nil {
-		gone(errCallerGone)
+		cancel(errCallerDisconnected)
 		w.running = false
 		return
 	}
 	w.wg.Go(func() {
-		n, err := c.Conn.Read(w.byte1[:])
+		n, err := c.Conn.Read(w.buf[:])
 		switch {
 		case n == 1:
 			w.got = true
 		case isTimeout(err):
 		default:
-			gone(errCallerGone)
+			cancel(errCallerDisconnected)
 		}
 	})
 }
 
-// stopWatch ends watchClose and makes the connection ready for the next request.
+// stopWatch ends watchClose and prepares the connection for the next request.
 func (c *callerConn) stopWatch() {
 	w := &c.watch
 	if w.running {
@@ -197,7 +195,7 @@
 		_ = c.SetReadDeadline(time.Unix(1, 0))
 		w.wg.Wait()
 		if w.got {
-			c.ahead = append(c.ahead[:0], w.byte1[0])
+			c.readAhead = append(c.readAhead[:0], w.buf[0])
 		}
 	}
 	c.started = false
--- a/gateway/conn_test.go
+++ b/gateway/conn_test.go
@@ -9,50 +9,52 @@
 	"github.com/sardinedock/sardinedock/logline/logtest"
 )
 
-// A caller's connection breaks while its answer is written. The line of the request says
-// 200, and the caller says that nothing came; without a line on the write on-call takes
-// one of them for a liar.
-func TestUndeliveredAnswerHasALine(t *testing.T) {
+// A caller's connection breaks while its answer is written. The request's log line says 200 though
+// the caller received nothing; without a line about the failed write, the log contradicts the
+// caller.
+func TestUndeliveredAnswerIsLogged(t *testing.T) {
 	lines := logtest.Record(t)
 	caller, router := net.Pipe()
 	c := &callerConn{Conn: router, request: "id-1"}
 	_ = caller.Close()
 	for range 2 {
 		if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\n")); err == nil {
-			t.Fatal("written to a closed connection")
+			t.Fatal("write to a closed connection succeeded")
 		}
 	}
-	told := lines.Lines("answer not delivered")
-	if len(told) != 1 || told[0]["request"] != "id-1" {
-		t.Errorf("lines %v, want one that tells of the answer", told)
+	got := lines.Lines("answer not delivered")
+	if len(got) != 1 || got[0]["request"] != "id-1" {
+		t.Errorf("lines %v, want one with the request's ID", got)
 	}
 }
 
-// A caller sends what can't be read as a request. Its complaint has no id; on-call finds
-// it by its address and the time, and the line must not show its key.
-func TestUnreadableRequestHasALine(t *testing.T) {
+// A caller sends bytes that can't be parsed as a request. There is no request ID, so on-call
+// searches the log by the caller's address and the time. The line must not contain the caller's
+// key.
+func TestUnreadableRequestIsLogged(t *testing.T) {
 	lines := logtest.Record(t)
 	var ctx fasthttp.RequestCtx
 	ctx.Init(&fasthttp.Request{}, &net.TCPAddr{IP: net.IPv4(10, 0, 0, 7), Port: 4711}, nil)
-	unreadable(&ctx, fasthttp.ErrBodyTooLarge)
-	told := lines.Lines("request unreadable")
-	if len(told) != 1 || told[0]["caller"] != "10.0.0.7:4711" || told[0]["status"] != fasthttp.StatusRequestEntityTooLarge {
-		t.Errorf("lines %v", told)
+	handleUnreadable(&ctx, fasthttp.ErrBodyTooLarge)
+	got := lines.Lines("request unreadable")
+	if len(got) != 1 || got[0]["caller"] != "10.0.0.7:4711" || got[0]["status"] != fasthttp.StatusRequestEntityTooLarge {
+		t.Errorf("lines %v", got)
 	}
 }
 
-// The next request on a kept connection can't be read, and the caller has gone when it is told
-// so. A line that names the request before would send on-call to one that was answered well.
-func TestUndeliveredRefusalIsNotToldOfTheRequestBefore(t *testing.T) {
+// The next request on a persistent connection can't be parsed, and the caller disconnects before
+// the refusal is written. A log line with the previous request's ID would point on-call to a
+// request that was answered correctly.
+func TestUndeliveredRefusalIsNotLoggedForThePreviousRequest(t *testing.T) {
 	lines := logtest.Record(t)
 	caller, router := net.Pipe()
 	c := &callerConn{Conn: router, request: "before"}
 	var ctx fasthttp.RequestCtx
-	ctx.Init2(c, quietLogger{}, false)
-	unreadable(&ctx, fasthttp.ErrBodyTooLarge)
+	ctx.Init2(c, countingLogger{}, false)
+	handleUnreadable(&ctx, fasthttp.ErrBodyTooLarge)
 	_ = caller.Close()
 	_, _ = c.Write([]byte("HTTP/1.1 413 Request Entity Too Large\r\n"))
-	if told := lines.Lines("answer not delivered"); len(told) != 0 {
-		t.Errorf("lines %v, want none", told)
+	if got := lines.Lines("answer not delivered"); len(got) != 0 {
+		t.Errorf("lines %v, want none", got)
 	}
 }
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -9,89 +9,89 @@
 	"github.com/sardinedock/sardinedock/ratelimit"
 )
 
-// Call is what a caller's request says of itself.
+// Call describes a caller's request, as parsed from its headers.
 type Call struct {
-	// ID of this attempt of the caller; each attempt has its own.
+	// ID of the request. The caller uses a new one for each of its own retries.
 	ID string
-	// Key that the caller shows; empty for none.
+	// Key is the caller's API key; empty if it sends none.
 	Key string
-	// Patience is how long the caller waits; 0 where it does not say.
+	// Patience is how long the caller waits for the answer; 0 if unknown.
 	Patience time.Duration
-	// Model and the prompt's parts, of model requests only.
+	// Model and Parts, the parts of the prompt, are set for model requests only.
 	Model string
 	Parts []prefix.Part
-	// PromptTokens and OutputTokens size the work; the second is the most that
-	// the answer may have.
+	// PromptTokens and OutputTokens estimate the work; OutputTokens is the maximum that the answer
+	// may have.
 	PromptTokens, OutputTokens int64
-	// Sized says that the request states its numbers of tokens.
+	// Sized is set if the request states its token counts.
 	Sized bool
 }
 
-// Send is what the router adds to a request on its way to an endpoint.
+// Send is what the gateway adds to a request that is sent to an endpoint.
 type Send struct {
-	// Call as the caller made it.
+	// Call is the caller's request.
 	Call Call
-	// Endpoint is the platform's name of the one that has to answer, and no other.
+	// Endpoint is the platform's name of the endpoint that must answer; any other must refuse.
 	Endpoint string
-	// Organisation of the caller; empty for none.
+	// Organisation is the caller's; empty if it has none.
 	Organisation string
-	// Left is how long the endpoint may work on it.
+	// Left is the time that the endpoint may spend on the request.
 	Left time.Duration
-	// Body length in bytes.
+	// Body is the length of the body in bytes.
 	Body int
-	// Model requests only:
+	// The following fields are set for model requests only.
 
-	// Version of the weights that the endpoint has to hold.
+	// Version of the model's weights that the endpoint must have loaded.
 	Version int64
-	// CacheScope separates cached parts that must not be shared.
+	// CacheScope keeps cached parts apart that must not be shared.
 	CacheScope string
-	// FetchFrom is the address where more of the prompt is cached, SaveTo where
-	// the parts are kept once they are read; empty for none.
+	// FetchFrom is the address from which the endpoint may fetch more cached parts of the prompt,
+	// SaveTo the address to which it copies the parts after processing them; empty for none.
 	FetchFrom, SaveTo string
 	// Priority at the endpoint; 0 is the most urgent.
 	Priority int
-	// ResumeAfter is the id of the last event that the caller has.
+	// ResumeAfter is the ID of the last event that the caller has received.
 	ResumeAfter string
 }
 
-// Answer is what the head of an endpoint's answer says.
+// Answer describes an endpoint's response, as parsed from its head.
 type Answer struct {
 	Status int
-	// ID of the request that is answered; empty where the endpoint gives none.
+	// ID of the request that is answered; empty if the endpoint sends none.
 	ID string
-	// Signed answers are the endpoint's own word.
+	// Signed is set if the response has the endpoint's signature, so that nothing in between made
+	// it.
 	Signed bool
-	// NotRun says that the endpoint did not run the request and never will.
+	// NotRun is set if the endpoint guarantees that it did not run the request and will not.
 	NotRun bool
-	// Mismatch says that the incarnation, or the version of its weights, is not
-	// the one that the request expects. Answerer is the platform's name
-	// of the endpoint that answers, where it tells.
+	// Mismatch is set if the endpoint's incarnation or weights version differs from the expected
+	// one. Answerer is the platform's name of the endpoint that answered, if it states it.
 	Mismatch bool
 	Answerer string
-	// Version of the model's weights; 0 where the endpoint does not say.
+	// Version of the model's weights; 0 if the endpoint does not state it.
 	Version int64
-	// Leaving says that the endpoint closes its connections.
+	// Leaving is set if the endpoint is closing its connections.
 	Leaving bool
-	// Events says that the body is a series of events.
+	// Events is set if the body is an event stream.
 	Events bool
-	// Encoded bodies are not what the caller asked for.
+	// Encoded is set if the body has a content encoding, which callers do not ask for.
 	Encoded bool
-	// Rate is what the endpoint takes from all instances together. RateError says that
-	// it names something that can't be read.
+	// Rate is the request rate that the endpoint accepts from all instances together. RateError is
+	// set if the stated rate could not be parsed.
 	Rate      ratelimit.Rate
 	RateError error
 }
 
-// Dialect translates between the router and the headers that callers and
-// endpoints use. Its methods do no I/O.
+// Dialect translates between the gateway and the headers that callers and endpoints use. Its
+// methods do no I/O.
 type Dialect interface {
-	// ParseCall reads a caller's request; an error is of kind fault.BadRequest.
+	// ParseCall parses the head of a caller's request. Its errors are of kind fault.BadRequest.
 	ParseCall(h *fasthttp.RequestHeader) (Call, error)
-	// AppendHead appends the head of the request as it goes to an endpoint.
+	// AppendHead appends the head of the request that is sent to an endpoint.
 	AppendHead(dst []byte, caller *fasthttp.RequestHeader, s Send) []byte
-	// ParseAnswer reads the head of an endpoint's answer.
+	// ParseAnswer parses the head of an endpoint's response.
 	ParseAnswer(h *fasthttp.ResponseHeader) Answer
-	// CopyAnswer copies to the caller what is not between two connections only.
-	// signed leaves the endpoint's signature in.
+	// CopyAnswer copies the end-to-end headers to the caller's response. The endpoint's signature
+	// is copied only if signed is true.
 	CopyAnswer(to, from *fasthttp.ResponseHeader, signed bool)
 }
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -12,11 +12,11 @@
 	"github.com/sardinedock/sardinedock/policy"
 )
 
-// maxRoutesTimed bounds the routes whose answers are timed. Operators may add routes
-// without end; when there are more, what was learned of all is thrown away.
-const maxRoutesTimed = 1024
+// maxTimedRoutes bounds the routes whose response times are recorded, since operators may add any
+// number of routes. When it is reached, the records of all routes are dropped.
+const maxTimedRoutes = 1024
 
-// answerTimes keeps how long answers take, by the name of their route.
+// answerTimes records response times by route name.
 type answerTimes struct {
 	mu     sync.Mutex
 	routes map[string]*policy.ResponseTimes
@@ -27,7 +27,7 @@
 	defer t.mu.Unlock()
 	times := t.routes[route]
 	if times == nil {
-		if len(t.routes) >= maxRoutesTimed || t.routes == nil {
+		if len(t.routes) >= maxTimedRoutes || t.routes == nil {
 			t.routes = map[string]*policy.ResponseTimes{}
 		}
 		times = &policy.ResponseTimes{}
@@ -36,22 +36,23 @@
 	return times
 }
 
-// timed notes how long the answer took, from its first send on. Failures of endpoints, and
-// answers whose callers left, say nothing of it; one that its time has ended does.
-func (r *request) timed() {
+// recordResponseTime records the time from the first send to the end of the answer. Answers to
+// disconnected callers and failures of endpoints are left out, since they say nothing about response
+// times; requests that timed out are included.
+func (r *request) recordResponseTime() {
 	if r.sentAt.IsZero() {
 		return
 	}
 	status := r.ctx.Response.StatusCode()
-	whole := status < fasthttp.StatusInternalServerError && status != statusCallerGone
-	if whole || errors.Is(context.Cause(r.life), errTimeout) {
+	whole := status < fasthttp.StatusInternalServerError && status != statusCallerDisconnected
+	if whole || errors.Is(context.Cause(r.reqCtx), errTimeout) {
 		r.srv.times.of(r.route.Name).Record(time.Since(r.sentAt))
 	}
 }
 
-// mayStart returns an error where the instance was told to end and the request, if it was
-// sent now, would not be expected to end before open answers are cut.
-func (r *request) mayStart(now time.Time) error {
+// checkDrain returns an error if the instance is draining and the request, if sent now, is not
+// expected to finish before open requests are aborted.
+func (r *request) checkDrain(now time.Time) error {
 	d := r.srv.drain.Load()
 	if d == nil || r.ran > 0 {
 		return nil
@@ -60,22 +61,23 @@
 	if d.Accepts(now, r.deadline, usual, known) {
 		return nil
 	}
-	return errEnding
+	return errShuttingDown
 }
 
-// returnElsewhere is when a caller that is turned away since this instance ends should come
-// back: at once, to another instance, or when the first of them takes requests again.
+// shutdownRetryAfter returns when a caller that is refused because this instance shuts down should
+// retry: at once if another instance accepts requests, otherwise when the first is expected to
+// accept them again.
 //
-// Load: all instances are restarted in turn, faster than one is back. Harm prevented:
-// callers that are sent from one ending instance to the next use up the few times that
-// they try, within milliseconds, while an instance that takes them is a second away.
-func (r *request) returnElsewhere(now time.Time) time.Duration {
+// When all instances are restarted in turn, faster than each is back, callers that are sent from
+// one draining instance to the next would use up their few retries within milliseconds, although an
+// instance would accept them a second later.
+func (r *request) shutdownRetryAfter(now time.Time) time.Duration {
 	wait := r.srv.cfg.Peers.TakesAgainIn(now)
 	if r.route != nil {
-		wait = min(wait, r.patience.Sub(now)/returnShare)
+		wait = min(wait, r.patience.Sub(now)/retryShare)
 	}
-	return max(wait, leastReturn)
+	return max(wait, minRetryAfter)
 }
 
-// errEnding ends a request that this instance, told to end, does not take any more.
-var errEnding = fault.New(fault.Unavailable, "send the request again; another instance takes it", "this instance ends")
+// errShuttingDown refuses a request because this instance is shutting down.
+var errShuttingDown = fault.New(fault.Unavailable, "send the request again; another instance takes it", "this instance ends")
--- a/gateway/guard.go
+++ b/gateway/guard.go
@@ -7,30 +7,29 @@
 	"github.com/sardinedock/sardinedock/policy"
 )
 
-// crashMemory is how long a request that crashed endpoints is remembered. Its
-// caller asks again within seconds; an hour later it may be another release.
+// crashMemory is how long a request that crashed endpoints is remembered. Its caller retries within
+// seconds; an hour later the endpoints may run another release.
 const crashMemory = 10 * time.Minute
 
-// CrashGuard shares one policy.CrashGuard among requests. Any goroutine may use
-// it.
+// CrashGuard is a policy.CrashGuard that is safe for concurrent use.
 type CrashGuard struct {
 	mu    sync.Mutex
 	guard *policy.CrashGuard
 }
 
-// NewCrashGuard returns a guard that knows of no crash.
+// NewCrashGuard returns a guard with no recorded crashes.
 func NewCrashGuard() *CrashGuard {
 	return &CrashGuard{guard: policy.NewCrashGuard(crashMemory)}
 }
 
-// Crashed notes that a request was running when an incarnation broke.
+// Crashed records that a request was running when an endpoint's incarnation crashed.
 func (g *CrashGuard) Crashed(now time.Time, fingerprint [16]byte, endpointID string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.guard.Crashed(now, fingerprint, endpointID, 0)
 }
 
-// Verdict tells how to treat a request.
+// Verdict returns how to treat a request; see policy.CrashGuard.
 func (g *CrashGuard) Verdict(now time.Time, fingerprint [16]byte) (policy.CrashVerdict, time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/open.go
+++ b/gateway/open.go
@@ -7,12 +7,12 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// openRequests are the requests that are being served. Any goroutine may use it.
+// openRequests is the set of requests being served. It is safe for concurrent use.
 type openRequests struct {
 	mu   sync.Mutex
 	list map[*request]bool
-	// cut is why all of them were ended; nil before.
-	cut error
+	// aborted is the cause with which cancelAll aborted all requests; nil before.
+	aborted error
 }
 
 func (o *openRequests) add(r *request) {
@@ -30,14 +30,14 @@
 	delete(o.list, r)
 }
 
-// started sets how the life of a request is ended. One that starts after all were ended
-// ends at once.
+// started sets the function that cancels the request. A request that starts after cancelAll is
+// cancelled at once.
 func (o *openRequests) started(r *request, cancel context.CancelCauseFunc) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	r.cancel = cancel
-	if o.cut != nil {
-		cancel(o.cut)
+	if o.aborted != nil {
+		cancel(o.aborted)
 	}
 }
 
@@ -47,11 +47,11 @@
 	return len(o.list)
 }
 
-// cancelAll ends all requests and returns how many there are.
+// cancelAll aborts all open requests and returns their number.
 func (o *openRequests) cancelAll(cause error) int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.cut = cause
+	o.aborted = cause
 	for r := range o.list {
 		if r.cancel != nil {
 			r.cancel(cause)
@@ -60,9 +60,9 @@
 	return len(o.list)
 }
 
-// errCut ends the requests that are open when the time to end is over.
+// errAborted ends the requests that are still open when the drain time is over.
 //
-// Failure: the process ends in the middle of an answer. Without a last word the caller's
-// connection just breaks, as in a crash, and no line of any log has the request's id, so
-// that on-call can't tell it from one that never came.
-var errCut = fault.New(fault.Broken, "look up whether it has run; give the process more time to end", "cut: this instance has ended")
+// Without this final answer and its log line, the process would exit in the middle of an answer:
+// the caller's connection would break as in a crash, and no log line would have the request's ID,
+// so that on-call could not tell it from a request that never arrived.
+var errAborted = fault.New(fault.Broken, "look up whether it has run; give the process more time to end", "cut: this instance has ended")
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// lookAgain bounds the wait until a request that found no endpoint is placed
-	// once more: times of avoidance end without notice.
-	lookAgain = 25 * time.Millisecond
-	// waitShare is the part of its time that a request waits for an endpoint. A
-	// caller that is told early may still be served elsewhere or later.
-	waitShare = 3
+	// placeRetryMax bounds the wait before a request that found no endpoint is placed again:
+	// endpoints stop being avoided after a time, without a state change that would wake the
+	// request.
+	placeRetryMax = 25 * time.Millisecond
+	// placeWaitShare is the fraction, 1/placeWaitShare, of its remaining time that a request waits
+	// for an endpoint. A caller that is refused early can still be served by another instance or
+	// later.
+	placeWaitShare = 3
 )
 
-// place finds the endpoint for the next send, and waits for one as long as that
-// may help.
+// place returns the endpoint for the next send. It waits for one while that may help.
 //
-// Load: all endpoints of a pool are loading, rejecting or gone for a moment.
-// Harm prevented: turned away at once, every caller comes back together a
-// moment later. A request that waits here has not run, can be said so, and goes
-// to whichever endpoint is free first.
+// When all endpoints of a pool are loading weights, rejecting or briefly unreachable, callers that
+// are refused at once all retry together a moment later. A request that waits here has not run,
+// which a later refusal can state, and goes to the first endpoint that becomes available.
 func (r *request) place() (balance.Placement, error) {
 	from := time.Now()
-	until := from.Add(time.Until(r.deadline) / waitShare)
+	until := from.Add(time.Until(r.deadline) / placeWaitShare)
 	defer func() {
 		r.waited += time.Since(from)
 		waitSeconds.Update(time.Since(from).Seconds())
@@ -41,14 +41,14 @@
 	for {
 		changed := r.srv.cfg.State.Changed()
 		now := time.Now()
-		if err := r.mayStart(now); err != nil {
+		if err := r.checkDrain(now); err != nil {
 			return balance.Placement{}, err
 		}
 		q.Elapsed = now.Sub(r.began)
-		run, v := r.srv.cfg.Placer.Place(r.life, q)
-		if r.life.Err() != nil {
-			r.unplace(run, v)
-			return balance.Placement{}, context.Cause(r.life)
+		run, v := r.srv.cfg.Placer.Place(r.reqCtx, q)
+		if r.reqCtx.Err() != nil {
+			r.cancelPlacement(run, v)
+			return balance.Placement{}, context.Cause(r.reqCtx)
 		}
 		switch {
 		case v.Admission == balance.Send:
@@ -69,7 +69,7 @@
 			return balance.Placement{}, fault.WithRetryAfter(err, behind)
 		case v.Found:
 			looked := time.Now()
-			err := r.rest(nil, lateLook(v))
+			err := r.waitForChange(nil, lateRetryDelay(v))
 			if v.Placement.Full {
 				r.waitedMemory += time.Since(looked)
 			}
@@ -77,20 +77,20 @@
 				return balance.Placement{}, err
 			}
 		case len(q.Exclude) > 0:
-			// All others are out of the question; those tried may have come back.
+			// No other endpoint can be used; those tried before may have recovered.
 			q.Exclude = nil
 		case !now.Before(until):
 			return balance.Placement{}, fault.New(fault.Unavailable, "send the request again later", "no endpoint of %s takes work", r.service.Name)
 		default:
-			if err := r.rest(changed, min(lookAgain, until.Sub(now))); err != nil {
+			if err := r.waitForChange(changed, min(placeRetryMax, until.Sub(now))); err != nil {
 				return balance.Placement{}, err
 			}
 		}
 	}
 }
 
-// unplace gives back what was placed for a request that has ended meanwhile.
-func (r *request) unplace(run balance.RunID, v balance.Decision) {
+// cancelPlacement reverts a placement for a request that has ended in the meantime.
+func (r *request) cancelPlacement(run balance.RunID, v balance.Decision) {
 	if v.Admission != balance.Send {
 		return
 	}
@@ -99,55 +99,56 @@
 	r.srv.cfg.Placer.NotRun(run)
 }
 
-// warmBound is how long after its start an instance has model requests wait for
-// what endpoints hold. Endpoints tell within a tenth of a second; callers are
-// content with several.
-const warmBound = 400 * time.Millisecond
+// warmUpTimeout is how long after its start an instance delays model requests until it knows which
+// prompts endpoints have cached. Endpoints report within 0.1 s; callers accept several times that.
+const warmUpTimeout = 400 * time.Millisecond
 
-// warmUp waits until it is known what is cached where.
+// warmUp waits until the cache contents of the endpoints are known, at most until warmUpTimeout.
 //
-// Load: all instances restart together while callers go on sending. Harm prevented:
-// the requests of the first moments find nothing known, and each prompt that
-// endpoints hold is read again, which keeps the pool behind for seconds.
+// When all instances restart together while callers go on sending, the first requests would be
+// placed without this knowledge, and each cached prompt would be processed again elsewhere, which
+// keeps the pool behind for seconds.
 func (r *request) warmUp() error {
-	until := r.srv.cfg.Started.Add(warmBound)
+	until := r.srv.cfg.Started.Add(warmUpTimeout)
 	for r.service.Engine != nil && time.Now().Before(until) && !r.srv.cfg.Placer.Warm(r.service.Name) {
-		if err := r.rest(nil, warmLook); err != nil {
+		if err := r.waitForChange(nil, warmUpPoll); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// warmLook is the time between two looks during warmUp.
-const warmLook = 10 * time.Millisecond
+// warmUpPoll is the polling interval of warmUp.
+const warmUpPoll = 10 * time.Millisecond
 
-// lateLook is the wait until a late request looks again. It is drawn, so that the
-// instances of a fleet, which see the same endpoint idle, do not all send at once.
-func lateLook(v balance.Decision) time.Duration {
-	least := lateLookLeast
+// lateRetryDelay returns the wait before a request that would be late at every endpoint is placed
+// again. It is random, so that the instances of a fleet, which see the same endpoint become idle,
+// do not all send at once.
+func lateRetryDelay(v balance.Decision) time.Duration {
+	least := minLateRetry
 	if v.Placement.PlacedBy != "" {
-		least = lateLookAsked
+		least = minLateRetryRemote
 	}
 	return least + rand.N(least)
 }
 
-// lateLookLeast is a fifth of the backlog that late requests are sent at.
-const lateLookLeast = 12 * time.Millisecond
+// minLateRetry is a fifth of the backlog at which late requests are sent.
+const minLateRetry = 12 * time.Millisecond
 
-// lateLookAsked is the same where another instance is asked each time: in a burst,
+// minLateRetryRemote replaces minLateRetry if another instance places the request: in a burst,
 // hundreds of requests wait, and a few schedulers answer all of them.
-const lateLookAsked = 25 * time.Millisecond
+const minLateRetryRemote = 25 * time.Millisecond
 
-// rest waits for news, at most for d.
-func (r *request) rest(changed <-chan struct{}, d time.Duration) error {
+// waitForChange waits until changed is closed or d has passed. It returns the cause if the request
+// ends first.
+func (r *request) waitForChange(changed <-chan struct{}, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-changed:
 	case <-timer.C:
-	case <-r.life.Done():
-		return context.Cause(r.life)
+	case <-r.reqCtx.Done():
+		return context.Cause(r.reqCtx)
 	}
 	return nil
 }
@@ -173,8 +174,8 @@
 	return q
 }
 
-// wall names who may share the request's cached parts: nobody but the same
-// organisation where that is isolated, all others together.
+// wall returns the name of the group whose requests may share cached prompt parts with this one:
+// the organisation alone if it is isolated, otherwise all others together.
 func (r *request) wall() string {
 	if r.organisation != nil && r.organisation.Isolated {
 		return "o/" + r.organisation.Name
@@ -182,20 +183,18 @@
 	return "all"
 }
 
-// routeRanks is how many priorities of routes are told apart within one of an
-// organisation. Endpoints know ten ranks in all.
+// routeRanks is the number of distinct route priorities within one priority of an organisation.
+// Endpoints have ten ranks in all.
 const routeRanks = 3
 
-// lowestPriority is the last rank that endpoints know.
+// lowestPriority is the least urgent rank that endpoints have.
 const lowestPriority = 9
 
-// priority is the request's rank at the endpoint: by organisation first, by route
-// within it.
+// priority is the request's rank at the endpoint: by organisation first, by route within it.
 //
-// Load: a pool at its limit, with short urgent prompts among long ones of the same
-// organisation. Harm prevented: with the organisation's rank alone, endpoints take
-// both in the order of arrival, and the short ones wait for prompts ten times as
-// long.
+// With the organisation's rank alone, endpoints of a pool at its limit would process its short
+// urgent prompts and its long ones in order of arrival, and the short ones would wait for prompts
+// ten times as long.
 func (r *request) priority() int {
 	organisation := 0
 	if r.organisation != nil && r.organisation.Priority != nil {
--- a/gateway/priority_test.go
+++ b/gateway/priority_test.go
@@ -6,9 +6,9 @@
 	"github.com/sardinedock/sardinedock/route"
 )
 
-// A pool is at its limit with short urgent prompts among long ones, all of one
-// organisation. If they get one rank at the endpoint, the short ones wait for
-// prompts ten times as long, and their callers see them late.
+// A pool at its limit gets short urgent prompts among long ones, all of one organisation. With one
+// rank at the endpoint, the short ones would wait for prompts ten times as long, and their callers
+// would see them late.
 func TestRouteRanksWithinAnOrganisation(t *testing.T) {
 	rank := func(organisation, own int) int {
 		r := request{route: &route.Route{Priority: own}, organisation: &route.Organisation{Priority: &organisation}}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -19,8 +19,8 @@
 	"github.com/sardinedock/sardinedock/route"
 )
 
-// request is one attempt of a caller, from its head to the end of its answer.
-// The goroutine of the caller's connection owns it.
+// request is one request of a caller, from its head to the end of its answer. The goroutine of the
+// caller's connection owns it.
 type request struct {
 	srv   *Server
 	ctx   *fasthttp.RequestCtx
@@ -32,72 +32,72 @@
 	organisation *route.Organisation
 	service      *route.Service
 	call         Call
-	// deadline is when the caller gives up or the route's timeout ends.
+	// deadline is the earlier of patience and the end of the route's timeout.
 	deadline time.Time
-	// patience is when the caller gives up.
+	// patience is when the caller stops waiting.
 	patience time.Time
 
-	life   context.Context
+	reqCtx context.Context
 	cancel context.CancelCauseFunc
 	stop   context.CancelFunc
 
-	// exclude names endpoints that were tried.
+	// exclude lists the endpoints that were tried.
 	exclude []string
-	// sends counts all sends, ran those of which an endpoint may have begun.
+	// sends counts all sends, ran those that an endpoint may have started to run.
 	sends, ran int
 	rejected   int
-	// sentAt is when it was sent first.
+	// sentAt is the time of the first send.
 	sentAt time.Time
 	waited time.Duration
-	// waitedMemory is the part of waited in which no endpoint's memory held it.
+	// waitedMemory is the part of waited in which no endpoint had enough free memory for it.
 	waitedMemory time.Duration
-	// first is the time to a stream's first event.
-	first time.Duration
-	// run names the send that was placed last.
+	// firstEvent is the time until a stream's first event.
+	firstEvent time.Duration
+	// run identifies the last placement.
 	run  balance.RunID
 	last balance.Placement
-	// firstErr is how the first send failed, lastErr why the request ended so.
+	// firstErr is the failure of the first send, lastErr the reason for the final answer.
 	firstErr, lastErr error
-	// quota says why the organisation's quota refused it, and decidedBy which scheduler
-	// did; empty for this instance.
+	// quota is set if the organisation's quota refused the request; decidedBy is the scheduler that
+	// did, or empty for this instance.
 	quota     *quota.Decision
 	decidedBy string
-	// passedOver is the endpoint that would have been chosen but for the rate that it names,
-	// of a request that was refused.
+	// passedOver is set on a refused request: the endpoint that would have been chosen but for its
+	// own rate limit.
 	passedOver string
-	// outOfRetries says that it was not sent once more since the fleet's budget of
-	// retries was used up.
+	// outOfRetries is set if the request was not retried because the fleet's retry budget is used
+	// up.
 	outOfRetries bool
 }
 
 func (r *request) serve() {
 	if err := r.admit(); err != nil {
 		f := refusalOf(err)
-		if errors.Is(err, errEnding) {
-			f.retryAfter = r.returnElsewhere(time.Now())
+		if errors.Is(err, errShuttingDown) {
+			f.retryAfter = r.shutdownRetryAfter(time.Now())
 		}
 		r.refuse(f)
 		return
 	}
 	r.start()
 	if stream := r.answer(); stream != nil {
-		// The stream ends the request when the HTTP server closes it.
+		// The request ends when the HTTP server closes the stream.
 		return
 	}
 	r.end()
 }
 
-// admit finds what the records say of the request. Nothing was sent when it
-// returns an error.
+// admit finds the route, organisation and service of the request. If it returns an error, nothing
+// has been sent.
 func (r *request) admit() error {
 	h := &r.ctx.Request.Header
-	// Before anything is refused: on-call has only the id that a caller tells, and each
-	// refusal's line has to bear it.
+	// Parse before any refusal: on-call has only the ID that the caller reports, so each refusal's
+	// log line needs it.
 	call, parseErr := r.srv.cfg.Dialect.ParseCall(h)
 	r.call = call
 	r.conn.request = call.ID
-	if r.srv.ending.Load() {
-		return errEnding
+	if r.srv.shuttingDown.Load() {
+		return errShuttingDown
 	}
 	if r.table = r.srv.awaitRecords(); r.table == nil {
 		return errNoRecords
@@ -125,7 +125,7 @@
 	return r.guard()
 }
 
-// guard refuses a request that has crashed the endpoints that ran it.
+// guard refuses a request that crashed the endpoints that ran it.
 func (r *request) guard() error {
 	if r.srv.cfg.Guard == nil || r.service.Engine == nil {
 		return nil
@@ -136,7 +136,7 @@
 	return nil
 }
 
-// fingerprint names the content of the request and who sends it.
+// fingerprint returns a hash of the request's content and its caller's key.
 func (r *request) fingerprint() [16]byte {
 	var h xxh3.Hasher
 	_, _ = h.Write(r.ctx.Request.Header.RequestURI())
@@ -145,8 +145,8 @@
 	return h.Sum128().Bytes()
 }
 
-// start opens the request's life, which ends with the caller, its patience or
-// the route's timeout.
+// start creates reqCtx, which is done when the caller disconnects, at the deadline, or when the
+// server aborts open requests.
 func (r *request) start() {
 	r.deadline = r.began.Add(r.route.Timeout)
 	r.patience = r.deadline
@@ -156,17 +156,17 @@
 			r.deadline = r.patience
 		}
 	}
-	life, cancel := context.WithCancelCause(context.Background())
+	ctx, cancel := context.WithCancelCause(context.Background())
 	r.srv.open.started(r, cancel)
-	r.life, r.stop = context.WithDeadlineCause(life, r.deadline, errTimeout)
+	r.reqCtx, r.stop = context.WithDeadlineCause(ctx, r.deadline, errTimeout)
 	r.conn.watchClose(cancel)
 	r.srv.cfg.Budget.Accepted(r.began, r.service.Name)
 }
 
-// end closes the life of the request; the answer is decided.
+// end releases the request's resources and records its result, once its answer is decided.
 func (r *request) end() {
 	r.conn.stopWatch()
-	r.timed()
+	r.recordResponseTime()
 	r.stop()
 	r.cancel(context.Canceled)
 	r.srv.open.remove(r)
@@ -175,7 +175,7 @@
 	r.log(r.ctx.Response.StatusCode())
 }
 
-// refuse answers a request that was never sent, before its life began.
+// refuse answers a request that is refused before start, so that it was never sent.
 func (r *request) refuse(f refusal) {
 	writeRefusal(r.ctx, f)
 	r.conn.started = false
@@ -185,8 +185,8 @@
 	r.log(f.status)
 }
 
-// answer sends the request until an endpoint answers, and writes that answer.
-// It returns the stream where the answer goes on after it.
+// answer sends the request until an endpoint answers, and writes that answer. It returns the stream
+// if the rest of the answer is streamed afterwards.
 func (r *request) answer() *eventStream {
 	for {
 		p, err := r.place()
@@ -194,44 +194,44 @@
 			r.refuseUnsent(err)
 			return nil
 		}
-		stream, again := r.attempt(p)
-		if !again {
+		stream, retry := r.attempt(p)
+		if !retry {
 			return stream
 		}
 	}
 }
 
-// outcome of one send.
+// outcome is the result of one send that is not passed on.
 type outcome int
 
 const (
-	// outcomeUnsent: no connection could be made; nothing arrived.
+	// outcomeUnsent: no connection could be made, so nothing reached the endpoint.
 	outcomeUnsent outcome = iota
-	// outcomeRejected: the endpoint says that it did not run the request.
+	// outcomeRejected: the endpoint states that it did not run the request.
 	outcomeRejected
 	// outcomeBroken: the endpoint may have run it.
 	outcomeBroken
-	// outcomeFailed: the endpoint answered with a failure of its own.
+	// outcomeFailed: the endpoint answered with a 5xx status.
 	outcomeFailed
 )
 
 const (
-	// maxUnsent bounds the endpoints that are tried to connect to; with more
-	// that cannot be reached the fault is likely on this side.
+	// maxUnsent bounds the endpoints to which a connection is attempted; if more are unreachable,
+	// the fault is probably on this side.
 	maxUnsent = 3
-	// maxRejected bounds the sends that endpoints turn away. Each costs the
-	// fleet's budget of retries and a round trip.
+	// maxRejected bounds the sends that endpoints reject. Each costs a round trip and a part of the
+	// fleet's retry budget.
 	maxRejected = 3
 )
 
-// mayTryAgain decides whether the request goes to another endpoint after an
-// outcome, and takes it out of the fleet's budget.
+// mayRetry reports whether the request may be sent to another endpoint after an outcome. A retry
+// is charged to the fleet's retry budget.
 //
-// Load: a crash, or a load of new weights, that fails many sends at once. Harm
-// prevented: a non-idempotent request that runs twice; retries that outweigh the
-// requests. What has not run may go elsewhere for any kind of request.
-func (r *request) mayTryAgain(o outcome) bool {
-	if r.life.Err() != nil {
+// A crash or a load of new weights fails many sends at once. The limits here keep a non-idempotent
+// request from running twice, and retries from outnumbering the requests. A request that has not
+// run may be sent elsewhere whatever its kind.
+func (r *request) mayRetry(o outcome) bool {
+	if r.reqCtx.Err() != nil {
 		return false
 	}
 	switch o {
@@ -251,7 +251,7 @@
 	return !r.outOfRetries
 }
 
-// failedWith notes how a send failed.
+// failedWith records the error of a failed send.
 func (r *request) failedWith(err error) {
 	if r.firstErr == nil {
 		r.firstErr = err
@@ -259,9 +259,9 @@
 	r.lastErr = err
 }
 
-// refuseUnsent answers where no endpoint could be found any more.
+// refuseUnsent answers a request for which no further endpoint could be found.
 func (r *request) refuseUnsent(err error) {
-	if cause := context.Cause(r.life); errors.Is(cause, errCallerGone) {
+	if cause := context.Cause(r.reqCtx); errors.Is(cause, errCallerDisconnected) {
 		r.lastErr = cause
 		r.abandon()
 		return
@@ -272,48 +272,49 @@
 		return
 	}
 	if fault.Is(err, fault.LimitExceeded) {
-		writeRefusal(r.ctx, refusal{status: fasthttp.StatusTooManyRequests, cause: err, retryAfter: r.comeBack(fault.RetryAfter(err))})
+		writeRefusal(r.ctx, refusal{status: fasthttp.StatusTooManyRequests, cause: err, retryAfter: r.retryAfter(fault.RetryAfter(err))})
 		return
 	}
-	after := r.comeBack(fault.RetryAfter(err))
-	if errors.Is(err, errEnding) {
-		after = r.returnElsewhere(time.Now())
+	after := r.retryAfter(fault.RetryAfter(err))
+	if errors.Is(err, errShuttingDown) {
+		after = r.shutdownRetryAfter(time.Now())
 	}
 	writeRefusal(r.ctx, refusal{status: fasthttp.StatusServiceUnavailable, cause: err, retryAfter: after})
 }
 
-// comeBack is when a caller that was turned away should try again: soon enough
-// to be served in its time, and later the less time it has used, so that those
-// turned away together do not come back together.
+// retryAfter returns when a refused caller should retry: soon enough to be served before its
+// patience ends, and later the more time it has left. A spread by request ID keeps callers that were
+// refused together from returning together.
 //
-// behind is how far the endpoints are behind; 0 where they say nothing.
-func (r *request) comeBack(behind time.Duration) time.Duration {
+// behind is how far the endpoints are behind; 0 if unknown.
+func (r *request) retryAfter(behind time.Duration) time.Duration {
 	left := time.Until(r.patience)
-	spread := time.Duration(xxh3.HashString(r.call.ID) % uint64(returnSpread))
-	return max(min(max(behind, shortRetry)+spread, left/returnShare), leastReturn)
+	spread := time.Duration(xxh3.HashString(r.call.ID) % uint64(retrySpread))
+	return max(min(max(behind, shortRetry)+spread, left/retryShare), minRetryAfter)
 }
 
 const (
-	// returnSpread keeps callers that were turned away together apart.
-	returnSpread = 200 * time.Millisecond
-	// returnShare is the part of its time that a caller is asked to wait at the
-	// most; callers heed up to a third.
-	returnShare = 4
-	// leastReturn keeps a caller whose time is nearly over from coming back at once.
-	leastReturn = 10 * time.Millisecond
+	// retrySpread is the range over which the retries of callers refused together are spread.
+	retrySpread = 200 * time.Millisecond
+	// retryShare bounds the wait to 1/retryShare of the caller's remaining time; callers accept up
+	// to a third.
+	retryShare = 4
+	// minRetryAfter keeps a caller whose time is nearly over from retrying at once.
+	minRetryAfter = 10 * time.Millisecond
 )
 
-// abandon ends a request whose caller has gone: nobody reads an answer.
+// abandon ends a request whose caller has disconnected and will not read an answer.
 func (r *request) abandon() {
 	r.ctx.Response.Reset()
 	r.ctx.SetConnectionClose()
-	r.ctx.Response.SetStatusCode(statusCallerGone)
+	r.ctx.Response.SetStatusCode(statusCallerDisconnected)
 }
 
-// statusCallerGone is what logs and metrics show of a caller that left.
-const statusCallerGone = 499
+// statusCallerDisconnected is the status in logs and metrics of a request whose caller
+// disconnected.
+const statusCallerDisconnected = 499
 
-// log writes the one line that tells what became of the request.
+// log writes the request's one log line.
 func (r *request) log(status int) {
 	f := log.Fields{
 		"request": r.call.ID, "status": status, "ms": time.Since(r.began).Milliseconds(),
@@ -331,8 +332,8 @@
 	if r.organisation != nil {
 		f["organisation"] = r.organisation.Name
 	}
-	if r.first > 0 {
-		f["first_ms"] = r.first.Milliseconds()
+	if r.firstEvent > 0 {
+		f["first_ms"] = r.firstEvent.Milliseconds()
 	}
 	if r.sends > 0 {
 		f["endpoint"], f["address"] = r.last.Endpoint.ID, r.last.Endpoint.Address
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -1,6 +1,5 @@
-// Package gateway serves callers by host and path: it finds the route, has an
-// endpoint chosen, passes the request on unchanged and gives the caller the
-// endpoint's whole answer.
+// Package gateway serves callers' HTTP requests: it matches the route by host and path, has an
+// endpoint chosen, passes the request on unchanged and returns the endpoint's complete answer.
 package gateway
 
 import (
@@ -22,63 +21,62 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// Broadcaster sends other instances what this one does. Its methods do not block.
+// Broadcaster sends messages about this instance's requests to the other instances. Its methods do
+// not block.
 type Broadcaster interface {
-	// ReportStage reports on a run that was placed by the instance named; empty for this
-	// one.
+	// ReportStage reports a stage of a run; placedBy names the instance that placed the run, empty
+	// for this one.
 	ReportStage(s *gossippb.RunStage, placedBy string)
 	BroadcastNotice(*gossippb.Notice)
 }
 
-// Placer decides where requests go.
+// Placer chooses the endpoints of requests.
 type Placer interface {
-	// Place blocks while another instance decides, for some tens of ms at most. What is
-	// to be sent now counts at its endpoint, at all instances that place requests. The
-	// run has the name that is returned.
+	// Place may block while another instance decides, for some tens of ms at most. A request that
+	// is to be sent now is counted at its endpoint by all instances that place requests, under the
+	// returned RunID.
 	Place(ctx context.Context, q balance.Query) (balance.RunID, balance.Decision)
-	// Warm reports whether what endpoints hold is known where requests to a service are
-	// decided, or need not be waited for.
+	// Warm reports whether the instance that places a service's requests knows the cache contents
+	// of its endpoints, or need not wait for them.
 	Warm(service string) bool
-	// NotRun gives back what a run that was placed here was charged.
+	// NotRun refunds the quota charge of a run that was placed here and did not run.
 	NotRun(run balance.RunID)
 }
 
-// Peers tells what callers that are turned away because this instance ends can hope for.
+// Peers provides the expected availability of the other instances.
 type Peers interface {
-	// TakesAgainIn returns how long it is until some other instance takes requests; 0
-	// where one does now.
+	// TakesAgainIn returns the expected time until some instance accepts requests; 0 if another one
+	// does now.
 	TakesAgainIn(now time.Time) time.Duration
 }
 
-// Rates takes in what endpoints say of the rate of requests that they take. It must not
-// block.
+// Rates receives the request rates that endpoints state in their responses. It must not block.
 type Rates interface {
-	// Said takes in what one answer says; unreadable is set where that is no rate, and
-	// nothing is known of it then.
+	// Said is called with the statement of one response. unreadable is the error if the stated rate
+	// could not be parsed; the statement has no rate then.
 	Said(s ratelimit.Statement, unreadable error)
 }
 
-// Config is what a Server needs.
+// Config configures a Server.
 type Config struct {
 	// DataCentre of this instance.
 	DataCentre string
-	// Table returns the records in force, or nil.
+	// Table returns the records in force, or nil before the first.
 	Table       func() *route.Table
 	State       *balance.State
 	Budget      *policy.FleetRetries
 	Guard       *CrashGuard
 	Broadcaster Broadcaster
 	Placer      Placer
-	// Rates takes in what endpoints say of the rate that they take; nil ignores it.
+	// Rates receives the rates that endpoints state; nil ignores them.
 	Rates   Rates
 	Peers   Peers
 	Dialect Dialect
 	// Relay returns the connections to an endpoint's address.
 	Relay func(address string) *endpoint.Relay
-	// Started is when the process began; see warmBound.
+	// Started is when the process started; see warmUpTimeout.
 	Started time.Time
-	// HeaderBytes and BodyBytes bound what is read of a request, whatever the
-	// records allow.
+	// HeaderBytes and BodyBytes bound the sizes of any request, whatever the records allow.
 	HeaderBytes, BodyBytes int
 }
 
@@ -86,16 +84,17 @@
 type Server struct {
 	cfg  Config
 	http *fasthttp.Server
-	// drain is set once the instance was told to end.
+	// drain is set once Drain was called.
 	drain atomic.Pointer[policy.Drain]
-	// ending says that the listener is closed and open requests are being finished.
-	ending atomic.Bool
-	open   openRequests
-	// connections counts those of callers. The HTTP library's own count is one too low
-	// once it has stopped listening, so that an instance would end before its last answer.
+	// shuttingDown is set once Shutdown was called: the listener is closed and open requests
+	// finish.
+	shuttingDown atomic.Bool
+	open         openRequests
+	// connections counts callers' connections. The HTTP library's own count is one too low after it
+	// has stopped listening, so that an instance would exit before its last answer is written.
 	connections atomic.Int64
 	times       answerTimes
-	silence     *silenceWatch
+	activity    *activityWatch
 }
 
 var (
@@ -109,28 +108,27 @@
 	return metrics.GetOrCreateCounter(`sardinedock_gateway_answers_total{status="` + strconv.Itoa(status) + `"}`)
 }
 
-// NewServer returns a server that Serve starts.
+// NewServer returns a Server that accepts no connections before Serve is called.
 func NewServer(cfg Config) *Server {
-	s := &Server{cfg: cfg, silence: newSilenceWatch()}
-	// Timeouts are the connection's own business, since the records may change
-	// them at any time; see callerConn.
+	s := &Server{cfg: cfg, activity: newActivityWatch()}
+	// callerConn applies the timeouts, since the records may change them at any time.
 	s.http = &fasthttp.Server{
 		Handler:               s.handle,
-		ErrorHandler:          unreadable,
+		ErrorHandler:          handleUnreadable,
 		NoDefaultServerHeader: true,
 		NoDefaultDate:         true,
 		NoDefaultContentType:  true,
 		ReadBufferSize:        cfg.HeaderBytes,
 		MaxRequestBodySize:    cfg.BodyBytes,
 		ReduceMemoryUsage:     true,
-		// Header names go on as the caller wrote them.
+		// Header names are passed on as the caller wrote them.
 		DisableHeaderNamesNormalizing: false,
-		Logger:                        quietLogger{},
+		Logger:                        countingLogger{},
 	}
 	return s
 }
 
-// Serve answers the callers that ln accepts, until Shutdown.
+// Serve answers requests on the connections that ln accepts, until Shutdown.
 func (s *Server) Serve(ln net.Listener) error {
 	return s.http.Serve(&listener{Listener: ln, limits: s.limits, open: &s.connections})
 }
@@ -143,32 +141,31 @@
 }
 
 const (
-	// recordsWait is how long a request waits for the first records. A read of the
-	// store takes a tenth of that; one that fails is tried again within it.
+	// recordsWait is how long a request waits for the first records. A read of the store takes a
+	// tenth of that; a failed one is retried within it.
 	recordsWait = 300 * time.Millisecond
-	// recordsLook is the time between two looks.
-	recordsLook = 10 * time.Millisecond
+	// recordsPoll is the polling interval of awaitRecords.
+	recordsPoll = 10 * time.Millisecond
 )
 
-// awaitRecords returns the records in force, or nil where there are none yet.
+// awaitRecords returns the records in force, or nil if there are none within recordsWait.
 //
-// Load: all instances start again together, and callers come before the first read
-// of the store is answered. Harm prevented: all of them are turned away at once and
-// come back at once, to be turned away for good.
+// When all instances start together, callers arrive before the first read of the store has
+// finished. Refused at once, they would retry at once, and be refused for the last time.
 func (s *Server) awaitRecords() *route.Table {
 	t := s.cfg.Table()
 	for until := time.Now().Add(recordsWait); t == nil && time.Now().Before(until); t = s.cfg.Table() {
-		time.Sleep(recordsLook)
+		time.Sleep(recordsPoll)
 	}
 	return t
 }
 
-// Drain closes connections after their answers, and has only requests taken that are
-// expected to end before cutAt.
-func (s *Server) Drain(cutAt time.Time) { s.drain.Store(&policy.Drain{AbortAt: cutAt}) }
+// Drain closes connections after their current answers, and refuses requests that are not expected
+// to finish before abortAt.
+func (s *Server) Drain(abortAt time.Time) { s.drain.Store(&policy.Drain{AbortAt: abortAt}) }
 
 // Ending reports whether Shutdown has begun.
-func (s *Server) Ending() bool { return s.ending.Load() }
+func (s *Server) Ending() bool { return s.shuttingDown.Load() }
 
 // Connections returns the number of callers' connections.
 func (s *Server) Connections() int { return int(s.connections.Load()) }
@@ -176,37 +173,36 @@
 // Open returns the number of requests that are being served.
 func (s *Server) Open() int { return s.open.count() }
 
-// Shutdown stops accepting and waits for the open requests, until ctx ends. A request
-// that still comes on a kept connection is refused: the time that is left may not do
-// for it, and another instance takes it at once. Taken, it could be cut at ctx's end,
-// and its caller would not learn whether it has run.
+// Shutdown stops accepting connections and waits for the open requests until ctx is done. A request
+// that arrives on a persistent connection is refused, so that another instance serves it at once:
+// here it might be aborted when ctx is done, and its caller would not learn whether it has run.
 //
-// What is open when ctx ends is cut, and its callers and the log are told, for lastWords
-// at the most.
+// Requests that are open when ctx is done are aborted. Their answers and log lines are written for
+// at most abortFlushTimeout.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.ending.Store(true)
+	s.shuttingDown.Store(true)
 	err := s.http.ShutdownWithContext(ctx)
 	if err == nil {
 		return nil
 	}
-	cut := s.open.cancelAll(errCut)
-	s.awaitLastWords()
+	aborted := s.open.cancelAll(errAborted)
+	s.awaitAbortedAnswers()
 	return fault.Wrap(err, fault.Unavailable, "give the process more time to end",
-		"%d requests were open when the time to drain was over, %d could not be told", cut, s.Open())
+		"%d requests were open when the time to drain was over, %d could not be told", aborted, s.Open())
 }
 
 const (
-	// lastWords bounds how long answers that were cut are written.
-	lastWords = 200 * time.Millisecond
-	// lastWordsLook is the time between two looks at whether they are.
-	lastWordsLook = 5 * time.Millisecond
+	// abortFlushTimeout bounds the time for writing the answers of aborted requests.
+	abortFlushTimeout = 200 * time.Millisecond
+	// abortFlushPoll is the polling interval of awaitAbortedAnswers.
+	abortFlushPoll = 5 * time.Millisecond
 )
 
-// awaitLastWords waits until the answers to requests that were cut are written, each of
-// which closes its connection.
-func (s *Server) awaitLastWords() {
-	for until := time.Now().Add(lastWords); s.Connections() > 0 && time.Now().Before(until); {
-		time.Sleep(lastWordsLook)
+// awaitAbortedAnswers waits until the answers to aborted requests are written, each of which closes
+// its connection.
+func (s *Server) awaitAbortedAnswers() {
+	for until := time.Now().Add(abortFlushTimeout); s.Connections() > 0 && time.Now().Before(until); {
+		time.Sleep(abortFlushPoll)
 	}
 }
 
@@ -219,19 +215,19 @@
 	s.open.add(r)
 	r.serve()
 	if s.drain.Load() != nil {
-		// Drain may have come while the request was served.
+		// Drain may have been called while the request was served.
 		ctx.SetConnectionClose()
 	}
 }
 
-// quietLogger counts what the HTTP library would write a line about: broken and
-// badly spoken connections, of which there may be many.
-type quietLogger struct{}
+// countingLogger counts the connection and protocol errors for which the HTTP library would log a
+// line each, since there may be many.
+type countingLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quietLogger) Printf(string, ...any) { badConnections.Inc() }
+func (countingLogger) Printf(string, ...any) { badConnections.Inc() }
 
-// writeRefusal answers with the router's own word.
+// writeRefusal writes an answer of the gateway's own.
 func writeRefusal(ctx *fasthttp.RequestCtx, r refusal) {
 	ctx.Response.SetStatusCode(r.status)
 	ctx.Response.Header.SetContentType("application/json")
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -12,35 +12,35 @@
 	"github.com/sardinedock/sardinedock/fault"
 )
 
-// maxEventBytes bounds one event, so that an endpoint gone wrong cannot make
-// the router hold an endless one.
+// maxEventBytes bounds one event, so that a faulty endpoint can't make the gateway buffer an
+// endless one.
 const maxEventBytes = 1 << 20
 
-// eventStream is the body of a caller's answer: whole events as they come from
-// the endpoint, each once and in order, whichever endpoints make them. The HTTP
-// server reads it and closes it at the end.
+// eventStream is the body of a caller's answer: complete events as they arrive from the endpoint,
+// each once and in order, even if the stream is resumed at another endpoint. The HTTP server reads
+// it and closes it at the end.
 type eventStream struct {
 	req     *request
 	attempt *attempt
 	reader  *bufio.Reader
-	// pending is what Read has still to hand out of the event read last.
+	// pending is the part of the last event that Read has not returned yet.
 	pending []byte
-	// lastID is the id of the last event that was read whole.
+	// lastID is the ID of the last event that was read to its end.
 	lastID  []byte
 	events  int
 	resumes int
 	err     error
 }
 
-// beginStream waits for the first event before the caller's answer begins, so
-// that an endpoint that dies before it can still be replaced or reported.
+// beginStream waits for the first event before the caller's answer begins, so that an endpoint that
+// fails before it can still be replaced or the failure be reported by status.
 func (r *request) beginStream(a *attempt) (*eventStream, bool) {
-	s := &eventStream{req: r, attempt: a, reader: bufio.NewReader(a.in.Body())}
+	s := &eventStream{req: r, attempt: a, reader: bufio.NewReader(a.resp.Body())}
 	err := s.next()
 	if err != nil && !errors.Is(err, io.EOF) {
-		a.broke()
-		again := r.sendFailed(outcomeBroken, err)
-		return nil, again
+		a.endBroken()
+		retry := r.handleSendFailure(outcomeBroken, err)
+		return nil, retry
 	}
 	if err != nil {
 		s.err = err
@@ -51,15 +51,15 @@
 	return s, false
 }
 
-// Read implements io.Reader. Any error but io.EOF makes the HTTP server break
-// the connection, so that an answer cut short does not look complete.
+// Read implements io.Reader. Any error but io.EOF makes the HTTP server close the connection
+// without ending the body, so that a truncated answer does not look complete.
 func (s *eventStream) Read(p []byte) (int, error) {
 	for len(s.pending) == 0 {
 		if s.err != nil {
 			return 0, s.err
 		}
 		if err := s.next(); err != nil {
-			s.err = s.recover(err)
+			s.err = s.resumeOrEnd(err)
 		}
 	}
 	n := copy(p, s.pending)
@@ -67,7 +67,7 @@
 	return n, nil
 }
 
-// next reads the next whole event into pending.
+// next reads the next complete event into pending.
 func (s *eventStream) next() error {
 	s.pending = s.pending[:0]
 	var event []byte
@@ -82,7 +82,7 @@
 			continue
 		}
 		if err != nil {
-			return s.cut(err, event)
+			return s.endRead(err, event)
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
@@ -96,18 +96,18 @@
 		s.lastID = id
 	}
 	s.pending = event
-	s.req.srv.silence.heard(s.attempt.place.Endpoint.ID, time.Now())
+	s.req.srv.activity.received(s.attempt.place.Endpoint.ID, time.Now())
 	if s.events++; s.events == 1 {
-		s.req.first = time.Since(s.req.began)
-		s.attempt.moved(balance.Answering)
+		s.req.firstEvent = time.Since(s.req.began)
+		s.attempt.reportStage(balance.Answering)
 	}
 	return nil
 }
 
-// cut ends the stream. What came of an event that did not end is passed on only
-// if the endpoint ended its answer there; half an event of a broken answer would
-// be joined with the next one after a resumption.
-func (s *eventStream) cut(err error, rest []byte) error {
+// endRead handles a read error. The bytes of an incomplete event are passed on only if the endpoint
+// ended its answer there; part of an event of a broken answer would be joined with the next event
+// after a resumption.
+func (s *eventStream) endRead(err error, rest []byte) error {
 	if !errors.Is(err, io.EOF) {
 		return err
 	}
@@ -115,16 +115,17 @@
 	return io.EOF
 }
 
-// recover decides how a stream ends, or goes on with it at another endpoint.
-func (s *eventStream) recover(err error) error {
+// resumeOrEnd handles the end of an endpoint's stream. It returns nil if the stream was resumed at
+// another endpoint, otherwise the error with which it ends.
+func (s *eventStream) resumeOrEnd(err error) error {
 	r := s.req
 	if errors.Is(err, io.EOF) {
 		s.attempt.finish(balance.Done)
 		return io.EOF
 	}
-	s.attempt.broke()
+	s.attempt.endBroken()
 	r.failedWith(err)
-	for r.route.Resumable && len(s.lastID) > 0 && s.resumes < maxResumes && r.mayTryAgain(outcomeBroken) {
+	for r.route.Resumable && len(s.lastID) > 0 && s.resumes < maxResumes && r.mayRetry(outcomeBroken) {
 		s.resumes++
 		if s.resume() == nil {
 			return nil
@@ -133,11 +134,10 @@
 	return r.lastErr
 }
 
-// maxResumes bounds how often one stream goes on elsewhere.
+// maxResumes bounds how often one stream is resumed.
 const maxResumes = 3
 
-// resume sends the request to another endpoint, which goes on after the last
-// event.
+// resume sends the request to another endpoint, which continues after the last event.
 func (s *eventStream) resume() error {
 	r := s.req
 	r.exclude = append(r.exclude, s.attempt.place.Endpoint.ID)
@@ -166,29 +166,28 @@
 	}
 	r.ran++
 	s.attempt = a
-	s.reader.Reset(a.in.Body())
+	s.reader.Reset(a.resp.Body())
 	return nil
 }
 
-// Close implements io.Closer. The HTTP server calls it when the answer is
-// written, or can't be.
+// Close implements io.Closer. The HTTP server calls it when the answer is written, or can't be.
 func (s *eventStream) Close() error {
 	r := s.req
 	switch {
 	case errors.Is(s.err, io.EOF) && len(s.pending) == 0:
 		s.attempt.finish(balance.Done)
 	default:
-		// The caller left, or its time is over: the endpoint is told to stop by
-		// the end of the connection.
+		// The caller disconnected, its time is over, or the stream broke. Closing the connection
+		// makes the endpoint stop.
 		s.attempt.finish(balance.Abandoned)
 	}
 	status := s.attempt.head.Status
-	switch cause := context.Cause(r.life); {
-	case errors.Is(cause, errCallerGone):
-		status, r.lastErr = statusCallerGone, cause
+	switch cause := context.Cause(r.reqCtx); {
+	case errors.Is(cause, errCallerDisconnected):
+		status, r.lastErr = statusCallerDisconnected, cause
 	case !errors.Is(s.err, io.EOF):
-		status = statusCut
-		if r.lastErr == nil || errors.Is(cause, errCut) {
+		status = statusStreamBroken
+		if r.lastErr == nil || errors.Is(cause, errAborted) {
 			r.lastErr = cause
 		}
 	}
@@ -197,5 +196,5 @@
 	return nil
 }
 
-// statusCut is what logs and metrics show of a stream that broke off.
-const statusCut = 598
+// statusStreamBroken is the status in logs and metrics of a stream that broke off.
+const statusStreamBroken = 598
