--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -26,9 +26,9 @@
 	ended  bool
 	// unsent is set if no connection could be made, so that no byte reached the endpoint.
 	unsent bool
-	// ctx is done when the request's reqCtx is, or when the endpoint is found to be unresponsive or
-	// restarted.
-	ctx    context.Context
+	// reqCtx is derived from the request's and also cancelled when the endpoint is found to be
+	// unresponsive or restarted.
+	reqCtx context.Context
 	cancel context.CancelCauseFunc
 }
 
@@ -64,7 +64,7 @@
 // of the last event that the caller has received, for a stream that is resumed.
 func (r *request) send(p balance.Placement, resumeAfter string) (*attempt, outcome, error) {
 	a := &attempt{req: r, run: r.run, place: p}
-	a.ctx, a.cancel = context.WithCancelCause(r.reqCtx)
+	a.reqCtx, a.cancel = context.WithCancelCause(r.reqCtx)
 	r.last = p
 	r.sends++
 	now := time.Now()
@@ -75,7 +75,7 @@
 	r.srv.activity.begin(a, now)
 	body := r.ctx.Request.Body()
 	head := r.srv.cfg.Dialect.AppendHead(nil, &r.ctx.Request.Header, r.outgoing(p, len(body), resumeAfter))
-	resp, err := r.srv.cfg.Relay(p.Endpoint.Address).Open(a.ctx, endpoint.Outgoing{
+	resp, err := r.srv.cfg.Relay(p.Endpoint.Address).Open(a.reqCtx, endpoint.Outgoing{
 		Head: head, Body: body, Accept: a.acceptHead, Bodiless: r.ctx.IsHead(),
 	})
 	if err != nil {
@@ -162,7 +162,7 @@
 // openFailed ends an attempt that got no response head.
 func (a *attempt) openFailed(err error) outcome {
 	r := a.req
-	if a.ctx.Err() == nil && fault.Is(err, fault.Unavailable) {
+	if a.reqCtx.Err() == nil && fault.Is(err, fault.Unavailable) {
 		a.unsent = true
 		a.finish(balance.Unreachable)
 		r.broadcastAvoid(a.place.Endpoint.ID, unreachableAvoidance)
@@ -176,7 +176,7 @@
 // endpointUnresponsive reports whether the attempt was cancelled because the endpoint is
 // unresponsive. It is unknown whether the endpoint still runs the request.
 func (a *attempt) endpointUnresponsive() bool {
-	return errors.Is(context.Cause(a.ctx), errUnresponsive)
+	return errors.Is(context.Cause(a.reqCtx), errUnresponsive)
 }
 
 // unreachableAvoidance and crashAvoidance are how long all instances avoid an endpoint that one
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -156,9 +156,9 @@
 			r.deadline = r.patience
 		}
 	}
-	ctx, cancel := context.WithCancelCause(context.Background())
+	reqCtx, cancel := context.WithCancelCause(context.Background())
 	r.srv.open.started(r, cancel)
-	r.reqCtx, r.stop = context.WithDeadlineCause(ctx, r.deadline, errTimeout)
+	r.reqCtx, r.stop = context.WithDeadlineCause(reqCtx, r.deadline, errTimeout)
 	r.conn.watchClose(cancel)
 	r.srv.cfg.Budget.Accepted(r.began, r.service.Name)
 }
@@ -272,22 +272,22 @@
 		return
 	}
 	if fault.Is(err, fault.LimitExceeded) {
-		writeRefusal(r.ctx, refusal{status: fasthttp.StatusTooManyRequests, cause: err, retryAfter: r.retryAfter(fault.RetryAfter(err))})
+		writeRefusal(r.ctx, refusal{status: fasthttp.StatusTooManyRequests, cause: err, retryAfter: r.retryDelay(fault.RetryAfter(err))})
 		return
 	}
-	after := r.retryAfter(fault.RetryAfter(err))
+	after := r.retryDelay(fault.RetryAfter(err))
 	if errors.Is(err, errShuttingDown) {
 		after = r.shutdownRetryAfter(time.Now())
 	}
 	writeRefusal(r.ctx, refusal{status: fasthttp.StatusServiceUnavailable, cause: err, retryAfter: after})
 }
 
-// retryAfter returns when a refused caller should retry: soon enough to be served before its
+// retryDelay returns when a refused caller should retry: soon enough to be served before its
 // patience ends, and later the more time it has left. A spread by request ID keeps callers that were
 // refused together from returning together.
 //
 // behind is how far the endpoints are behind; 0 if unknown.
-func (r *request) retryAfter(behind time.Duration) time.Duration {
+func (r *request) retryDelay(behind time.Duration) time.Duration {
 	left := time.Until(r.patience)
 	spread := time.Duration(xxh3.HashString(r.call.ID) % uint64(retrySpread))
 	return max(min(max(behind, shortRetry)+spread, left/retryShare), minRetryAfter)
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -59,7 +59,7 @@
 			return 0, s.err
 		}
 		if err := s.next(); err != nil {
-			s.err = s.resumeOrEnd(err)
+			s.err = s.recover(err)
 		}
 	}
 	n := copy(p, s.pending)
@@ -115,9 +115,9 @@
 	return io.EOF
 }
 
-// resumeOrEnd handles the end of an endpoint's stream. It returns nil if the stream was resumed at
+// recover handles the end of an endpoint's stream. It returns nil if the stream was resumed at
 // another endpoint, otherwise the error with which it ends.
-func (s *eventStream) resumeOrEnd(err error) error {
+func (s *eventStream) recover(err error) error {
 	r := s.req
 	if errors.Is(err, io.EOF) {
 		s.attempt.finish(balance.Done)
--- a/hosted/caches.go
+++ b/hosted/caches.go
@@ -11,8 +11,8 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// ownedHolders returns the endpoints and stores whose cache this instance follows:
-// those for which it comes first among the schedulers, by a hash. Only schedulers have
+// ownedHolders returns the endpoints and cache stores whose cache events this instance follows:
+// those for which it ranks first among the schedulers by rendezvous hashing. Only schedulers need
 // to know what is cached where.
 func (i *Instance) ownedHolders() []cachefeed.Holder {
 	t := i.table.Load()
@@ -38,7 +38,7 @@
 	return owned
 }
 
-// owns reports whether this instance follows a holder.
+// owns reports whether this instance follows the cache events of a holder.
 func (i *Instance) owns(holder string, names []string) bool {
 	return rendezvous.First(holder, names) == i.settings.GetInstance()
 }
--- a/hosted/change_test.go
+++ b/hosted/change_test.go
@@ -19,7 +19,7 @@
 	return true
 }
 
-// An operator drops a key. An instance that misses the change goes on serving whom
+// An operator removes a key. An instance that misses the change would go on serving callers whom
 // the operator has locked out.
 func TestChangedRecordsAreInForceEverywhere(t *testing.T) {
 	f := newFixture(t, 3)
@@ -32,15 +32,15 @@
 		req := f.request("GET", "/stock/1", "")
 		req.URL.Host = f.callers[n]
 		if a := f.do(req); a.status != 401 {
-			t.Errorf("instance %d: status %d for a key that was dropped", n, a.status)
+			t.Errorf("instance %d: status %d for a removed key", n, a.status)
 		}
 	}
 }
 
-// Something between the instances and the store forgets all open connections. They
-// stay open and bring nothing, the watches too. A router that uses them again for
-// its reads misses a dropped key for seconds.
-func TestSilentConnectionsToTheStoreAreNotUsedAgain(t *testing.T) {
+// A device between the instances and the store loses its connection state: all open connections,
+// including the watches, stay open without any data. An instance that used them again for its reads
+// would miss a removed key for seconds.
+func TestUnresponsiveStoreConnectionsAreNotReused(t *testing.T) {
 	f := newFixture(t, 2)
 	f.endpoint("e1", "orders", ok)
 	f.serve(1, nil)
@@ -53,9 +53,9 @@
 	}
 }
 
-// Records come that lead a route to a service nobody declared. Taken as they are,
-// they would end the service for all; the ones before stay in force.
-func TestUnusableRecordsLeaveTheOldOnesInForce(t *testing.T) {
+// New records have a route to a service that is not declared. Applied as they are, they would stop
+// the service for all callers; the previous ones must stay in force.
+func TestInvalidRecordsLeaveThePreviousOnesInForce(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", ok)
 	f.serve(1, nil)
@@ -66,15 +66,14 @@
 	}
 }
 
-// An endpoint says that it leaves. Requests that are sent there afterwards die
-// with it.
+// An endpoint states that it is leaving. Requests sent there afterwards would fail when it exits.
 func TestLeavingEndpointGetsNoNewRequests(t *testing.T) {
 	f := newFixture(t, 2)
 	leaving := f.endpoint("e1", "orders", ok)
 	f.endpoint("e2", "orders", ok)
 	f.serve(2, nil)
 	f.store.Put("servers", "e1", leaving.Entry("orders", "draining", nil))
-	f.eventually("the leaving seen by all", func() bool {
+	f.eventually("the endpoint draining at all instances", func() bool {
 		for _, i := range f.instances {
 			for _, v := range i.state.Endpoints("orders", time.Now()) {
 				if v.ID == "e1" && !v.Draining {
@@ -91,12 +90,12 @@
 		}
 	}
 	if leaving.Served() != before {
-		t.Errorf("%d requests after it left", leaving.Served()-before)
+		t.Errorf("%d requests after it began to drain", leaving.Served()-before)
 	}
 }
 
-// The store drops its history and refuses all calls for a while. Changes made then
-// have to be found when it is back, and requests served all the while.
+// The store refuses all calls for a while and loses its history. Requests must be served during the
+// outage, and changes made in it must be found afterwards.
 func TestChangesDuringAnOutageAreFoundAfterIt(t *testing.T) {
 	f := newFixture(t, 2)
 	f.endpoint("e1", "orders", ok)
@@ -111,9 +110,9 @@
 	f.serve(2, nil)
 }
 
-// Two instances share what they know: a confirmation that one of them sends is
-// counted by the other, so that both do not send to the same endpoint.
-func TestInstancesKnowEachOthersRequests(t *testing.T) {
+// A request that one instance sends must be counted by the other, so that both do not choose the
+// same endpoint.
+func TestInstancesCountEachOthersRequests(t *testing.T) {
 	f := newFixture(t, 2)
 	release := make(chan struct{})
 	var busy atomic.Int64
@@ -128,7 +127,7 @@
 	})
 	done := make(chan answer)
 	go func() { done <- f.do(f.request("POST", "/confirm/1", "x")) }()
-	f.eventually("the request known at the other instance", func() bool {
+	f.eventually("the request counted at the other instance", func() bool {
 		list := f.instances[1].state.Endpoints("orders", time.Now())
 		return len(list) == 1 && list[0].Running == 1
 	})
@@ -136,14 +135,14 @@
 	if a := <-done; a.status != 200 {
 		t.Errorf("status %d", a.status)
 	}
-	f.eventually("its end known too", func() bool {
+	f.eventually("its end known at the other instance", func() bool {
 		return f.instances[1].state.Endpoints("orders", time.Now())[0].Running == 0
 	})
 }
 
-// An instance is told to end while it answers a stream and callers still come. The
-// stream is finished, and who comes before the balancer has noticed is served.
-func TestShutdownCutsNobody(t *testing.T) {
+// An instance shuts down while it answers a stream and callers still arrive. The stream must be
+// finished, and requests that arrive before the load balancer has noticed must be served.
+func TestShutdownAbortsNoRequest(t *testing.T) {
 	f := newFixture(t, 1)
 	started, release := make(chan struct{}), make(chan struct{})
 	f.endpoint("e1", "pool", func(x *platformtest.Exchange) bool {
@@ -166,23 +165,23 @@
 	}()
 	f.eventually("not ready", func() bool { return f.readyStatus(0) == 503 })
 	if a := f.do(f.request("GET", "/stock/1", "")); a.status != 200 {
-		t.Errorf("status %d for a request that came while the instance ends", a.status)
+		t.Errorf("status %d for a request during the shutdown", a.status)
 	}
 	close(release)
-	if a := <-done; a.cut || a.body != events(2) {
+	if a := <-done; a.broken || a.body != events(2) {
 		t.Errorf("stream %+v", a)
 	}
 	select {
 	case <-ended:
 	case <-time.After(2 * wait):
-		t.Error("the instance does not end")
+		t.Error("Shutdown does not return")
 	}
 }
 
-// Something between a fleet and the store forgets all open connections, and the
-// watches of all instances hear nothing from then on. An endpoint leaves. Requests that
-// are sent to it for as many seconds as there are instances die with it.
-func TestLeavingIsSeenThoughAllWatchesAreDeaf(t *testing.T) {
+// A device between a fleet and the store loses its connection state, and the watches of all
+// instances receive nothing from then on. An endpoint leaves. Its state must be found within a
+// bound that does not grow with the number of instances, since requests sent to it meanwhile fail.
+func TestLeavingEndpointIsFoundWhenAllWatchesAreStalled(t *testing.T) {
 	const instances, bound = 5, 1700 * time.Millisecond
 	f := newFixture(t, instances)
 	leaving := f.endpoint("e1", "orders", ok)
@@ -201,7 +200,7 @@
 		f.store.SilenceOpen()
 		f.store.Put("servers", "e1", leaving.Entry("orders", state, nil))
 		from := time.Now()
-		f.eventually("the endpoint's state seen by all", func() bool {
+		f.eventually("the endpoint's state known to all", func() bool {
 			for _, i := range f.instances {
 				for _, v := range i.state.Endpoints("orders", time.Now()) {
 					if v.ID == "e1" && v.Draining != (state == "draining") {
@@ -212,7 +211,7 @@
 			return true
 		})
 		if took := time.Since(from); took > bound {
-			t.Errorf("%s seen by all after %v", state, took)
+			t.Errorf("%s known to all after %v", state, took)
 		}
 	}
 }
--- a/hosted/closing_bench_test.go
+++ b/hosted/closing_bench_test.go
@@ -9,24 +9,24 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// BenchmarkClosing measures how long an instance takes from the moment at which open
-// requests are cut until it has told all their callers, as ms/closing: what has to be kept
-// of the time to end.
+// BenchmarkClosing measures, as ms/closing, how long an instance takes after it aborts open
+// requests until it has answered all their callers. This time has to be reserved at the end of the
+// grace period.
 func BenchmarkClosing(b *testing.B) {
 	for _, open := range []int{0, 10, 1000} {
 		b.Run(fmt.Sprintf("open=%d", open), func(b *testing.B) {
 			var took time.Duration
 			for range b.N {
-				took += closing(b, open)
+				took += measureShutdown(b, open)
 			}
 			b.ReportMetric(float64(took.Milliseconds())/float64(b.N), "ms/closing")
 		})
 	}
 }
 
-// closing ends an instance with so many requests open, and returns how long it took after
-// these were cut.
-func closing(tb testing.TB, open int) time.Duration {
+// measureShutdown shuts an instance down with the given number of open requests, and returns the
+// time from their abort to its end.
+func measureShutdown(tb testing.TB, open int) time.Duration {
 	f := newFixture(tb, 1)
 	defer f.instances[0].Kill()
 	release := make(chan struct{})
@@ -46,7 +46,7 @@
 	began := time.Now()
 	i.Shutdown()
 	if open == 0 {
-		return time.Since(began) - i.listensOn()
+		return time.Since(began) - i.acceptPeriod()
 	}
-	return time.Since(began) - (i.grace() - endRoom)
+	return time.Since(began) - (i.grace() - shutdownMargin)
 }
--- a/hosted/decoded.go
+++ b/hosted/decoded.go
@@ -9,16 +9,16 @@
 	"github.com/sardinedock/sardinedock/objectapi"
 )
 
-// decoded keeps what objects of one kind say, by name. Only the follower of the kind
-// may use it.
+// decoded holds the decoded objects of one kind by name. It is not safe for concurrent use; only
+// the follower of the kind uses it.
 type decoded[T any] struct {
 	byName map[string]T
 }
 
-// take decodes one changed object. ok is false where it says nothing that can be used:
-// it is gone, or is not understood, which is told in a line. What it said before does
-// not hold any more in either case.
-func (d *decoded[T]) take(obj objectapi.Object, decode func(objectapi.Object) (T, error)) (value T, ok bool) {
+// apply decodes one changed object and replaces the previous value of its name. ok is false if the
+// object was deleted or can't be decoded, which is logged. The previous value is dropped in either
+// case.
+func (d *decoded[T]) apply(obj objectapi.Object, decode func(objectapi.Object) (T, error)) (value T, ok bool) {
 	delete(d.byName, obj.Name)
 	if obj.Deleted {
 		return value, false
@@ -36,5 +36,5 @@
 	return value, true
 }
 
-// all returns what all objects say that are understood.
+// all returns the values of all objects that could be decoded.
 func (d *decoded[T]) all() []T { return slices.Collect(maps.Values(d.byName)) }
--- a/hosted/drain_test.go
+++ b/hosted/drain_test.go
@@ -16,12 +16,11 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// An instance is told to end, and a request on a slow link comes in two halves: the
-// second one only when the balancer sends nothing here any more. The time that the
-// instance has left does not suffice for it. Taken all the same, it is cut in the
-// middle, and its caller does not learn whether it has run; it has to be told that it
-// has not, so that another instance can take it at once.
-func TestEndingInstanceTakesNoMoreRequests(t *testing.T) {
+// An instance shuts down while a request on a slow link is half received; the second half arrives
+// after the listener is closed. The remaining time does not suffice for the request. If it were
+// accepted, it would be aborted half-way and its caller would not learn whether it has run; it must
+// be refused as not run, so that another instance serves it at once.
+func TestRequestAfterTheListenerClosedIsRefused(t *testing.T) {
 	f := newFixture(t, 1)
 	release := make(chan struct{})
 	t.Cleanup(func() { close(release) })
@@ -58,7 +57,7 @@
 	}
 	_ = answer.Body.Close()
 	if answer.StatusCode != http.StatusServiceUnavailable || answer.Header.Get("Retry-After") == "" || !answer.Close {
-		t.Errorf("status %d, Retry-After %q, last on its connection %v; want a refusal that says when to return",
+		t.Errorf("status %d, Retry-After %q, Connection: close %v; want a refusal with Retry-After",
 			answer.StatusCode, answer.Header.Get("Retry-After"), answer.Close)
 	}
 	if n := reached.Load(); n != 0 {
@@ -67,22 +66,21 @@
 	select {
 	case <-ended:
 	case <-time.After(wait):
-		t.Error("the instance does not end")
+		t.Error("Shutdown does not return")
 	}
 }
 
-// An instance is told to end while its callers go on over open connections. A request
-// that comes then gets a long answer, which is cut in the middle when the time to end is
-// over: it has run, and its caller can't tell. The log of the instance shows `stopping`,
-// and a second or two later `requests cut at the end of the grace`. It has to be refused
-// at once, as not run, so that another instance takes it; a short one still fits and is
-// served.
-func TestEndingInstanceTakesOnlyWhatItCanEnd(t *testing.T) {
+// An instance shuts down while its callers go on using open connections. If a request with a long
+// answer were accepted then, it would be aborted at the end of the grace period after it has run,
+// and its caller could not tell; the log would show `stopping`, and a second or two later `requests
+// cut at the end of the grace`. It must be refused at once as not run, so that another instance
+// serves it. A short one still fits and is served.
+func TestDrainingInstanceAcceptsOnlyRequestsThatFit(t *testing.T) {
 	const (
-		// sentAfter the order to end, while the balancer still sends callers here.
+		// sentAfter the start of the shutdown, while the load balancer still sends callers here.
 		sentAfter = 1300 * time.Millisecond
-		// takes longer than what is left of the grace of 4 s, and less than the
-		// route's timeout.
+		// takes longer than what remains of the grace period of 4 s, and less than the route's
+		// timeout.
 		takes = 2700 * time.Millisecond
 	)
 	f := newFixture(t, 1)
@@ -101,20 +99,20 @@
 	go f.instances[0].Shutdown()
 	time.Sleep(sentAfter)
 	a := f.do(prompt(f.request("POST", "/draft/1", "p")))
-	if a.cut || a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || ran.Load() != 0 {
-		t.Errorf("long answer: cut %v, status %d, Retry-After %q, ran %d times; want a refusal that says when to return",
-			a.cut, a.status, a.header.Get("Retry-After"), ran.Load())
+	if a.broken || a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || ran.Load() != 0 {
+		t.Errorf("long answer: broken %v, status %d, Retry-After %q, ran %d times; want a refusal with Retry-After",
+			a.broken, a.status, a.header.Get("Retry-After"), ran.Load())
 	}
 	if a := f.do(f.request("POST", "/confirm/1", "x")); a.status != http.StatusOK {
 		t.Errorf("short answer: %+v, want it served", a)
 	}
 }
 
-// All instances are told to end at once, as when a rollout of the fleet goes too fast. A
-// caller that is turned away by one and sent on at once meets the next one that ends, and
-// has used up its tries while none takes anything. It has to be told when one is back; with
-// one that stays, it has to come back at once.
-func TestRefusedAtTheEndComeBackWhenSomebodyTakesThem(t *testing.T) {
+// All instances shut down at once, as in a rollout of the fleet that is too fast. A caller that is
+// refused by one and retries at once reaches the next one that is shutting down, and has used up
+// its retries while none accepts requests. It must be told to retry when one is back, or at once if
+// another instance is not shutting down.
+func TestRetryAfterDuringShutdownDependsOnOtherInstances(t *testing.T) {
 	const sentAfter = 1300 * time.Millisecond
 	retryAfter := func(ending int) time.Duration {
 		f := newFixture(t, 2)
@@ -136,16 +134,16 @@
 		return time.Duration(after * float64(time.Second))
 	}
 	if d := retryAfter(1); d > 50*time.Millisecond {
-		t.Errorf("come back in %v though another instance stays", d)
+		t.Errorf("Retry-After of %v though another instance stays", d)
 	}
 	if d := retryAfter(2); d < 500*time.Millisecond || d > time.Second {
-		t.Errorf("come back in %v, want to wait for the first that is back within a third of the patience of 3s", d)
+		t.Errorf("Retry-After of %v, want the time until the first is back, within a third of the patience of 3s", d)
 	}
 }
 
-// A request waits for an endpoint when the instance is told to end. Kept waiting, it is sent
-// when hardly any time is left, or it is turned away seconds later; its caller could have
-// been served by another instance meanwhile.
+// A request waits for an endpoint when the instance shuts down. If it went on waiting, it would be
+// sent when hardly any time is left, or be refused seconds later, while another instance could have
+// served it.
 func TestWaitingRequestIsRefusedOnceItDoesNotFit(t *testing.T) {
 	f := newFixture(t, 1)
 	f.serve(0, func(r map[string]any) { r["routes"].([]any)[1].(map[string]any)["timeoutMs"] = 20000 })
@@ -155,20 +153,20 @@
 	go func() { answers <- f.do(req) }()
 	f.eventually("the request waits", func() bool { return f.instances[0].server.Open() == 1 })
 	go f.instances[0].Shutdown()
-	// Without the end it would wait for a third of its time.
+	// Without the shutdown it would wait for a third of its time.
 	const soon = 2 * time.Second
 	select {
 	case a := <-answers:
 		if a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" {
-			t.Errorf("%+v, want a refusal that says when to return", a)
+			t.Errorf("%+v, want a refusal with Retry-After", a)
 		}
 	case <-time.After(soon):
-		t.Errorf("still waiting %v after the order to end", soon)
+		t.Errorf("still waiting %v after the start of the shutdown", soon)
 	}
 }
 
 // openRequest sends a request that its endpoint, e1, does not answer before the test ends. It
-// returns once the endpoint has it; the answer comes over the channel.
+// returns once the endpoint has received it; the answer is sent on the channel.
 func (f *fixture) openRequest() <-chan answer {
 	f.t.Helper()
 	release := make(chan struct{})
@@ -183,35 +181,35 @@
 	return answers
 }
 
-// The time to end is over and an answer is still under way. Its caller gets the word that
-// nothing is known of its request, in place of a connection that breaks; and on-call finds
-// a line with the request's id, its endpoint and why it ended so.
-func TestCutRequestsAreAnsweredAndLogged(t *testing.T) {
+// An answer is still open at the end of the grace period. Its caller must get a response stating
+// that the result is unknown instead of a broken connection, and on-call must find a log line with
+// the request's ID, its endpoint and the reason.
+func TestAbortedRequestsAreAnsweredAndLogged(t *testing.T) {
 	lines := logtest.Record(t)
 	f := newFixture(t, 1)
 	answers := f.openRequest()
 	f.instances[0].Shutdown()
 	select {
 	case a := <-answers:
-		if a.cut || a.status != http.StatusBadGateway {
-			t.Errorf("cut %v, status %d, want 502", a.cut, a.status)
+		if a.broken || a.status != http.StatusBadGateway {
+			t.Errorf("broken %v, status %d, want 502", a.broken, a.status)
 		}
 	case <-time.After(wait):
 		t.Error("no answer")
 	}
-	told := lines.Any("request", func(l log.Fields) bool {
+	logged := lines.Any("request", func(l log.Fields) bool {
 		return l["request"] == "id-1" && l["status"] == http.StatusBadGateway && l["endpoint"] == "e1" && l["why"] != nil
 	})
-	if !told {
-		t.Error("no line tells what became of the request")
+	if !logged {
+		t.Error("no log line with the request's ID, status, endpoint and reason")
 	}
 }
 
-// The time to end is over and one answer is still under way; the machine is busy, so that
-// its last word and its line come some ms late. The process ended before them: `requests cut
-// at the end of the grace`, then `stopped` at once. The caller's connection breaks without a
-// word, and no log has the request's id. With two answers under way it waited for the first.
-func TestInstanceEndsAfterTheLineOfItsOnlyCutRequest(t *testing.T) {
+// One answer is still open at the end of the grace period, and the machine is busy, so that the
+// final answer and its log line are some ms late. The process ended before them: `requests cut at
+// the end of the grace`, then `stopped` at once, a broken connection for the caller and no log line
+// with the request's ID. With two open answers it waited for the first.
+func TestShutdownWaitsForTheLogLineOfTheOnlyAbortedRequest(t *testing.T) {
 	const busy = 50 * time.Millisecond
 	lines := logtest.Record(t)
 	logtest.Handle(t, log.HandlerFunc(func(e *log.Entry) error {
@@ -223,9 +221,9 @@
 	f := newFixture(t, 1)
 	answers := f.openRequest()
 	f.instances[0].Shutdown()
-	told := lines.Any("request", func(l log.Fields) bool { return l["request"] == "id-1" })
-	if !told {
-		t.Error("the instance has ended, and no line has the request's id")
+	logged := lines.Any("request", func(l log.Fields) bool { return l["request"] == "id-1" })
+	if !logged {
+		t.Error("Shutdown returned, and no log line has the request's ID")
 	}
 	if n := f.instances[0].server.Connections(); n != 0 {
 		t.Errorf("%d connections at the end, want none", n)
--- a/hosted/dump.go
+++ b/hosted/dump.go
@@ -13,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/ratelimit"
 )
 
-// dump is the state of one process, on request.
+// dump is the answer to /debug/state: the state of one process.
 type dump struct {
 	Instance  string           `json:"instance"`
 	Ready     bool             `json:"ready"`
@@ -27,17 +27,18 @@
 	Weights   map[string]int64 `json:"weights_wanted"`
 	Follows   []followed       `json:"follows"`
 	Quotas    []quota.View     `json:"quotas"`
-	// Rates are the limits that endpoints name.
+	// Rates are the rate limits that endpoints state.
 	Rates     []ratelimit.View `json:"endpoint_rates"`
 	Endpoints []balance.View   `json:"endpoints"`
 }
 
-// followed is one kind of object that is followed.
+// followed is the state of the follower of one kind of object.
 type followed struct {
 	Kind      string `json:"kind"`
 	Revision  uint64 `json:"revision"`
 	Reachable bool   `json:"reachable"`
-	// Held is how many removed entries are still used, since they may have lapsed.
+	// Held counts removed entries that are still used, since they may have expired in an outage of
+	// the store.
 	Held int `json:"removals_held"`
 }
 
--- a/hosted/endpoints.go
+++ b/hosted/endpoints.go
@@ -12,92 +12,92 @@
 	"github.com/sardinedock/sardinedock/platform"
 )
 
-// entries are the endpoints' entries that can be used, and what was last known of each
-// name. The follower of the endpoints owns it.
+// entries holds the usable entries of endpoints and the newest known incarnation of each name. It
+// is not safe for concurrent use; only the follower of the endpoints uses it.
 type entries struct {
 	decoded[balance.Endpoint]
-	// last is the newest incarnation of each name that was listed, also of those that
-	// are gone: an older one may write its entry late.
-	last map[string]balance.Endpoint
+	// newest is the newest incarnation that was listed under each name, including removed ones,
+	// since an older incarnation may write its entry late.
+	newest map[string]balance.Endpoint
 }
 
-// maxRemembered bounds the names that are remembered; endpoints get new ones for ever.
+// maxRemembered bounds the size of newest, since new endpoints get new names without limit.
 const maxRemembered = 8192
 
-// update is what one change of an entry comes to.
+// update is the effect of one changed entry.
 type update struct {
-	// before and now are the incarnations listed; had and has say whether there are
-	// any.
-	before, now balance.Endpoint
-	had, has    bool
-	// cause is the changed entry.
+	// prev and now are the listed incarnations before and after the change; hadPrev and
+	// hasNow report whether there is one.
+	prev, now       balance.Endpoint
+	hadPrev, hasNow bool
+	// cause is the change of the entry.
 	cause directory.Change
 }
 
-// change takes in one changed entry.
+// applyChange applies one changed entry.
 //
-// Entries may come from other writers, in any order. One of an earlier incarnation
-// never replaces that of a later one: it was written late. One that has an incarnation
-// at another address or in another service than before is not its own word, and none
-// of both is used: a request would run at a service that it must not reach.
-func (l *entries) change(obj objectapi.Object) update {
+// Entries may come from different writers in any order. An entry of an earlier incarnation, written
+// late, never replaces that of a later one. An entry that gives the same incarnation another
+// address or service is contradictory, and neither of the two is used: a request could run at a
+// service that its route does not name.
+func (l *entries) applyChange(obj objectapi.Object) update {
 	u := update{}
-	u.before, u.had = l.byName[obj.Name]
-	now, ok := l.take(obj, platform.Endpoint)
+	u.prev, u.hadPrev = l.byName[obj.Name]
+	now, ok := l.apply(obj, platform.Endpoint)
 	if !ok {
 		return u
 	}
-	last := l.last[obj.Name]
+	newest := l.newest[obj.Name]
 	switch {
-	case now.Born < last.Born && now.Born > 0:
-		aboutEndpoint(now).WithField("started", now.Born).Info("entry of an earlier start left aside")
+	case now.Born < newest.Born && now.Born > 0:
+		endpointLog(now).WithField("started", now.Born).Info("entry of an earlier start left aside")
 		delete(l.byName, obj.Name)
-		if u.had {
-			l.byName[obj.Name] = u.before
+		if u.hadPrev {
+			l.byName[obj.Name] = u.prev
 		}
-		u.now, u.has = u.before, u.had
+		u.now, u.hasNow = u.prev, u.hadPrev
 		return u
-	case now.Born < last.Born || now.ID == last.ID && (now.Service != last.Service || now.Address != last.Address):
-		aboutEndpoint(now).WithField("revision", uint64(obj.Version)).Error("entry contradicts what the endpoint said before; it is left aside")
+	case now.Born < newest.Born || now.ID == newest.ID && (now.Service != newest.Service || now.Address != newest.Address):
+		endpointLog(now).WithField("revision", uint64(obj.Version)).Error("entry contradicts what the endpoint said before; it is left aside")
 		delete(l.byName, obj.Name)
 		return u
 	}
 	l.remember(obj.Name, now)
-	u.now, u.has = now, true
+	u.now, u.hasNow = now, true
 	return u
 }
 
 func (l *entries) remember(name string, e balance.Endpoint) {
-	if l.last == nil || len(l.last) >= maxRemembered {
-		l.last = make(map[string]balance.Endpoint, len(l.byName))
+	if l.newest == nil || len(l.newest) >= maxRemembered {
+		l.newest = make(map[string]balance.Endpoint, len(l.byName))
 		for name, listed := range l.byName {
-			l.last[name] = listed
+			l.newest[name] = listed
 		}
 	}
-	l.last[name] = e
+	l.newest[name] = e
 }
 
-// takeEndpoints takes in changed entries of endpoints.
-func (i *Instance) takeEndpoints(changes []directory.Change) {
+// applyEndpoints applies changed entries of endpoints.
+func (i *Instance) applyEndpoints(changes []directory.Change) {
 	for _, c := range changes {
-		u := i.entries.change(c.Object)
-		i.takeEndpoint(u)
+		u := i.entries.applyChange(c.Object)
+		i.applyEndpoint(u)
 		u.cause = c
-		i.changeLog.note(time.Now(), u)
+		i.changeLog.add(time.Now(), u)
 	}
-	i.endpoints.Store(true)
+	i.endpointsListed.Store(true)
 }
 
 const (
-	// detailedChanges is how many changes of endpoints have a line of their own in each
-	// changeWindow; the others are counted in one. Thousands may come together, such as
-	// at the start or after an outage.
+	// detailedChanges is how many changes of endpoints are logged individually in each
+	// changeWindow; the others are counted in one line. Thousands may come together, such as at the
+	// start or after an outage.
 	detailedChanges = 5
 	changeWindow    = time.Second
 )
 
-// changeLog tells of endpoints that came, left or went, in a bounded number of lines.
-// Any goroutine may use it.
+// changeLog logs added, draining, restarted and removed endpoints in a bounded number of lines. It
+// is safe for concurrent use.
 type changeLog struct {
 	mu       sync.Mutex
 	since    time.Time
@@ -105,8 +105,8 @@
 	counted  map[updateKind]int
 }
 
-// note tells of one change, or counts it.
-func (l *changeLog) note(now time.Time, u update) {
+// add logs one change, or counts it for the next summary line.
+func (l *changeLog) add(now time.Time, u update) {
 	kind := u.kind()
 	if kind == unchanged {
 		return
@@ -125,7 +125,7 @@
 	l.counted[kind]++
 }
 
-// flush begins a new window where the last one is over, and tells what it counted.
+// flush starts a new window if the last one is over, and logs the changes that it counted.
 func (l *changeLog) flush(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,71 +134,71 @@
 	}
 	if len(l.counted) > 0 {
 		log.WithFields(log.Fields{
-			"new": l.counted[added], "gone": l.counted[gone], "draining": l.counted[draining], "started_again": l.counted[restarted],
+			"new": l.counted[added], "gone": l.counted[removed], "draining": l.counted[draining], "started_again": l.counted[restarted],
 		}).Info("more endpoints changed")
 	}
 	l.since, l.detailed, l.counted = now, 0, nil
 }
 
-// updateKind is what a change of an entry means for requests.
+// updateKind classifies a change of an entry by its effect on requests.
 type updateKind int
 
 const (
 	unchanged updateKind = iota
 	added
-	gone
+	removed
 	draining
 	restarted
 )
 
 func (u update) kind() updateKind {
 	switch {
-	case u.had && !u.has:
-		return gone
-	case !u.has:
+	case u.hadPrev && !u.hasNow:
+		return removed
+	case !u.hasNow:
 		return unchanged
-	case !u.had:
+	case !u.hadPrev:
 		return added
-	case u.before.ID != u.now.ID:
+	case u.prev.ID != u.now.ID:
 		return restarted
-	case u.now.Draining && !u.before.Draining:
+	case u.now.Draining && !u.prev.Draining:
 		return draining
 	}
 	return unchanged
 }
 
-// log writes the line of a change. The revision and its source tell, from the logs of all
-// instances, when and how each of them has learned of it.
+// log logs one change. The revision and its source show, in the logs of all instances, when and how
+// each of them received it.
 func (u update) log() {
 	about := func(e balance.Endpoint) *log.Entry {
-		return aboutEndpoint(e).WithField("revision", uint64(u.cause.Version)).WithField("source", u.cause.Source)
+		return endpointLog(e).WithField("revision", uint64(u.cause.Version)).WithField("source", u.cause.Source)
 	}
 	switch u.kind() {
 	case added:
 		about(u.now).Info("endpoint listed")
-	case gone:
-		about(u.before).Info("endpoint gone from the list")
+	case removed:
+		about(u.prev).Info("endpoint no longer listed")
 	case draining:
-		about(u.now).Info("endpoint drains")
+		about(u.now).Info("endpoint is draining")
 	case restarted:
-		about(u.now).WithField("before", u.before.ID).Info("endpoint has started again")
+		about(u.now).WithField("before", u.prev.ID).Info("endpoint has started again")
 	}
 }
 
-// takeEndpoint applies one change.
-func (i *Instance) takeEndpoint(u update) {
-	if u.had && (!u.has || u.before.ID != u.now.ID) {
-		if u.has {
-			i.server.Ended(u.before.ID)
+// applyEndpoint applies one update to the state.
+func (i *Instance) applyEndpoint(u update) {
+	if u.hadPrev && (!u.hasNow || u.prev.ID != u.now.ID) {
+		if u.hasNow {
+			i.server.Ended(u.prev.ID)
 		}
-		i.state.RemoveEndpoint(u.before.ID)
-		i.relays.drop(u.before.Address)
+		i.state.RemoveEndpoint(u.prev.ID)
+		i.relays.drop(u.prev.Address)
 	}
-	if u.has {
+	if u.hasNow {
 		i.state.PutEndpoint(u.now)
 	}
 }
 
-func aboutEndpoint(e balance.Endpoint) *log.Entry {
+func endpointLog(e balance.Endpoint) *log.Entry {
 	return log.WithFields(log.Fields{"endpoint": e.ID, "address": e.Address, "service": e.Service})
 }
--- a/hosted/endpoints_test.go
+++ b/hosted/endpoints_test.go
@@ -13,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// entryOf is the entry of an endpoint that started at born.
+// entryOf returns the entry of an endpoint that started at born.
 func entryOf(t *testing.T, revision objectapi.Version, address, service string, born int64) objectapi.Object {
 	t.Helper()
 	entry := platformtest.EntryAt(address, service, "ready", nil)
@@ -27,50 +27,49 @@
 	return objectapi.Object{Name: "e", Version: revision, Value: value}
 }
 
-// An endpoint starts again under its name, and an entry of the start before is written
-// late. Taken for news, it would bring back counts and caches of a process that is
-// gone, and requests would be judged by them.
-func TestEntryOfAnEarlierStartReplacesNothing(t *testing.T) {
+// An endpoint restarts under its name, and an entry of its previous incarnation is written late. If
+// it were applied, requests would be placed by the counts and caches of a process that has ended.
+func TestEntryOfAnEarlierIncarnationIsIgnored(t *testing.T) {
 	var l entries
-	l.change(entryOf(t, 1, "10.0.0.1:80", "pool", 1000))
-	u := l.change(entryOf(t, 2, "10.0.0.1:80", "pool", 2000))
-	if !u.had || !u.has || u.before.ID == u.now.ID {
-		t.Fatalf("the later start gives %+v", u)
+	l.applyChange(entryOf(t, 1, "10.0.0.1:80", "pool", 1000))
+	u := l.applyChange(entryOf(t, 2, "10.0.0.1:80", "pool", 2000))
+	if !u.hadPrev || !u.hasNow || u.prev.ID == u.now.ID {
+		t.Fatalf("entry of the later incarnation: update %+v", u)
 	}
 	later := u.now.ID
-	if u := l.change(entryOf(t, 3, "10.0.0.1:80", "pool", 1000)); !u.has || u.now.ID != later {
-		t.Errorf("the late entry gives %+v", u)
+	if u := l.applyChange(entryOf(t, 3, "10.0.0.1:80", "pool", 1000)); !u.hasNow || u.now.ID != later {
+		t.Errorf("late entry of the earlier incarnation: update %+v", u)
 	}
 	if all := l.all(); len(all) != 1 || all[0].ID != later {
 		t.Errorf("listed: %+v", all)
 	}
-	if u := l.change(entryOf(t, 4, "10.0.0.1:80", "pool", 0)); u.has {
-		t.Errorf("an entry that does not say when its endpoint started gives %+v", u.now)
+	if u := l.applyChange(entryOf(t, 4, "10.0.0.1:80", "pool", 0)); u.hasNow {
+		t.Errorf("entry without a start time: update %+v", u.now)
 	}
-	if u := l.change(entryOf(t, 5, "10.0.0.1:80", "pool", 2000)); !u.has || u.now.ID != later {
-		t.Errorf("the endpoint's own entry after that gives %+v", u)
+	if u := l.applyChange(entryOf(t, 5, "10.0.0.1:80", "pool", 2000)); !u.hasNow || u.now.ID != later {
+		t.Errorf("endpoint's own entry afterwards: update %+v", u)
 	}
 }
 
-// Somebody writes an endpoint's entry with another service or another address. Sent
-// there all the same, a request runs at a service that its route does not name.
-func TestEntryThatContradictsItsEndpointIsLeftAside(t *testing.T) {
+// An endpoint's entry is overwritten with another service or another address. A request sent there
+// would run at a service that its route does not name.
+func TestContradictoryEntryIsNotUsed(t *testing.T) {
 	for _, other := range []objectapi.Object{entryOf(t, 2, "10.0.0.1:80", "orders", 1000), entryOf(t, 2, "10.0.0.9:80", "pool", 1000)} {
 		var l entries
-		l.change(entryOf(t, 1, "10.0.0.1:80", "pool", 1000))
-		if u := l.change(other); u.has || !u.had {
-			t.Errorf("%s gives %+v", other.Value, u)
+		l.applyChange(entryOf(t, 1, "10.0.0.1:80", "pool", 1000))
+		if u := l.applyChange(other); u.hasNow || !u.hadPrev {
+			t.Errorf("%s: update %+v", other.Value, u)
 		}
-		if u := l.change(entryOf(t, 3, "10.0.0.1:80", "pool", 1000)); !u.has {
-			t.Error("the endpoint's own entry after that is left aside")
+		if u := l.applyChange(entryOf(t, 3, "10.0.0.1:80", "pool", 1000)); !u.hasNow {
+			t.Error("the endpoint's own entry afterwards is not used")
 		}
 	}
 }
 
-// An endpoint loses its power and is back under its name within a second, before the
-// connections to it break. A booking that was running there is lost; its caller must
-// learn so at once, and not wait for an answer that cannot come. The next one is served.
-func TestRequestAtAnEarlierStartEndsWithIt(t *testing.T) {
+// An endpoint loses power and is back under its name within a second, before the connections to it
+// break. A booking that was running there is lost; its caller must get an error at once instead of
+// waiting for an answer that can't come. The next one is served.
+func TestRequestFailsWhenItsEndpointRestarts(t *testing.T) {
 	f := newFixture(t, 1)
 	var second atomic.Bool
 	release := make(chan struct{})
@@ -104,16 +103,16 @@
 	}
 }
 
-// A store that was away comes back, and all 140 endpoints of a pool are listed anew. With
-// a line for each at each of hundreds of instances, the lines that tell of callers'
-// requests are lost among them, or are not written for lack of time.
-func TestLinesOfManyChangesAreBounded(t *testing.T) {
+// After an outage of the store, all 140 endpoints of a pool are listed again. With a log line for
+// each at each of hundreds of instances, the lines of callers' requests would be lost among them,
+// or not be written in time.
+func TestLogLinesOfManyChangesAreBounded(t *testing.T) {
 	lines := logtest.Record(t)
 	var l changeLog
 	now := time.Unix(1000, 0)
 	const endpoints = 140
 	for n := range endpoints {
-		l.note(now.Add(time.Duration(n)*time.Millisecond), update{now: balance.Endpoint{ID: strconv.Itoa(n)}, has: true})
+		l.add(now.Add(time.Duration(n)*time.Millisecond), update{now: balance.Endpoint{ID: strconv.Itoa(n)}, hasNow: true})
 	}
 	l.flush(now.Add(2 * changeWindow))
 	all := lines.All()
--- a/hosted/fixture_test.go
+++ b/hosted/fixture_test.go
@@ -14,7 +14,7 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// fixture is a store, endpoints and instances on loopback.
+// fixture runs a store, endpoints and instances on loopback.
 type fixture struct {
 	t         testing.TB
 	store     *platformtest.Store
@@ -26,7 +26,7 @@
 	records   map[string]any
 	nextID    int
 	mu        sync.Mutex
-	// retrySlack is the fleet's budget of retries.
+	// retrySlack is the slack of the fleet's retry budget.
 	retrySlack float64
 }
 
@@ -43,7 +43,7 @@
 	return newFixtureWith(t, n, manyRetries)
 }
 
-// newFixtureWith is the same with another budget of retries.
+// newFixtureWith is newFixture with another retry budget.
 func newFixtureWith(t testing.TB, n int, retrySlack float64) *fixture {
 	t.Helper()
 	store, err := platformtest.NewStore()
@@ -60,7 +60,7 @@
 
 func (f *fixture) start(name string) *Instance {
 	f.t.Helper()
-	// A free port may be taken by another process before it is bound.
+	// Another process may bind the free port first.
 	const tries = 10
 	var i *Instance
 	var listen *settingspb.HostedListen
@@ -108,8 +108,7 @@
 	return e
 }
 
-// serve writes the records and waits until all instances have them and see n
-// endpoints.
+// serve writes the records and waits until all instances have loaded them and list n endpoints.
 func (f *fixture) serve(n int, change func(records map[string]any)) {
 	f.t.Helper()
 	f.version += 3
@@ -129,7 +128,7 @@
 	})
 }
 
-// eventually waits for something that takes a moment on a busy machine.
+// eventually polls ok until it returns true, and fails the test after wait.
 func (f *fixture) eventually(what string, ok func() bool) {
 	f.t.Helper()
 	for until := time.Now().Add(wait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
@@ -140,7 +139,7 @@
 	f.t.Fatalf("not within %v: %s", wait, what)
 }
 
-// request of a caller.
+// request returns a caller's request.
 func (f *fixture) request(method, path, body string) *http.Request {
 	f.t.Helper()
 	f.mu.Lock()
@@ -158,7 +157,7 @@
 	return req
 }
 
-// prompt makes a model request of it.
+// prompt turns req into a model request.
 func prompt(req *http.Request) *http.Request {
 	req.Header.Set("Sardinedock-Model", "m")
 	req.Header.Set("Sardinedock-Token-Usage", "1500,40")
@@ -166,20 +165,20 @@
 	return req
 }
 
-// answer is what a caller got.
+// answer is the response that a caller received.
 type answer struct {
 	status int
 	header http.Header
 	body   string
-	// cut says that the answer broke off.
-	cut bool
+	// broken is set if the connection broke before the end of the response.
+	broken bool
 }
 
 func (f *fixture) do(req *http.Request) answer {
 	f.t.Helper()
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return answer{cut: true}
+		return answer{broken: true}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
--- a/hosted/fleetcost_test.go
+++ b/hosted/fleetcost_test.go
@@ -20,13 +20,13 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// fleet is instances that decide and tell each other on loopback, without callers'
-// and endpoints' connections.
+// fleet is a set of instances that place requests and exchange messages on loopback, without the
+// connections of callers and endpoints.
 type fleet struct {
 	instances []*Instance
 	endpoints int
-	// words counts the words of runs that instances have heard.
-	words atomic.Int64
+	// messages counts the messages about runs that instances have received.
+	messages atomic.Int64
 }
 
 func newFleet(b *testing.B, instances, endpoints int) *fleet {
@@ -40,7 +40,7 @@
 		address := freeDatagramAddress(b)
 		dataCentre := fmt.Sprintf("dc-%d", k%3)
 		self := gossip.Peer{Name: fmt.Sprintf("instance-%d", k), Address: netip.MustParseAddrPort(address), DataCentre: dataCentre, LinkMbps: 10}
-		node, err := gossip.New(self, 1, fleetReceiver{i, &f.words})
+		node, err := gossip.New(self, 1, fleetReceiver{i, &f.messages})
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -78,19 +78,19 @@
 	return list
 }
 
-// fleetReceiver takes in what peers tell of runs.
+// fleetReceiver counts and handles peers' messages about runs.
 type fleetReceiver struct {
 	*Instance
-	words *atomic.Int64
+	messages *atomic.Int64
 }
 
 func (h fleetReceiver) Started(m *gossippb.RunStart) {
-	h.words.Add(1)
+	h.messages.Add(1)
 	receiver{h.Instance}.Started(m)
 }
 
 func (h fleetReceiver) Stage(m *gossippb.RunStage) {
-	h.words.Add(1)
+	h.messages.Add(1)
 	receiver{h.Instance}.Stage(m)
 }
 
@@ -105,7 +105,7 @@
 	return decisionMessage(q.Run, h.placer.decide(q))
 }
 
-// request decides on one request, tells of it and of its stages.
+// request places one request, and broadcasts its start and its stages.
 func (f *fleet) request(i *Instance, n int) {
 	ask := balance.Ask{
 		Service: "pool", Model: "model", Wall: "all", DataCentre: "dc-0", PromptTokens: 6000, OutputTokens: 40,
@@ -122,12 +122,11 @@
 	}
 }
 
-// BenchmarkFleet tells what one request costs a fleet, in processor time of all its
-// instances, at 5 requests a second an instance, and how many words of runs and how many
-// datagrams an instance hears a second. In a fleet of up to gossip.SmallFleet each
-// instance hears all words; beyond it, only schedulers do. With all words told to all,
-// 195 instances took 6,327 µs a request and heard 2,925 words a second each; 62 took
-// 3,837 µs.
+// BenchmarkFleet measures the cost of one request to a fleet in CPU time of all its instances, at 5
+// requests a second an instance, and the messages about runs and the datagrams that an instance
+// receives a second. In a fleet of up to gossip.SmallFleet each instance receives all messages;
+// beyond it, only schedulers do. With all messages sent to all, 195 instances took 6,327 µs a
+// request and received 2,925 messages a second each; 62 took 3,837 µs.
 func BenchmarkFleet(b *testing.B) {
 	for _, size := range []struct{ instances, endpoints int }{{8, 12}, {62, 144}, {195, 124}, {360, 240}} {
 		b.Run(fmt.Sprintf("instances=%d", size.instances), func(b *testing.B) {
@@ -135,7 +134,7 @@
 			time.Sleep(2 * time.Second)
 			const perInstance = 5
 			pause := time.Second / time.Duration(perInstance*size.instances)
-			before, from, words, datagrams := processorTime(), time.Now(), f.words.Load(), datagramsReceived()
+			before, from, messages, datagrams := processorTime(), time.Now(), f.messages.Load(), datagramsReceived()
 			n := 0
 			for b.Loop() {
 				go f.request(f.instances[n%size.instances], n)
@@ -147,19 +146,19 @@
 			perSecond := func(count float64) float64 {
 				return count / time.Since(from).Seconds() / float64(size.instances)
 			}
-			b.ReportMetric(perSecond(float64(f.words.Load()-words)), "words/s")
+			b.ReportMetric(perSecond(float64(f.messages.Load()-messages)), "messages/s")
 			b.ReportMetric(perSecond(datagramsReceived()-datagrams), "datagrams/s")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// datagramsReceived by all instances of this process.
+// datagramsReceived returns the number of datagrams received by all instances of this process.
 func datagramsReceived() float64 {
 	return float64(metrics.GetOrCreateCounter("sardinedock_gossip_datagrams_received_total").Get())
 }
 
-// processorTime used by this process.
+// processorTime returns the CPU time used by this process.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -1,7 +1,6 @@
-// Package hosted puts one instance on the users' platform together, from its
-// start to its shutdown: it follows the platform's store, tells and hears the
-// other instances, rolls out weights while it holds the lease, and serves
-// callers.
+// Package hosted assembles one instance on the users' platform and runs it from its start to its
+// shutdown: it follows the platform's store, exchanges messages with the other instances, rolls out
+// weights while it holds the lease, and serves callers.
 package hosted
 
 import (
@@ -33,33 +32,35 @@
 )
 
 const (
-	// headerBytes and bodyBytes bound what is read of a request whatever the
-	// records say: 32 KB and 4 MiB are what operators may set.
+	// headerBytes and bodyBytes bound the sizes of any request: 32 KB and 4 MiB are the most that
+	// operators may set in the records.
 	headerBytes = 32 << 10
 	bodyBytes   = 4 << 20
-	// checkEvery is the time between two reads of the records by the whole fleet,
-	// besides the watches; each instance takes its turn. A change that all
-	// watches miss is found within it.
-	checkEvery = 500 * time.Millisecond
-	// slowCheck is the same for endpoints and weights, whose bounds are wider.
-	slowCheck = time.Second
-	// watchers is how many schedulers watch the endpoints for all. With three, two
-	// may be killed or cut off at once, and changes are still heard.
+	// recordsReadInterval is the time between two reads of the records by the whole fleet, in
+	// addition to the watches; instances take turns. A change that all watches miss is found within
+	// it.
+	recordsReadInterval = 500 * time.Millisecond
+	// slowReadInterval is the same for endpoints and weights, whose bounds are wider.
+	slowReadInterval = time.Second
+	// watchers is how many schedulers watch the endpoints for the whole fleet. With three, changes
+	// still arrive if two are killed or cut off at once.
 	watchers = 3
-	// leaseName is the lease of the rollout.
+	// leaseName is the name of the rollout's lease.
 	leaseName = "weights"
-	// leaseCandidates is how many instances try for the lease. Two are enough
-	// for a holder to be replaced; each further one costs reads.
+	// leaseCandidates is how many instances try to acquire the lease. Two are enough to replace a
+	// holder; each further one costs reads.
 	leaseCandidates = 2
-	// callerUserTimeout is how long bytes to a caller may stay unconfirmed.
+	// callerUserTimeout is the TCP user timeout of callers' connections: how long sent bytes may
+	// stay unacknowledged.
 	callerUserTimeout = 10 * time.Second
-	// sweepEvery is how often runs that nobody ended are looked for.
-	sweepEvery = time.Second
+	// sweepInterval is the time between two sweeps of expired state, such as runs without a
+	// reported end.
+	sweepInterval = time.Second
 )
 
-// Instance is one running process.
+// Instance is one running instance.
 type Instance struct {
-	// settings of the start; bounds are those in force.
+	// settings are those of the start; bounds are those in force.
 	settings    *settingspb.Hosted
 	bounds      atomic.Pointer[settingspb.HostedBounds]
 	incarnation uint64
@@ -79,26 +80,26 @@
 	lease       *lease.Duty
 	server      *gateway.Server
 	cancel      context.CancelFunc
-	// entries and peers are what the store's objects say, owned by their followers.
+	// entries and peers are decoded from the store's objects; only their followers use them.
 	entries   entries
 	changeLog changeLog
 	peers     decoded[gossip.Peer]
-	// listedPeers is how many instances were listed last.
-	listedPeers int
-	endpoints   atomic.Bool
-	// unlisted asks join to register this instance again.
-	unlisted chan struct{}
-	// settled says that this instance knows enough of the others to watch for them.
+	// listedPeers is the number of instances in the last list.
+	listedPeers     int
+	endpointsListed atomic.Bool
+	// reregister makes join register this instance again.
+	reregister chan struct{}
+	// settled is set once this instance knows enough of the others to watch the store for them.
 	settled atomic.Bool
 	leaving atomic.Bool
-	// toldToEnd is when Shutdown began.
-	toldToEnd atomic.Pointer[time.Time]
-	killed    atomic.Bool
-	listeners []net.Listener
+	// shutdownAt is when Shutdown was called.
+	shutdownAt atomic.Pointer[time.Time]
+	killed     atomic.Bool
+	listeners  []net.Listener
 }
 
-// Start starts the instance. It returns once the addresses are bound; callers
-// are served as soon as records are known.
+// Start starts an instance. It returns once the addresses are bound; callers are served once
+// records are loaded.
 func Start(s *settingspb.Hosted) (*Instance, error) {
 	i := &Instance{
 		settings:    s,
@@ -108,7 +109,7 @@
 		relays:      newRelays(),
 		store:       platform.NewStore(s.GetStore()),
 	}
-	i.unlisted = make(chan struct{}, 1)
+	i.reregister = make(chan struct{}, 1)
 	i.quotas = quota.NewBook(time.Now(), s.GetInstance(), i.incarnation)
 	b := s.GetBounds()
 	i.bounds.Store(b)
@@ -126,16 +127,16 @@
 		Broadcaster: i.node, Placer: i.placer, Rates: i.rates, Peers: i, Dialect: platform.Dialect{}, Relay: i.relays.to,
 		Started: time.Now(), HeaderBytes: headerBytes, BodyBytes: bodyBytes,
 	})
-	i.run()
-	go func() { i.served("callers", i.server.Serve(callers)) }()
+	i.startTasks()
+	go func() { i.logServeError("callers", i.server.Serve(callers)) }()
 	ready := &fasthttp.Server{Handler: i.answerReady, NoDefaultServerHeader: true, NoDefaultDate: true}
-	go func() { i.served("ready", ready.Serve(readyAt)) }()
-	go func() { i.served("metrics", fasthttp.Serve(metricsAt, i.answerMetrics)) }()
+	go func() { i.logServeError("ready", ready.Serve(readyAt)) }()
+	go func() { i.logServeError("metrics", fasthttp.Serve(metricsAt, i.answerMetrics)) }()
 	log.WithField("data_centre", s.GetDataCentre()).WithField("callers", s.GetListen().GetCallers()).Info("started")
 	return i, nil
 }
 
-// bind takes all addresses, or none.
+// bind binds all addresses, or none if one fails.
 func (i *Instance) bind() error {
 	l := i.settings.GetListen()
 	for _, address := range []string{l.GetCallers(), l.GetReady(), l.GetMetrics()} {
@@ -177,14 +178,14 @@
 	return ln, fault.Wrap(err, fault.Unavailable, "free the port, or name another one", "listen on %s", address)
 }
 
-func (i *Instance) served(what string, err error) {
+func (i *Instance) logServeError(what string, err error) {
 	if err != nil && !i.leaving.Load() {
 		log.WithError(err).WithField("listener", what).Error("serving ended")
 	}
 }
 
-// run starts the duties.
-func (i *Instance) run() {
+// startTasks starts the background tasks.
+func (i *Instance) startTasks() {
 	ctx, cancel := context.WithCancel(context.Background())
 	i.cancel = cancel
 	i.lease = lease.NewDuty(lease.Config{
@@ -201,10 +202,10 @@
 		Apply: i.state.UpdateCache, Publish: i.reportCache, KnownParts: i.state.CachedParts,
 	})
 	i.followers = map[string]*directory.Follower{}
-	i.follow(platform.KindRecords, i.takeRecords)
-	i.follow(platform.KindEndpoints, i.takeEndpoints)
-	i.follow(platform.KindWeights, i.takeWeights)
-	i.follow(kindInstances, i.takeInstances)
+	i.follow(platform.KindRecords, i.applyRecords)
+	i.follow(platform.KindEndpoints, i.applyEndpoints)
+	i.follow(platform.KindWeights, i.applyWeights)
+	i.follow(kindInstances, i.applyInstances)
 	go i.node.Run(ctx)
 	for kind, f := range i.followers {
 		if kind != kindInstances {
@@ -221,43 +222,43 @@
 	i.lease.Start()
 }
 
-// follow sets up the follower of a kind; run starts it.
+// follow creates the follower of a kind; startTasks or join runs it.
 func (i *Instance) follow(kind string, changed func([]directory.Change)) {
 	cfg := directory.Config{
 		Store: i.store, Kind: kind, Changed: changed, PublishRevision: i.node.BroadcastRevision,
-		ReadInterval: readEvery(kind), ReadPosition: func() int { return i.standing().ReadPosition(kind) }, PublishRead: i.node.BroadcastRead,
+		ReadInterval: readInterval(kind), ReadPosition: func() int { return i.fleetView().ReadPosition(kind) }, PublishRead: i.node.BroadcastRead,
 	}
 	switch kind {
 	case platform.KindRecords:
-		// They have the tightest bound, change rarely and do not fit into datagrams.
-		// All schedulers watch them and tell the others that there are newer ones.
+		// Records have the tightest bound, change rarely and do not fit into datagrams. All
+		// schedulers watch them and notify the others of newer ones.
 		cfg.Watches = func() bool { return i.settled.Load() && i.node.IsScheduler() }
 	default:
-		// Each change costs each watch a call of the store; a few watch, and tell
-		// the others.
+		// Each change costs each watch a call to the store, so a few instances watch and notify the
+		// others.
 		cfg.Watches = func() bool { return i.watches(kind) }
 		cfg.PublishChange = i.broadcastEntry
 	}
 	if kind == platform.KindEndpoints {
 		cfg.ReachabilityChanged = i.node.ReportStore
-		cfg.MinExpiryOutage = lapseAfter(i.bounds.Load())
+		cfg.MinExpiryOutage = minExpiryOutage(i.bounds.Load())
 	}
 	i.followers[kind] = directory.NewFollower(cfg)
 }
 
-// readEvery is the time between two reads of a kind by the whole fleet.
-func readEvery(kind string) time.Duration {
+// readInterval returns the time between two reads of a kind by the whole fleet.
+func readInterval(kind string) time.Duration {
 	switch kind {
 	case platform.KindRecords:
-		return checkEvery
+		return recordsReadInterval
 	case kindInstances:
-		return instancesEvery
+		return instancesReadInterval
 	}
-	return slowCheck
+	return slowReadInterval
 }
 
 func (i *Instance) sweep(ctx context.Context) {
-	for clock.Sleep(ctx, sweepEvery) == nil {
+	for clock.Sleep(ctx, sweepInterval) == nil {
 		now := time.Now()
 		i.state.Sweep(now)
 		i.quotas.Sweep(now)
@@ -269,7 +270,7 @@
 
 // Ready reports whether callers should be sent here.
 func (i *Instance) Ready() bool {
-	return !i.leaving.Load() && i.table.Load() != nil && i.endpoints.Load()
+	return !i.leaving.Load() && i.table.Load() != nil && i.endpointsListed.Load()
 }
 
 func (i *Instance) answerReady(ctx *fasthttp.RequestCtx) {
--- a/hosted/linger_test.go
+++ b/hosted/linger_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Guards against a refusal that the caller never gets, since the connection is closed with
-// bytes of its request unread and the reset overtakes the answer.
+// A refusal must reach a caller that is still sending its request. If the connection were closed
+// with unread bytes, the reset would overtake the answer.
 func TestRefusalOfATooLongRequestReachesItsCaller(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", ok)
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A busy caller: the refusal is there before it has sent its whole request.
+		// A slow caller: the refusal arrives before it has sent the whole request.
 		for len(text) > 0 {
 			n := min(len(text), 50_000)
 			if _, err := conn.Write([]byte(text[:n])); err != nil {
--- a/hosted/logs_test.go
+++ b/hosted/logs_test.go
@@ -14,10 +14,10 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// Confirmations are turned away by a full endpoint, one after the other, until the
-// fleet has no retries left for them. An engineer who looks at the last one finds a
-// single send though other endpoints had room, and has to learn why from its line.
-func TestLineTellsWhyARequestWasNotSentAgain(t *testing.T) {
+// Full endpoints reject confirmations, one after the other, until the fleet's retry budget is used
+// up. The last one has a single send though other endpoints had room, and its log line has to state
+// why.
+func TestLogLineHasWhyARequestWasNotRetried(t *testing.T) {
 	lines := logtest.Record(t)
 	f := newFixtureWith(t, 1, 0)
 	full := func(x *platformtest.Exchange) bool { x.Reject(503); return true }
@@ -29,13 +29,13 @@
 		f.do(f.request("POST", "/confirm/1", "x"))
 	}
 	if !lines.Any("request", func(f log.Fields) bool { return f["retries"] == "used up" }) {
-		t.Errorf("no line of %d refused requests tells that the retries are used up", requests)
+		t.Errorf("no log line of %d refused requests states that the retries are used up", requests)
 	}
 }
 
-// A lookup breaks off at one endpoint and is rejected by the next. The rejection
-// alone, as the line's reason, would hide the crash that began it.
-func TestLineKeepsHowTheFirstSendFailed(t *testing.T) {
+// A lookup breaks off at one endpoint and is rejected by the next. The rejection alone, as the
+// logged reason, would hide the crash that came first.
+func TestLogLineHasTheFirstSendsFailure(t *testing.T) {
 	lines := logtest.Record(t)
 	f := newFixture(t, 1)
 	var sends atomic.Int64
@@ -53,14 +53,13 @@
 		t.Fatalf("status %d", a.status)
 	}
 	if !lines.Any("request", func(f log.Fields) bool { return f["first_why"] != nil && f["first_why"] != f["why"] }) {
-		t.Error("no line keeps how the first send failed")
+		t.Error("no log line has the failure of the first send")
 	}
 }
 
-// A caller is turned away by an instance that has just started and knows no records yet. The
-// line of that refusal had no id, so that on-call, who is told the request's id, found
-// nothing of it in any log.
-func TestRefusalBeforeTheRecordsHasTheRequestsID(t *testing.T) {
+// A caller is refused by an instance that has just started and has no records yet. The log line of
+// that refusal had no ID, so that on-call, who only has the request's ID, found nothing in any log.
+func TestRefusalBeforeTheFirstRecordsIsLoggedWithTheID(t *testing.T) {
 	lines := logtest.Record(t)
 	f := newFixture(t, 1)
 	if a := f.do(f.request("GET", "/stock/1", "")); a.status != http.StatusServiceUnavailable {
@@ -71,10 +70,10 @@
 	}
 }
 
-// A request on a kept connection comes when its instance has stopped listening, and is
-// refused. The line had no id, and what went wrong with its answer would have been told
-// under the id of the request before it.
-func TestRefusalAfterTheListenerHasClosedHasTheRequestsID(t *testing.T) {
+// A request on a persistent connection arrives after its instance has stopped listening, and is
+// refused. The log line had no ID, and a failure to write the answer would have been logged under
+// the previous request's ID.
+func TestRefusalAfterTheListenerClosedIsLoggedWithTheID(t *testing.T) {
 	lines := logtest.Record(t)
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool { x.Answer(200, "done"); return true })
@@ -89,7 +88,7 @@
 	reader := bufio.NewReader(conn)
 	read(t, reader)
 	_, _ = fmt.Fprintf(conn, head, deskHost, deskKey)
-	f.eventually("the first half is being read", func() bool { return f.instances[0].server.Connections() == 1 })
+	f.eventually("the connection of the first half counted", func() bool { return f.instances[0].server.Connections() == 1 })
 	go f.instances[0].Shutdown()
 	f.eventually("the listener closed", f.instances[0].server.Ending)
 	_, _ = fmt.Fprint(conn, "refused\r\n\r\nx")
@@ -101,7 +100,7 @@
 	}
 }
 
-// read reads one answer and returns its status.
+// read reads one response and returns its status.
 func read(t *testing.T, r *bufio.Reader) int {
 	t.Helper()
 	answer, err := http.ReadResponse(r, nil)
--- a/hosted/members.go
+++ b/hosted/members.go
@@ -16,59 +16,58 @@
 )
 
 const (
-	// kindInstances holds one object for each instance, by which they find each
-	// other.
+	// kindInstances is the kind of the objects, one for each instance, by which instances discover
+	// each other.
 	kindInstances = "instances"
-	// instancesEvery is the time between two reads of the instances by the whole
-	// fleet; a new one is also seen by the watches.
-	instancesEvery = 3 * time.Second
-	// registerRetry is the pause after a failed registration, registerTimeout
-	// the bound on one.
+	// instancesReadInterval is the time between two reads of the instances by the whole fleet; a
+	// new one is also reported by the watches.
+	instancesReadInterval = 3 * time.Second
+	// registerRetry is the delay after a failed registration, registerTimeout the timeout of one.
 	registerRetry   = 300 * time.Millisecond
 	registerTimeout = 3 * time.Second
-	// lostAfter is after how long without a message an instance's entry is removed, and
-	// lostEvery how often that is looked for.
-	lostAfter = 10 * time.Minute
-	lostEvery = time.Minute
+	// lostAfter is the time without a message after which an instance's entry is removed, and
+	// lostCheckInterval the time between two checks for such instances.
+	lostAfter         = 10 * time.Minute
+	lostCheckInterval = time.Minute
 )
 
-// member is what an instance says of itself in the store.
+// member is an instance's entry in the store.
 type member struct {
 	Gossip     string `json:"gossip"`
 	DataCentre string `json:"data_centre"`
-	// LinkMbps is the bandwidth of its network link; 0 where that is not known.
+	// LinkMbps is the bandwidth of its network link; 0 if unknown.
 	LinkMbps float64 `json:"link_mbps,omitempty"`
 }
 
-// join registers this instance, follows who else is there, and registers again where its
-// entry was removed.
+// join registers this instance, follows the list of instances, and registers again when its entry
+// was removed.
 //
-// Load: all machines of a fleet are started for the first time, within 0.3 s. Harm
-// prevented: each reads the list while hardly anybody is on it, takes itself for one of
-// a few and watches every kind, and is told by the store of each of the others: 29 calls
-// an instance. One that was registered before finds the others listed.
+// A newly created instance delays reading the list and watching for others. When all machines of a
+// fleet start for the first time, within 0.3 s, each would otherwise read a nearly empty list,
+// consider itself one of a few, watch every kind, and be notified by the store of each of the
+// others: 29 calls an instance. An instance that was registered before finds the others listed.
 func (i *Instance) join(ctx context.Context) {
 	created := i.register(ctx)
 	if created {
-		_ = clock.Sleep(ctx, joinTime)
+		_ = clock.Sleep(ctx, joinDelay)
 	}
 	go i.followers[kindInstances].Run(ctx)
 	if created {
-		_ = clock.Sleep(ctx, settleTime-joinTime)
+		_ = clock.Sleep(ctx, settleDelay-joinDelay)
 	}
 	i.settled.Store(true)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-i.unlisted:
+		case <-i.reregister:
 			i.register(ctx)
 		}
 	}
 }
 
-// register writes this instance's entry, once; it changes only with the address. It
-// reports whether there was none before.
+// register writes this instance's entry, which changes only with its settings. It retries until it
+// succeeds or ctx is done, and reports whether there was no entry before.
 func (i *Instance) register(ctx context.Context) (created bool) {
 	value, err := json.Marshal(member{Gossip: i.settings.GetListen().GetGossip(), DataCentre: i.settings.GetDataCentre(), LinkMbps: i.settings.GetLinkMbps()})
 	if err != nil {
@@ -88,7 +87,7 @@
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	name := i.settings.GetInstance()
-	// Most instances that start are new, or have their entry; so it is created first.
+	// Most instances that start are new or have an unchanged entry, so creation is tried first.
 	_, err = i.store.Put(ctx, objectapi.Object{Kind: kindInstances, Name: name, Value: value}, 0)
 	if !fault.Is(err, fault.Conflict) {
 		return true, err
@@ -101,13 +100,13 @@
 	return false, err
 }
 
-// removeLost removes the entries of instances that are gone for good, while this instance
-// holds the lease.
+// removeLost removes the entries of instances that have been unreachable for lostAfter, while this
+// instance holds the lease.
 //
-// Failure: instances are replaced under new names, day after day. Each entry that stays
-// holds back its part of every quota, and what all instances know of the fleet grows.
+// Without it, when instances are replaced under new names day after day, each remaining entry would
+// reserve its share of every quota, and the fleet state at every instance would grow.
 func (i *Instance) removeLost(ctx context.Context) {
-	for clock.Sleep(ctx, lostEvery) == nil {
+	for clock.Sleep(ctx, lostCheckInterval) == nil {
 		if _, held := i.lease.Held(); !held {
 			continue
 		}
@@ -128,16 +127,16 @@
 	return i.store.Delete(ctx, kindInstances, name, entry.Version)
 }
 
-// takeInstances replaces the peers that messages are sent to. An instance whose own entry
-// was removed, since it was out of reach for long, registers again.
-func (i *Instance) takeInstances(changes []directory.Change) {
+// applyInstances replaces the peers to which messages are sent. An instance whose own entry was
+// removed, after it had been unreachable for long, registers again.
+func (i *Instance) applyInstances(changes []directory.Change) {
 	for _, c := range changes {
-		i.peers.take(c.Object, decodePeer)
+		i.peers.apply(c.Object, decodePeer)
 		if c.Deleted && c.Name == i.settings.GetInstance() && !i.leaving.Load() {
 			select {
-			case i.unlisted <- struct{}{}:
+			case i.reregister <- struct{}{}:
 			default:
-				// It is asked for already.
+				// Registration is already requested.
 			}
 		}
 	}
@@ -163,35 +162,35 @@
 	return gossip.Peer{Name: obj.Name, Address: address, DataCentre: m.DataCentre, LinkMbps: m.LinkMbps}, nil
 }
 
-// isCandidate reports whether this instance is among those that try for the lease: the
-// first schedulers that reach the store, by a hash of the names that all agree on.
+// isCandidate reports whether this instance is among those that try to acquire the lease: the first
+// schedulers with access to the store, ranked by a hash on which all instances agree.
 func (i *Instance) isCandidate() bool {
 	return i.settled.Load() && !i.leaving.Load() && i.isAmongFirst(leaseName, leaseCandidates)
 }
 
-// watches reports whether this instance watches a kind for all.
+// watches reports whether this instance watches a kind for the whole fleet.
 func (i *Instance) watches(kind string) bool {
 	return i.settled.Load() && i.isAmongFirst(kind, watchers)
 }
 
 const (
-	// joinTime is how long after it has registered for the first time an instance reads
-	// who else is there: machines that are started together are so within 0.3 s.
-	joinTime = 350 * time.Millisecond
-	// settleTime is how long after it has registered for the first time an instance
-	// watches for others too. What changes meanwhile is found by the first watch.
-	settleTime = 800 * time.Millisecond
+	// joinDelay is the time between an instance's first registration and its first read of the
+	// list: machines that are started together start within 0.3 s.
+	joinDelay = 350 * time.Millisecond
+	// settleDelay is the time between an instance's first registration and its watching for others.
+	// Changes made in the meantime are found by the first watch.
+	settleDelay = 800 * time.Millisecond
 )
 
-// isAmongFirst reports whether this instance is among the first n schedulers that reach
-// the store.
+// isAmongFirst reports whether this instance is among the first n schedulers with access to the
+// store, ranked by a hash of their names and what.
 func (i *Instance) isAmongFirst(what string, n int) bool {
-	s := i.standing()
+	s := i.fleetView()
 	return s.Scheduler && s.Rank(what) < n
 }
 
-// standing is what this instance knows of those that read and watch the store for all.
-func (i *Instance) standing() directory.FleetView {
+// fleetView returns this instance's view of the schedulers that read and watch the store for all.
+func (i *Instance) fleetView() directory.FleetView {
 	return directory.FleetView{
 		Self: i.settings.GetInstance(), Scheduler: i.node.IsScheduler(),
 		Schedulers: i.node.Schedulers(), Reaching: i.node.SchedulersWithStore(), Reaches: i.node.ReachesStore(), Position: i.node.Position(),
--- a/hosted/members_test.go
+++ b/hosted/members_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against an instance that was out of reach for so long that its entry was removed,
-// and that nobody knows of once it is back.
+// An instance was unreachable for so long that its entry was removed. Unless it registers again, no
+// other instance knows it once it is back.
 func TestInstanceWhoseEntryWasRemovedRegistersAgain(t *testing.T) {
 	f := newFixture(t, 2)
 	f.endpoint("e2", "orders", ok)
@@ -19,7 +19,7 @@
 	})
 }
 
-// Guards against entries that the store keeps for ever of machines that were replaced.
+// The entries of replaced machines must not stay in the store.
 func TestEntryOfALostInstanceIsRemoved(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e2", "orders", ok)
@@ -28,7 +28,7 @@
 	i := f.instances[0]
 	f.eventually("listed", func() bool { _, listed := i.node.Reach(); return listed == 2 })
 	if lost := i.node.Lost(time.Now().Add(time.Hour), time.Minute); len(lost) != 0 {
-		t.Fatalf("half of the fleet takes %v for lost", lost)
+		t.Fatalf("half of the fleet considers %v lost", lost)
 	}
 	if err := i.removeEntry(t.Context(), "gone"); err != nil {
 		t.Fatal(err)
@@ -36,8 +36,7 @@
 	f.eventually("not listed any more", func() bool { _, listed := i.node.Reach(); return listed == 1 })
 }
 
-// Guards against a killed instance that goes on to register for as long as the store is
-// away.
+// A killed instance must not go on trying to register while the store is unreachable.
 func TestKilledInstanceDoesNotRegister(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e2", "orders", ok)
@@ -46,12 +45,12 @@
 	f.eventually("settled", i.settled.Load)
 	f.store.Refuse(503)
 	before := f.store.Calls("POST", kindInstances)
-	i.unlisted <- struct{}{}
+	i.reregister <- struct{}{}
 	f.eventually("two tries", func() bool { return f.store.Calls("POST", kindInstances) >= before+2 })
 	i.Kill()
 	killed := f.store.Calls("POST", kindInstances)
 	time.Sleep(4 * registerRetry)
 	if more := f.store.Calls("POST", kindInstances) - killed; more > 1 {
-		t.Errorf("%d tries after its end", more)
+		t.Errorf("%d registrations after Kill", more)
 	}
 }
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -19,58 +19,55 @@
 )
 
 const (
-	// askTimeout is how long a scheduler's decision is waited for. Usual is a round trip
-	// and the decision, 2 ms; a machine whose share of a processor is used up answers
-	// after some tens of ms, and another scheduler is the better choice then.
+	// askTimeout bounds the wait for a scheduler's decision. A round trip and the decision usually
+	// take 2 ms; a machine that has used up its CPU share answers after some tens of ms, and
+	// another scheduler is the better choice then.
 	askTimeout = 40 * time.Millisecond
-	// askTries is how many schedulers are asked before this instance decides alone:
-	// twice askTimeout is what the tightest targets leave.
-	askTries = 2
-	// silentFor is how long a scheduler that gave no decision is not asked. One that has
-	// died counts as dead soon after.
-	silentFor = 500 * time.Millisecond
-	// coldFor is how long after its start a scheduler has requests come again that it
-	// can't place well yet, since endpoints have not reported what they hold. They do so
-	// within a tenth of a second.
-	coldFor = 400 * time.Millisecond
+	// maxAsks is how many schedulers are asked before this instance decides alone: the tightest
+	// latency targets leave time for two askTimeouts.
+	maxAsks = 2
+	// unresponsiveFor is how long a scheduler that gave no decision is not asked. One that has died
+	// is marked dead by the membership soon after.
+	unresponsiveFor = 500 * time.Millisecond
+	// warmUpPeriod is how long after its start a scheduler asks others to retry requests that it
+	// can't place well yet, since endpoints have not reported their cache contents. They do so
+	// within 0.1 s.
+	warmUpPeriod = 400 * time.Millisecond
 )
 
-var alonePlaced = metrics.GetOrCreateCounter("sardinedock_placed_alone_total")
+var placedAlone = metrics.GetOrCreateCounter("sardinedock_placed_alone_total")
 
-// placer decides where this instance's requests go: a scheduler decides itself, another
-// instance asks one.
+// placer places this instance's requests: a scheduler decides itself, another instance asks one.
 type placer struct {
 	started time.Time
 	state   *balance.State
 	node    *gossip.Node
 	quotas  *quota.Book
 	limits  *ratelimit.Limits
-	// reach says for how much of the fleet this instance decides.
+	// reach returns for how much of the fleet this instance decides.
 	reach func() quota.Reach
 
 	mu sync.Mutex
-	// silent has until when a scheduler is not asked.
-	silent map[string]time.Time
+	// unresponsiveUntil is the time, by scheduler, until which it is not asked.
+	unresponsiveUntil map[string]time.Time
 }
 
 func newPlacer(i *Instance) *placer {
-	return &placer{started: time.Now(), state: i.state, node: i.node, quotas: i.quotas, limits: i.rates.limits, reach: i.reach, silent: map[string]time.Time{}}
+	return &placer{started: time.Now(), state: i.state, node: i.node, quotas: i.quotas, limits: i.rates.limits, reach: i.reach, unresponsiveUntil: map[string]time.Time{}}
 }
 
-// Place implements gateway.Placer.
-//
-// Failure: a scheduler dies, is cut off or is late. Its silence costs a request
-// askTimeout, and the next one is asked; where that is silent too, this instance decides
-// on what it knows itself, its own requests. That makes worse choices and never a wrong
-// one: what may run once is still sent once, by the instance that has the caller.
+// Place implements gateway.Placer. If a scheduler does not answer within askTimeout, since it died,
+// is cut off or is late, the next one is asked. If that one does not answer either, this instance
+// decides on its own requests only. Such choices are worse but still safe: the instance that has
+// the caller sends the request, and one that may run once is sent once.
 func (p *placer) Place(ctx context.Context, q balance.Query) (balance.RunID, balance.Decision) {
 	q.Charge = p.quotas.Price(q.Charge)
 	tries := 0
-	for _, to := range p.node.SchedulersFor(placeKey(q.Ask)) {
-		if tries == askTries || ctx.Err() != nil {
+	for _, to := range p.node.SchedulersFor(affinityKey(q.Ask)) {
+		if tries == maxAsks || ctx.Err() != nil {
 			break
 		}
-		if p.isSilent(to.Name) {
+		if p.isUnresponsive(to.Name) {
 			continue
 		}
 		tries++
@@ -79,25 +76,25 @@
 			return q.Run, v
 		}
 	}
-	if tries > 0 && q.Charge.Account != "" && q.Elapsed < quotaPatience {
+	if tries > 0 && q.Charge.Account != "" && q.Elapsed < quotaAskTimeout {
 		return 0, balance.Decision{Admission: balance.Wait}
 	}
-	return p.here(q)
+	return p.placeLocally(q)
 }
 
-// here decides at this instance.
-func (p *placer) here(q balance.Query) (balance.RunID, balance.Decision) {
+// placeLocally decides at this instance.
+func (p *placer) placeLocally(q balance.Query) (balance.RunID, balance.Decision) {
 	q.Run = balance.RunID(rand.Uint64())
 	if !p.node.IsScheduler() {
-		// Others that decide alone know as little of each other.
-		q.Offset = placeKey(q.Ask)
-		alonePlaced.Inc()
+		// Spreads the choices of instances that decide alone, since they do not know each other's.
+		q.Offset = affinityKey(q.Ask)
+		placedAlone.Inc()
 	}
 	return q.Run, p.decide(q)
 }
 
-// decide places a request that is within its organisation's quota, here or at a peer, and
-// reports it to the other schedulers.
+// decide places a request, received here or at a peer, if its organisation's quota allows it, and
+// reports its start to the other schedulers.
 func (p *placer) decide(q balance.Query) balance.Decision {
 	now := time.Now()
 	if p.quotas.DecidesForOthers() != p.node.IsScheduler() {
@@ -117,16 +114,16 @@
 	return v
 }
 
-// ask has a scheduler decide. ok is false where it gives no decision that can be used.
+// ask requests a decision from a scheduler. ok is false if there is no usable one.
 func (p *placer) ask(ctx context.Context, to gossip.Peer, q balance.Query) (v balance.Decision, ok bool) {
 	limited, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	m, err := p.node.Ask(limited, to, askMessage(q))
 	if err != nil {
 		if ctx.Err() == nil {
-			p.setSilent(to.Name, err)
+			p.markUnresponsive(to.Name, err)
 		}
-		p.giveBack(q.Run, to.Name)
+		p.cancelRun(q.Run, to.Name)
 		return balance.Decision{}, false
 	}
 	v = decisionOf(m, to.Name)
@@ -136,7 +133,7 @@
 	}
 	if v.Placement, ok = p.state.Resolve(q.Ask, v.Placement); !ok {
 		if v.Admission == balance.Send {
-			p.giveBack(q.Run, to.Name)
+			p.cancelRun(q.Run, to.Name)
 		}
 		return v, false
 	}
@@ -146,35 +143,36 @@
 	return v, true
 }
 
-// giveBack reports to a scheduler that a request was not sent as it may have decided: its
-// decision was lost or late. Counted on, the work that is never done would keep others
+// cancelRun reports to a scheduler that a request was not sent as it may have decided, since its
+// decision was lost or late. Otherwise the scheduler would count the work and keep other requests
 // from the endpoint for seconds.
-func (p *placer) giveBack(run balance.RunID, by string) {
+func (p *placer) cancelRun(run balance.RunID, by string) {
 	p.node.ReportStage(&gossippb.RunStage{Run: uint64(run), Stage: int32(balance.Abandoned), NotRun: true}, by)
 }
 
-func (p *placer) isSilent(scheduler string) bool {
+func (p *placer) isUnresponsive(scheduler string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().Before(p.silent[scheduler])
+	return time.Now().Before(p.unresponsiveUntil[scheduler])
 }
 
-func (p *placer) setSilent(scheduler string, why error) {
+func (p *placer) markUnresponsive(scheduler string, why error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.silent[scheduler] = time.Now().Add(silentFor)
+	p.unresponsiveUntil[scheduler] = time.Now().Add(unresponsiveFor)
 	log.WithField("scheduler", scheduler).WithField("why", why.Error()).Warn("scheduler silent; not asked for a while")
 }
 
-// Warm implements gateway.Placer. A scheduler that is asked says itself whether it is.
+// Warm implements gateway.Placer. A scheduler that is asked reports in its decision that it is not
+// warm.
 func (p *placer) Warm(service string) bool {
 	return !p.node.IsScheduler() || p.state.Warm(service)
 }
 
 // Asked implements gossip.Handler.
 func (h receiver) Asked(a *gossippb.Ask) *gossippb.Decision {
-	cold := a.GetModel() != "" && time.Since(h.placer.started) < coldFor && !h.state.Warm(a.GetService())
-	// One that has stepped down receives little of what others send.
+	cold := a.GetModel() != "" && time.Since(h.placer.started) < warmUpPeriod && !h.state.Warm(a.GetService())
+	// An instance that is no scheduler any more receives few of the others' messages.
 	if cold || !h.Ready() || !h.node.IsScheduler() {
 		return decisionMessage(balance.RunID(a.GetRun()), balance.Decision{Admission: balance.Wait})
 	}
@@ -182,10 +180,10 @@
 	return decisionMessage(q.Run, h.placer.decide(q))
 }
 
-// placeKey names what a request shares with others: the last part that is not its own,
-// or the service. Requests with the same key are placed by the same scheduler, which
-// has a part read once and knows a small service exactly.
-func placeKey(a balance.Ask) uint64 {
+// affinityKey returns the hash of what a request shares with others: its last prompt part that is
+// not its own, or the service. Requests with the same key are placed by the same scheduler, so that
+// a shared part is processed once and the counts of a small service are exact.
+func affinityKey(a balance.Ask) uint64 {
 	if len(a.Parts) < 2 {
 		return xxh3.HashString(a.Service)
 	}
--- a/hosted/placing_test.go
+++ b/hosted/placing_test.go
@@ -9,8 +9,8 @@
 	"github.com/sardinedock/sardinedock/gossip"
 )
 
-// largeFixture is a fleet in which a few instances place the requests of all, with an
-// endpoint for models and one for orders.
+// largeFixture returns a fleet in which a few schedulers place the requests of all instances, with
+// an endpoint for models and one for orders.
 func largeFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixture(t, gossip.SmallFleet+4)
@@ -28,11 +28,11 @@
 	return f
 }
 
-// schedulersWanted is how many schedulers a fleet of over gossip.SmallFleet has.
+// schedulersWanted is the number of schedulers in a fleet of more than gossip.SmallFleet.
 const schedulersWanted = 5
 
-// other returns the number of an instance that is no scheduler.
-func (f *fixture) other() int {
+// nonScheduler returns the index of an instance that is not a scheduler.
+func (f *fixture) nonScheduler() int {
 	for n, i := range f.instances {
 		if !i.node.IsScheduler() {
 			return n
@@ -42,7 +42,7 @@
 	return 0
 }
 
-// killSchedulers ends all schedulers as a loss of their power would.
+// killSchedulers ends all schedulers as a power loss would.
 func (f *fixture) killSchedulers() {
 	for _, i := range f.instances {
 		if i.node.IsScheduler() {
@@ -51,27 +51,26 @@
 	}
 }
 
-// In a large fleet, a request comes to an instance that knows nothing of what the others
-// do. A scheduler, which knows, has to place it; and each of them has to know of its run
-// as long as it goes on, and no longer. Placed on each instance's guess, requests meet at
-// the same endpoints while others idle.
+// In a large fleet, a request arrives at an instance that does not know the requests of the others.
+// A scheduler has to place it, and each scheduler has to count its run exactly while it lasts. If
+// each instance chose by itself, requests would collide at some endpoints while others idle.
 func TestSchedulersPlaceTheRequestsOfOthers(t *testing.T) {
 	f := largeFixture(t)
-	n := f.other()
-	before := alonePlaced.Get()
+	n := f.nonScheduler()
+	before := placedAlone.Get()
 	f.callers[0] = f.callers[n]
 	for range 5 {
-		if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.cut {
-			t.Fatalf("status %d, cut %v", a.status, a.cut)
+		if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.broken {
+			t.Fatalf("status %d, broken %v", a.status, a.broken)
 		}
 		if a := f.do(f.request("GET", "/stock/1", "")); a.status != 200 {
 			t.Fatalf("status %d", a.status)
 		}
 	}
-	if placed := alonePlaced.Get() - before; placed > 0 {
+	if placed := placedAlone.Get() - before; placed > 0 {
 		t.Errorf("%d of 10 requests were placed without a scheduler", placed)
 	}
-	f.eventually("no run counts any more at any scheduler", func() bool {
+	f.eventually("no scheduler counts any run any more", func() bool {
 		for _, i := range f.instances {
 			for _, e := range i.state.Endpoints("", time.Now()) {
 				if i.node.IsScheduler() && e.Running != 0 {
@@ -83,10 +82,10 @@
 	})
 }
 
-// A run that one instance has sent is known to every scheduler while it goes on.
+// A run that one instance has sent is counted by every scheduler while it lasts.
 func TestRunsAreKnownToAllSchedulers(t *testing.T) {
 	f := largeFixture(t)
-	asker := f.instances[f.other()]
+	asker := f.instances[f.nonScheduler()]
 	run, v := asker.placer.Place(t.Context(), balance.Query{Ask: balance.Ask{Service: "orders"}})
 	if v.Admission != balance.Send || v.Placement.PlacedBy == "" {
 		t.Fatalf("decision %+v", v)
@@ -102,25 +101,24 @@
 		}
 	}
 	f.eventually("the run counts at all schedulers", running(1))
-	asker.placer.giveBack(run, v.Placement.PlacedBy)
-	f.eventually("its end does too", running(0))
+	asker.placer.cancelRun(run, v.Placement.PlacedBy)
+	f.eventually("its end is known to all schedulers", running(0))
 }
 
-// All schedulers lose their power in the same moment. Until others have taken their
-// places, each request waits for a decision that does not come. It may wait no longer than
-// a tenth of a second, and has to be served all the same; once others have taken over,
-// requests are placed by them.
+// All schedulers lose power at the same moment. Until they are replaced, each request waits for a
+// decision that does not come. It may wait 0.1 s at most and has to be served; once other instances
+// have taken over as schedulers, they place the requests.
 func TestRequestsAreServedWhileAllSchedulersAreDead(t *testing.T) {
 	f := largeFixture(t)
-	n := f.other()
+	n := f.nonScheduler()
 	f.callers[0] = f.callers[n]
 	f.killSchedulers()
 	from := time.Now()
-	if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.cut {
-		t.Errorf("status %d, cut %v", a.status, a.cut)
+	if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.broken {
+		t.Errorf("status %d, broken %v", a.status, a.broken)
 	}
-	// A busy machine adds to what is waited for.
-	if took := time.Since(from); took > askTries*askTimeout+time.Second {
+	// Allows for a busy machine.
+	if took := time.Since(from); took > maxAsks*askTimeout+time.Second {
 		t.Errorf("served after %v", took)
 	}
 	f.eventually("others have taken over", func() bool { return len(f.instances[n].node.Schedulers()) == schedulersWanted })
@@ -132,19 +130,19 @@
 	})
 }
 
-// A scheduler decides that a request is sent, and its decision is lost on the way. The
-// request goes elsewhere, and what the scheduler counts for it must not stay: the
-// endpoint would look busy for seconds while it idles.
-func TestLostVerdictCountsNoWork(t *testing.T) {
+// A scheduler's decision to send a request is lost on the way, and the request is placed elsewhere.
+// The scheduler must not go on counting it: the endpoint would look busy for seconds while it
+// idles.
+func TestLostDecisionIsNotCounted(t *testing.T) {
 	f := largeFixture(t)
-	asker := f.instances[f.other()]
+	asker := f.instances[f.nonScheduler()]
 	to := asker.node.SchedulersFor(1)[0]
 	ended, cancel := context.WithCancel(t.Context())
 	cancel()
 	if _, ok := asker.placer.ask(ended, to, balance.Query{Run: 7, Ask: balance.Ask{Service: "orders"}}); ok {
-		t.Fatal("a decision came to an ask that was over")
+		t.Fatal("got a decision for a cancelled ask")
 	}
-	f.eventually("nothing counts at any scheduler", func() bool {
+	f.eventually("no scheduler counts the run", func() bool {
 		for _, i := range f.instances {
 			if i.node.IsScheduler() && i.state.Endpoints("orders", time.Now())[0].Running != 0 {
 				return false
--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// quotaPatience is how long a request under a quota looks for a scheduler that
-	// answers, before this instance decides on its own small share.
-	quotaPatience = 300 * time.Millisecond
-	// reachEvery is how often it is looked how much of the fleet is heard of.
-	reachEvery = 100 * time.Millisecond
-	// repeatEvery is the time between two reports of quotas that are short, for
-	// schedulers that do not hear each other.
-	repeatEvery = 200 * time.Millisecond
-	// repeaters is how many schedulers repeat what they have heard of one account.
+	// quotaAskTimeout is how long a request under a quota is retried at schedulers before this
+	// instance decides on its own small share.
+	quotaAskTimeout = 300 * time.Millisecond
+	// reachInterval is the time between two updates of how much of the fleet is reachable.
+	reachInterval = 100 * time.Millisecond
+	// usageRepeatInterval is the time between two reports of nearly used-up quotas, for schedulers
+	// that do not receive each other's messages.
+	usageRepeatInterval = 200 * time.Millisecond
+	// repeaters is how many schedulers repeat the reports that they received for one account.
 	repeaters = 2
 )
 
 var (
 	quotaPassed   = metrics.GetOrCreateCounter(`sardinedock_quota_requests_total{outcome="passed"}`)
-	quotaOver     = metrics.GetOrCreateCounter(`sardinedock_quota_requests_total{outcome="refused"}`)
-	quotaUnknown  = metrics.GetOrCreateCounter(`sardinedock_quota_requests_total{outcome="waited"}`)
+	quotaRefused  = metrics.GetOrCreateCounter(`sardinedock_quota_requests_total{outcome="refused"}`)
+	quotaWaited   = metrics.GetOrCreateCounter(`sardinedock_quota_requests_total{outcome="waited"}`)
 	quotaReturned = metrics.GetOrCreateCounter(`sardinedock_quota_requests_total{outcome="returned"}`)
 )
 
-// setQuotas puts the quotas of the records in force.
+// setQuotas applies the quotas of the records.
 func (i *Instance) setQuotas(t *route.Table) {
 	limits := map[string]quota.Limit{}
 	t.Organisations(func(o *route.Organisation) {
@@ -52,23 +52,23 @@
 	i.quotas.SetLimits(time.Now(), limits)
 }
 
-// followQuotas keeps the share of quotas and of endpoints' rates up to date and repeats what
-// others may have missed, until ctx ends.
+// followQuotas updates this instance's share of quotas and of endpoints' rates, and repeats reports
+// that others may have missed, until ctx is done.
 func (i *Instance) followQuotas(ctx context.Context) {
 	repeated := time.Now()
-	for clock.Sleep(ctx, reachEvery) == nil {
+	for clock.Sleep(ctx, reachInterval) == nil {
 		now := time.Now()
 		reach := i.reach()
 		i.quotas.SetReach(now, reach)
 		i.rates.limits.SetReach(now, reach)
-		if now.Sub(repeated) >= repeatEvery && i.node.IsScheduler() {
+		if now.Sub(repeated) >= usageRepeatInterval && i.node.IsScheduler() {
 			i.repeatUsage(now, repeated)
 			repeated = now
 		}
 	}
 }
 
-// reach is for how much of the fleet this instance decides.
+// reach returns for how much of the fleet this instance decides.
 func (i *Instance) reach() quota.Reach {
 	r := quota.Reach{Scheduler: i.node.IsScheduler(), Peers: len(i.node.Schedulers())}
 	if r.Scheduler {
@@ -78,10 +78,10 @@
 	return r
 }
 
-// repeatUsage reports what is known of quotas that are short.
+// repeatUsage repeats the reports on quotas that are nearly used up.
 //
-// Failure: two schedulers do not hear each other, and all others hear both. Each would
-// let the whole quota pass without the other's knowledge.
+// Without it, two schedulers that do not receive each other's messages, while all others receive
+// both's, would each allow the whole quota.
 func (i *Instance) repeatUsage(now, since time.Time) {
 	schedulers := i.node.Schedulers()
 	repeat := func(list []quota.Usage, message func(quota.Usage) *gossippb.QuotaUse) {
@@ -96,7 +96,8 @@
 	repeat(i.rates.limits.Short(now, since), endpointUseMessage)
 }
 
-// charge debits a run that is sent to an endpoint, and reports it.
+// charge debits the organisation's quota and the endpoint's rate for a run that is sent, and
+// reports both.
 func (p *placer) charge(now time.Time, q balance.Query, endpointID string) {
 	if u, ok := p.limits.Charge(now, uint64(q.Run), endpointID); ok {
 		p.node.ReportQuotaUse(endpointUseMessage(u))
@@ -129,7 +130,7 @@
 	h.quotas.ApplyUsage(time.Now(), usage)
 }
 
-// endpointUseMessage is useMessage for what an endpoint was sent.
+// endpointUseMessage is useMessage for the use of an endpoint's rate.
 func endpointUseMessage(u quota.Usage) *gossippb.QuotaUse {
 	m := useMessage(u)
 	m.Endpoint = true
@@ -143,12 +144,12 @@
 	}
 }
 
-// quotaDecision answers a request that its organisation's quota does not let pass now.
+// quotaDecision returns the decision on a request that its organisation's quota does not allow now.
 func quotaDecision(d quota.Decision) balance.Decision {
 	if d.Outcome == quota.Unknown {
-		quotaUnknown.Inc()
+		quotaWaited.Inc()
 		return balance.Decision{Admission: balance.Wait, Quota: d}
 	}
-	quotaOver.Inc()
+	quotaRefused.Inc()
 	return balance.Decision{Admission: balance.OverQuota, Quota: d}
 }
--- a/hosted/quotas_test.go
+++ b/hosted/quotas_test.go
@@ -10,7 +10,7 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// withQuota gives the fixture's organisation a quota in tokens.
+// withQuota sets a quota in tokens for the fixture's organisation.
 func withQuota(fields map[string]any) func(map[string]any) {
 	return func(records map[string]any) {
 		o := records["tenants"].([]any)[0].(map[string]any)
@@ -21,18 +21,18 @@
 	}
 }
 
-// learned is how long after its start an instance knows what others let pass.
-const learned = 1600 * time.Millisecond
+// usageExchange is how long after its start an instance knows the usage at the others.
+const usageExchange = 1600 * time.Millisecond
 
-// quotaFixture is a fleet with an endpoint for models and one for orders, all of whose
-// instances have learned what the others let pass.
+// quotaFixture returns a fleet with an endpoint for models and one for orders, whose instances have
+// exchanged their usage.
 func quotaFixture(t *testing.T, instances int, fields map[string]any, orders func(*platformtest.Exchange) bool) *fixture {
 	t.Helper()
 	f := newFixture(t, instances)
 	f.endpoint("e1", "pool", oneEvent)
 	f.endpoint("e2", "orders", orders)
 	f.serve(2, withQuota(fields))
-	f.eventually("all instances heard of", func() bool {
+	f.eventually("all instances known to each other", func() bool {
 		for _, i := range f.instances {
 			if i.node.Live() != len(f.instances) || len(i.node.Schedulers()) == 0 {
 				return false
@@ -40,12 +40,12 @@
 		}
 		return true
 	})
-	time.Sleep(learned)
+	time.Sleep(usageExchange)
 	return f
 }
 
-// Guards against an organisation that gets its whole quota at each instance, and against
-// refusals that do not say that nothing ran, or when to come back.
+// An organisation must not get its whole quota at each instance, and refusals must state that
+// nothing ran and when to retry.
 func TestQuotaHoldsOverAllInstances(t *testing.T) {
 	for _, instances := range []int{3, gossip.SmallFleet + 4} {
 		f := quotaFixture(t, instances, map[string]any{"ratePerS": 2000, "burst": 6000}, ok)
@@ -67,7 +67,7 @@
 			}
 		}
 		const cost = 1540
-		// One more may pass into debt at each scheduler before it hears of the others'.
+		// One more may pass into debt at each scheduler before it receives the others' reports.
 		most := (6000+2000*time.Since(began).Seconds())/cost + 6
 		if served < 3 || float64(served) > most {
 			t.Errorf("%d instances: %d of %d requests were served, at most %.1f should be", instances, served, requests, most)
@@ -75,9 +75,9 @@
 	}
 }
 
-// Guards against charges for requests that never ran: turned away by busy endpoints, an
-// organisation would be refused by its quota as well.
-func TestRequestThatDidNotRunIsGivenBack(t *testing.T) {
+// Requests that never ran must not be charged: an organisation whose requests busy endpoints reject
+// would be refused by its quota as well.
+func TestRequestThatDidNotRunIsRefunded(t *testing.T) {
 	f := quotaFixture(t, 3, map[string]any{"ratePerS": 1000, "burst": 6000}, func(x *platformtest.Exchange) bool {
 		x.Reject(503)
 		return true
@@ -86,7 +86,7 @@
 	if a := f.do(f.request("POST", "/confirm/1", "")); a.status != 503 {
 		t.Fatalf("status %d", a.status)
 	}
-	f.eventually("the charge given back", func() bool {
+	f.eventually("the charge refunded", func() bool {
 		passed := int64(0)
 		for _, i := range f.instances {
 			for _, v := range i.quotas.Views(time.Now()) {
@@ -97,7 +97,7 @@
 	})
 }
 
-// Guards against an unreadable quota that lifts the limit that was in force.
+// An unreadable quota must not lift the limit that was in force.
 func TestUnreadableQuotaLeavesTheOneInForce(t *testing.T) {
 	f := quotaFixture(t, 1, map[string]any{"ratePerS": 2000, "burst": 6000}, ok)
 	f.serve(2, withQuota(map[string]any{"ratePerS": "much", "burst": 6000}))
--- a/hosted/rates.go
+++ b/hosted/rates.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	// rateRepeat is the time between two notices of a limit that has not changed: notices
-	// may be lost, and instances that start know of none.
-	rateRepeat = time.Second
-	// noticeDelay is the longest that a notice is on its way as a rule. What it says may be
-	// older by as much than it seems.
+	// rateRepeatInterval is the time between two notices of an unchanged limit: notices may be
+	// lost, and instances that start know no limits.
+	rateRepeatInterval = time.Second
+	// noticeDelay is the usual maximum transit time of a notice. Its content may be older than it
+	// states by as much.
 	noticeDelay = 100 * time.Millisecond
-	// maxUnreadable bounds the endpoints whose unreadable limit is remembered.
+	// maxUnreadable bounds the endpoints whose unreadable limits are remembered.
 	maxUnreadable = 1024
 )
 
@@ -31,16 +31,16 @@
 	rateUnreadable = metrics.GetOrCreateCounter("sardinedock_ratelimit_unreadable_total")
 )
 
-// rates takes in what endpoints say of the rate that they take, from this instance's own
-// answers and from peers' notices. Any goroutine may use it.
+// rates receives the rates that endpoints state, from responses to this instance and from peers'
+// notices. It is safe for concurrent use.
 type rates struct {
 	limits *ratelimit.Limits
 	notify func(*gossippb.Notice)
 
 	mu sync.Mutex
-	// notified is when a notice of an endpoint's limit was last sent or received.
+	// notified is when a notice of an endpoint's limit was last sent or received, by endpoint.
 	notified map[string]time.Time
-	// unreadable is the text of the last error that was logged, by endpoint.
+	// unreadable is the last logged error, by endpoint.
 	unreadable map[string]string
 }
 
@@ -54,25 +54,25 @@
 		r.logUnreadable(s.Endpoint, unreadable)
 		return
 	}
-	c := r.take(s, "own answer")
+	c := r.apply(s, "own answer")
 	if c.Changed || c.Now.Limited && r.noticeDue(s) {
 		r.notify(rateNotice(s))
 	}
 }
 
-// noticed takes in a peer's notice.
-func (r *rates) noticed(from string, n *gossippb.Notice) {
+// applyNotice applies a peer's notice.
+func (r *rates) applyNotice(from string, n *gossippb.Notice) {
 	now, m := time.Now(), n.GetRate()
-	r.noteNotice(n.GetEndpoint(), now)
-	r.take(ratelimit.Statement{
+	r.recordNotice(n.GetEndpoint(), now)
+	r.apply(ratelimit.Statement{
 		Endpoint: n.GetEndpoint(), Rate: ratelimit.Rate{Limited: m.GetLimited(), PerSecond: m.GetPerSecond()},
 		SentAt:     now.Add(-noticeDelay - milliseconds(m.GetSentMsAgo())),
 		AnsweredAt: now.Add(-milliseconds(m.GetAnsweredMsAgo())),
 	}, from)
 }
 
-// take puts a statement in force, with a line where that changes anything.
-func (r *rates) take(s ratelimit.Statement, source string) ratelimit.Change {
+// apply applies a statement and logs a changed limit.
+func (r *rates) apply(s ratelimit.Statement, source string) ratelimit.Change {
 	c := r.limits.Apply(time.Now(), s)
 	if c.Changed {
 		rateChanges.Inc()
@@ -89,20 +89,20 @@
 func (r *rates) noticeDue(s ratelimit.Statement) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s.AnsweredAt.Sub(r.notified[s.Endpoint]) < rateRepeat {
+	if s.AnsweredAt.Sub(r.notified[s.Endpoint]) < rateRepeatInterval {
 		return false
 	}
 	r.notified[s.Endpoint] = s.AnsweredAt
 	return true
 }
 
-func (r *rates) noteNotice(endpointID string, now time.Time) {
+func (r *rates) recordNotice(endpointID string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.notified[endpointID] = now
 }
 
-// repeatRates sends all limits in force, for an instance that has just begun. Two schedulers
+// repeatRates broadcasts all limits in force for an instance that has just started. Two schedulers
 // do so for each endpoint.
 func (i *Instance) repeatRates() {
 	schedulers := i.node.Schedulers()
@@ -113,8 +113,7 @@
 	}
 }
 
-// logUnreadable writes a line for each new text of an endpoint that is no rate; what was in
-// force stays.
+// logUnreadable logs each new unreadable limit of an endpoint once. The limit in force stays.
 func (r *rates) logUnreadable(endpointID string, err error) {
 	rateUnreadable.Inc()
 	r.mu.Lock()
@@ -129,7 +128,7 @@
 	}
 }
 
-// sweep drops what is known of endpoints that are gone.
+// sweep drops the state of endpoints that no longer exist.
 func (r *rates) sweep(now time.Time, exists func(string) bool) {
 	r.limits.Sweep(now, exists)
 	r.mu.Lock()
@@ -148,7 +147,7 @@
 	}}
 }
 
-// countLimited counts a decision that an endpoint's rate has changed.
+// countLimited counts a decision that an endpoint's rate limit has changed.
 func countLimited(v balance.Decision) {
 	switch {
 	case v.Placement.PassedOver == "":
--- a/hosted/rates_test.go
+++ b/hosted/rates_test.go
@@ -15,8 +15,8 @@
 	"github.com/sardinedock/sardinedock/ratelimit"
 )
 
-// namesLimit answers every request, with the limit that is set.
-func namesLimit(limit *atomic.Pointer[string]) func(*platformtest.Exchange) bool {
+// answerWithLimit answers every request, stating the limit if one is set.
+func answerWithLimit(limit *atomic.Pointer[string]) func(*platformtest.Exchange) bool {
 	return func(x *platformtest.Exchange) bool {
 		if text := limit.Load(); text != nil {
 			x.AnswerLimited(200, "ok", *text)
@@ -27,7 +27,7 @@
 	}
 }
 
-func (f *fixture) knowRate(want ratelimit.Rate) bool {
+func (f *fixture) allHaveRate(want ratelimit.Rate) bool {
 	for _, i := range f.instances {
 		if i.rates.limits.Rate("e1") != want {
 			return false
@@ -44,33 +44,32 @@
 	return f.do(req)
 }
 
-// Guards against a limit that only the instances know which have had an answer with it, and
-// against one that stays in force once the endpoint names it no more.
+// A limit must be known to all instances, not only to those that received a response with it, and
+// must end once the endpoint no longer states it.
 func TestLimitOfAnEndpointIsKnownToAllInstances(t *testing.T) {
 	f := newFixture(t, 3)
 	var limit atomic.Pointer[string]
-	f.endpoint("e1", "orders", namesLimit(&limit))
+	f.endpoint("e1", "orders", answerWithLimit(&limit))
 	f.serve(1, nil)
 	text := "1.3"
 	limit.Store(&text)
 	f.sendFrom(0)
 	named := ratelimit.Rate{Limited: true, PerSecond: 1.3}
-	f.eventually("the limit at all instances", func() bool { return f.knowRate(named) })
+	f.eventually("the limit at all instances", func() bool { return f.allHaveRate(named) })
 	f.start("instance-late")
-	f.eventually("the limit at an instance that has just started", func() bool { return f.knowRate(named) })
+	f.eventually("the limit at an instance that has just started", func() bool { return f.allHaveRate(named) })
 	limit.Store(nil)
 	time.Sleep(2 * noticeDelay)
 	f.eventually("a request served", func() bool { return f.sendFrom(1).status == 200 })
-	f.eventually("no limit at any instance", func() bool { return f.knowRate(ratelimit.Rate{}) })
+	f.eventually("the limit removed at all instances", func() bool { return f.allHaveRate(ratelimit.Rate{}) })
 }
 
-// Guards against a value that can't be read lifting the limit in force, and against a line
-// for each such answer.
+// An unreadable value must not lift the limit in force, nor be logged for each response.
 func TestUnreadableLimitLeavesTheOneInForce(t *testing.T) {
 	lines := logtest.Record(t)
 	f := newFixture(t, 1)
 	var limit atomic.Pointer[string]
-	f.endpoint("e1", "orders", namesLimit(&limit))
+	f.endpoint("e1", "orders", answerWithLimit(&limit))
 	f.serve(1, nil)
 	text, bad := "50", "many"
 	limit.Store(&text)
@@ -79,7 +78,7 @@
 	for range 3 {
 		f.sendFrom(0)
 	}
-	if !f.knowRate(ratelimit.Rate{Limited: true, PerSecond: 50}) {
+	if !f.allHaveRate(ratelimit.Rate{Limited: true, PerSecond: 50}) {
 		t.Errorf("limit %v", f.instances[0].rates.limits.Rate("e1"))
 	}
 	warnings := 0
@@ -89,23 +88,23 @@
 		}
 	}
 	if warnings != 1 {
-		t.Errorf("%d lines about the limit that can't be read, want 1", warnings)
+		t.Errorf("%d lines about the unreadable limit, want 1", warnings)
 	}
 }
 
-// arrivals keeps when requests came to an endpoint.
+// arrivals records when requests arrived at an endpoint.
 type arrivals struct {
 	mu sync.Mutex
 	at []time.Time
 }
 
-func (a *arrivals) note() {
+func (a *arrivals) add() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.at = append(a.at, time.Now())
 }
 
-// most returns the most that came in a window, of those that came later than from.
+// most returns the maximum number of arrivals in a window, of those after from.
 func (a *arrivals) most(from time.Time, window time.Duration) (most int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -124,9 +123,9 @@
 	return most
 }
 
-// Guards against an endpoint in need that gets more requests than it says it takes, summed
-// over all instances, while others could serve them.
-func TestLimitedEndpointGetsNoMoreThanItTakes(t *testing.T) {
+// An overloaded endpoint must not get more requests than its stated rate, summed over all
+// instances, while others could serve them.
+func TestLimitedEndpointGetsNoMoreThanItsRate(t *testing.T) {
 	const (
 		window  = 4 * time.Second
 		known   = 500 * time.Millisecond
@@ -137,7 +136,7 @@
 			f := newFixture(t, instances)
 			var got arrivals
 			f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool {
-				got.note()
+				got.add()
 				x.AnswerLimited(200, "ok", "1.3")
 				return true
 			})
@@ -158,8 +157,8 @@
 	}
 }
 
-// Guards against callers that wait for the only endpoint of a service until their time is over
-// though it has got what it takes, or are told that without a time to come back.
+// Callers of a service whose only endpoint is at its rate limit must be refused at once and with a
+// Retry-After, instead of waiting until their time is over.
 func TestCallersOfALimitedEndpointAreRefusedAtOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool {
@@ -167,7 +166,7 @@
 		return true
 	})
 	f.serve(1, nil)
-	time.Sleep(learned)
+	time.Sleep(usageExchange)
 	f.eventually("the endpoint at its limit", func() bool { return f.sendFrom(0).status == 503 })
 	began := time.Now()
 	a := f.sendFrom(0)
@@ -175,5 +174,5 @@
 	if a.status != 503 || err != nil || after <= 0 || after > 5 || time.Since(began) > 300*time.Millisecond {
 		t.Fatalf("status %d after %v, Retry-After %q", a.status, time.Since(began), a.header.Get("Retry-After"))
 	}
-	f.eventually("a caller that comes back served", func() bool { return f.sendFrom(0).status == 200 })
+	f.eventually("a retry served", func() bool { return f.sendFrom(0).status == 200 })
 }
--- a/hosted/reload.go
+++ b/hosted/reload.go
@@ -10,13 +10,13 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// Reload takes changed settings in while the instance serves. Bounds are in force at
-// once, but for the lease's length: where two instances go by different ones, the lease
-// may be taken while its holder still counts on it. That and all else, such as
-// addresses, holds for the life of a process and is put off until the next start.
+// Reload applies changed settings while the instance serves. Bounds take effect at once, except for
+// the lease's length: if two instances used different lengths, the lease could be taken while its
+// holder still relies on it. That and all other settings, such as addresses, stay fixed for the
+// life of the process and take effect at the next start.
 //
-// Failure: the operator grants processes less time to end, and this one goes by what it
-// read at its start. It is killed in the middle of answers that it meant to finish.
+// If the operator shortens the grace period and an instance kept the one from its start, it would
+// be killed in the middle of answers that it meant to finish.
 func (i *Instance) Reload(s *settingspb.Hosted) {
 	before := i.bounds.Load()
 	b := s.GetBounds()
@@ -26,27 +26,28 @@
 			WithField("retry_window_seconds", b.GetRetryWindowSeconds()).WithField("weights_ms", b.GetWeightsMs()).WithField("heartbeat_ms", b.GetHeartbeatMs()).
 			Info("settings in force")
 	}
-	if waits := putOff(i.settings, s); len(waits) > 0 {
+	if waits := fieldsNeedingRestart(i.settings, s); len(waits) > 0 {
 		log.WithField("fields", waits).Warn("settings wait for the next start")
 	}
 }
 
-// setBounds puts bounds in force.
+// setBounds applies bounds.
 func (i *Instance) setBounds(b *settingspb.HostedBounds) {
 	i.bounds.Store(b)
 	i.state.SetStaleBound(milliseconds(b.GetWeightsMs()))
 	i.budget.SetLimits(b.GetRetryRatio(), b.GetRetrySlack(), seconds(b.GetRetryWindowSeconds()))
-	i.followers[platform.KindEndpoints].SetMinExpiryOutage(lapseAfter(b))
+	i.followers[platform.KindEndpoints].SetMinExpiryOutage(minExpiryOutage(b))
 }
 
-// lapseAfter is the shortest outage in which endpoints' entries can lapse: they go after
-// three heartbeats of silence, and the last one before the outage may be nearly one old.
-func lapseAfter(b *settingspb.HostedBounds) time.Duration {
+// minExpiryOutage is the shortest outage of the store in which endpoints' entries can expire: they
+// do so three heartbeats after the last one, and that may be nearly one heartbeat old when the
+// outage begins.
+func minExpiryOutage(b *settingspb.HostedBounds) time.Duration {
 	return 2 * milliseconds(b.GetHeartbeatMs())
 }
 
-// putOff names the fields that differ and hold for the life of a process.
-func putOff(at, now *settingspb.Hosted) []string {
+// fieldsNeedingRestart returns the changed fields that take effect only at the next start.
+func fieldsNeedingRestart(at, now *settingspb.Hosted) []string {
 	var names []string
 	add := func(name string, differs bool) {
 		if differs {
--- a/hosted/reload_test.go
+++ b/hosted/reload_test.go
@@ -12,10 +12,10 @@
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// The operator grants processes 2 s to end where it was 4 s, and says so by a changed
-// settings file. An instance that goes by what it read at its start is killed with
-// answers open; it has to finish within the new time, and refuse what does not fit in.
-func TestChangedGraceIsInForceAtOnce(t *testing.T) {
+// The operator shortens the grace period from 4 s to 2 s in the settings file. An instance that
+// kept the value from its start would be killed with open answers; it has to finish within the new
+// time, and refuse requests that do not fit.
+func TestChangedGracePeriodTakesEffectAtOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool { x.Answer(200, "done"); return true })
 	f.serve(1, nil)
@@ -29,8 +29,8 @@
 		i.Shutdown()
 		close(ended)
 	}()
-	f.eventually("the instance drains", func() bool { return i.toldToEnd.Load() != nil })
-	// Its route's time, 2 s, is longer than what is left.
+	f.eventually("the instance drains", func() bool { return i.shutdownAt.Load() != nil })
+	// The route's timeout, 2 s, is longer than the time that remains.
 	if a := f.do(f.request("POST", "/confirm/1", "x")); a.status != http.StatusServiceUnavailable {
 		t.Errorf("%+v, want a refusal", a)
 	}
@@ -40,13 +40,13 @@
 	}
 }
 
-// Addresses and the lease's length are changed too. They can't be in force before the
-// next start, and the log has to say so.
-func TestSettingsThatHoldForAProcessArePutOff(t *testing.T) {
+// Changed addresses and lease lengths can't take effect before the next start, and the log has to
+// say so.
+func TestFixedSettingsAreReportedAsNeedingRestart(t *testing.T) {
 	at := &settingspb.Hosted{Instance: "one", Store: "10.0.0.1:1", Listen: &settingspb.HostedListen{Callers: "10.0.0.2:1"}, Bounds: &settingspb.HostedBounds{LeaseMs: 3000, GraceSeconds: 8}}
 	now := proto.Clone(at).(*settingspb.Hosted)
 	now.Listen.Callers, now.Bounds.LeaseMs, now.Bounds.GraceSeconds = "10.0.0.2:2", 2000, 4
-	if got := putOff(at, now); !slices.Equal(got, []string{"listen", "bounds.lease_ms"}) {
-		t.Errorf("put off: %v", got)
+	if got := fieldsNeedingRestart(at, now); !slices.Equal(got, []string{"listen", "bounds.lease_ms"}) {
+		t.Errorf("fields that need a restart: %v", got)
 	}
 }
--- a/hosted/serve_test.go
+++ b/hosted/serve_test.go
@@ -18,15 +18,15 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// seen keeps what an endpoint got.
-type seen struct {
+// received records the last request that an endpoint received.
+type received struct {
 	mu   sync.Mutex
 	uri  string
 	body string
 	head map[string]string
 }
 
-func (s *seen) keep(x *platformtest.Exchange) {
+func (s *received) record(x *platformtest.Exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.uri, s.body, s.head = string(x.Request.Header.RequestURI()), string(x.Request.Body()), map[string]string{}
@@ -35,14 +35,14 @@
 	}
 }
 
-// A caller's request goes through as it is, but for its key and what the router
-// sets. A key that went on would let an endpoint act as the caller; a header that
-// came through would reach into another organisation's cache.
-func TestRequestGoesThroughUnchanged(t *testing.T) {
+// A caller's request is passed on unchanged, except for its key and the headers that the gateway
+// sets. A key passed on would let an endpoint act as the caller; a forged header passed on would
+// give access to another organisation's cache.
+func TestRequestIsPassedOnUnchanged(t *testing.T) {
 	f := newFixture(t, 1)
-	var got seen
+	var got received
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool {
-		got.keep(x)
+		got.record(x)
 		x.Answer(200, "confirmed")
 		return true
 	})
@@ -60,11 +60,11 @@
 		t.Errorf("endpoint got %q %q %v", got.uri, got.body, got.head)
 	}
 	if got.head["sardinedock-tenant-id"] != "kumasi" || got.head["sardinedock-expect-instance"] != "e1" || got.head["authorization"] != "" {
-		t.Errorf("headers of the router's own: %v", got.head)
+		t.Errorf("headers set by the gateway: %v", got.head)
 	}
 	for name, value := range got.head {
 		if value == "forged" {
-			t.Errorf("header %s of the caller came through", name)
+			t.Errorf("the caller's header %s was passed on", name)
 		}
 	}
 	if left, err := strconv.Atoi(got.head["sardinedock-deadline-ms"]); err != nil || left > 2000 || left < 500 {
@@ -72,9 +72,9 @@
 	}
 }
 
-// An instance starts before it can read the records. Callers that were told 401 or
-// 404 by it would give up on a proper request; 503 has them come back.
-func TestWithoutRecordsNothingIsDenied(t *testing.T) {
+// An instance starts before it can read the records. Callers that get 401 or 404 from it would not
+// retry a valid request; 503 makes them retry.
+func TestWithoutRecordsRequestsGet503(t *testing.T) {
 	f := newFixture(t, 1)
 	if a := f.do(f.request("GET", "/nowhere/", "")); a.status != 503 {
 		t.Errorf("status %d before records are known", a.status)
@@ -110,8 +110,8 @@
 	}
 }
 
-// Callers come to an instance that has started a moment ago, before it has read the
-// records. Turned away at once they come back at once, to be turned away for good.
+// Callers reach an instance that has just started and not read the records yet. Refused at once,
+// they would retry at once, and be refused for the last time.
 func TestFirstRequestsWaitForTheRecords(t *testing.T) {
 	f := newFixture(t, 1)
 	a := f.do(f.request("GET", "/stock/1", ""))
@@ -128,8 +128,8 @@
 	}
 }
 
-// An endpoint is full and says that it did not run a confirmation. Another one has
-// room; a caller that is refused all the same orders elsewhere.
+// A full endpoint states that it did not run a confirmation, and another one has room. If the
+// caller were refused, it would place its order elsewhere.
 func TestRejectedRequestGoesToAnotherEndpoint(t *testing.T) {
 	f := newFixture(t, 1)
 	full := f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool { x.Reject(503); return true })
@@ -145,9 +145,9 @@
 	}
 }
 
-// All endpoints are full. The caller is told at once that its confirmation has not
-// run and when to come back, and the endpoints are not hammered meanwhile.
-func TestRefusalIsTrueAndSaysWhenToReturn(t *testing.T) {
+// All endpoints are full. The caller must be told at once that its confirmation has not run and
+// when to retry, and the endpoints must not be flooded with retries meanwhile.
+func TestRefusedRequestIsNotSentLaterAndHasRetryAfter(t *testing.T) {
 	f := newFixture(t, 1)
 	handler := func(x *platformtest.Exchange) bool { x.Reject(503); return true }
 	e1, e2 := f.endpoint("e1", "orders", handler), f.endpoint("e2", "orders", handler)
@@ -163,8 +163,8 @@
 	if sends > maxSends {
 		t.Errorf("%d sends of one request", sends)
 	}
-	// Both have room again. The request must not be sent any more: its caller was
-	// told that it never runs, and has ordered anew.
+	// Both have room again. The request must not be sent any more: its caller was told that it will
+	// not run, and has sent a new order.
 	room := func(x *platformtest.Exchange) bool { x.Answer(200, "ok"); return true }
 	e1.Handle(room)
 	e2.Handle(room)
@@ -177,13 +177,13 @@
 const (
 	// maxSends is how often one request may be sent.
 	maxSends = 3
-	// rejectedPause is how long an endpoint that was full gets no work.
+	// rejectedPause is how long an endpoint that rejected a request gets no others.
 	rejectedPause = 300 * time.Millisecond
 )
 
-// The order desk runs a confirmation and dies before it has answered. Sent again,
-// it would ship two pallets; said not to have run, the caller would do that itself.
-func TestBrokenConfirmationIsNotRepeated(t *testing.T) {
+// An endpoint runs a confirmation and crashes before it has answered. If it were sent again, two
+// pallets would be shipped; if it were reported as not run, the caller would send it again itself.
+func TestBrokenNonIdempotentRequestIsNotRetried(t *testing.T) {
 	f := newFixture(t, 1)
 	var runs atomic.Int64
 	handler := func(*platformtest.Exchange) bool { runs.Add(1); return false }
@@ -196,16 +196,16 @@
 	if runs.Load() != 1 {
 		t.Errorf("%d runs", runs.Load())
 	}
-	// A look at the stock may be repeated.
+	// A lookup is idempotent and may be retried.
 	runs.Store(0)
 	if f.do(f.request("GET", "/stock/1", "")); runs.Load() != 2 {
 		t.Errorf("%d runs of an idempotent request, want both attempts", runs.Load())
 	}
 }
 
-// Something in between answers 503 without the endpoint's word that it did not
-// run the request. Passed on, it would promise the caller what nobody knows.
-func TestUnprovenRefusalIsNotPassedOn(t *testing.T) {
+// A device in between answers 503 without the endpoint's header stating that it did not run the
+// request. Passed on, it would make an unproven promise to the caller.
+func TestUnsignedRefusalIsNotPassedOn(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool {
 		x.Write("HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
@@ -217,10 +217,10 @@
 	}
 }
 
-// A faulty endpoint sends bytes that are no signed answer, or part of one. A caller
-// that gets them as its answer takes a wrong price for the right one.
-func TestSpoiledAnswersDoNotPass(t *testing.T) {
-	spoiled := map[string]string{
+// A faulty endpoint sends bytes that are not a signed response, or only part of one. A caller that
+// received them as its answer would take a wrong price for the right one.
+func TestCorruptResponsesAreNotPassedOn(t *testing.T) {
+	corrupt := map[string]string{
 		"no signature":  "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
 		"no answer":     "\x16\x03\x01 nonsense\r\n\r\n",
 		"cut short":     "HTTP/1.1 200 OK\r\nSardinedock-Response-Signature: s\r\nContent-Length: 20\r\n\r\nhalf",
@@ -231,7 +231,7 @@
 	var text atomic.Pointer[string]
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool { x.Write("%s", *text.Load()); return false })
 	f.serve(1, nil)
-	for name, s := range spoiled {
+	for name, s := range corrupt {
 		text.Store(&s)
 		if a := f.do(f.request("POST", "/confirm/1", "x")); a.status != 502 {
 			t.Errorf("%s: answer %+v", name, a)
@@ -239,9 +239,9 @@
 	}
 }
 
-// An endpoint writes a second answer to an earlier request late, where the next
-// one's is due. A counter would confirm the other customer's order.
-func TestLateAnswerOfAnotherRequestIsThrownAway(t *testing.T) {
+// An endpoint writes a late second answer to an earlier request, where the next request's answer is
+// expected. Passed on, it would confirm another customer's order.
+func TestLateAnswerToAnotherRequestIsDiscarded(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool {
 		x.Write("HTTP/1.1 200 OK\r\nSardinedock-Request-Id: other\r\nSardinedock-Response-Signature: s\r\nContent-Length: 5\r\n\r\nwrong")
@@ -256,8 +256,8 @@
 	}
 }
 
-// An endpoint has gone and another one of a different service has its address. A
-// request that runs there would run at the wrong service.
+// An endpoint was removed, and one of a different service has its address. A request sent there
+// would run at the wrong service.
 func TestReusedAddressRunsNothing(t *testing.T) {
 	f := newFixture(t, 1)
 	other := f.endpoint("new-one", "pool", func(x *platformtest.Exchange) bool { x.Answer(200, "wrong"); return true })
@@ -272,9 +272,9 @@
 	}
 }
 
-// An endpoint turns a request away because its weights have changed, and names
-// itself. Taken for an address that another endpoint has, it would get no work until
-// its entry changes, and a small pool would refuse its callers.
+// An endpoint rejects a request because its weights have changed, and states its own name. If that
+// were treated as an address reused by another endpoint, it would get no requests until its entry
+// changes, and a small pool would refuse its callers.
 func TestChangedWeightsAreNotAReusedAddress(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "pool", func(x *platformtest.Exchange) bool {
@@ -286,13 +286,13 @@
 	})
 	f.serve(1, nil)
 	f.store.Put("versions", "m", map[string]any{"model": "m", "version": 2})
-	f.eventually("the version named", func() bool { return f.instances[0].rollout.Wanted()["m"] == 2 })
+	f.eventually("the version known", func() bool { return f.instances[0].rollout.Wanted()["m"] == 2 })
 	if a := f.do(prompt(f.request("POST", "/draft/1", "p"))); a.status != 200 || a.body != events(2) {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-// stream answers with events from one on, or after the one that the request names.
+// stream answers with events from 1, or from the one after the request's Last-Event-Id.
 func stream(events int) func(*platformtest.Exchange) bool {
 	return func(x *platformtest.Exchange) bool {
 		x.StreamHead()
@@ -316,9 +316,9 @@
 	return b.String()
 }
 
-// An endpoint crashes in the middle of an event of a stream that may be resumed.
-// The caller gets every event once and in order, from whoever makes them.
-func TestResumableStreamGoesOnElsewhere(t *testing.T) {
+// An endpoint crashes in the middle of an event of a resumable stream. The caller must get every
+// event once and in order, whichever endpoint makes them.
+func TestResumableStreamIsResumedElsewhere(t *testing.T) {
 	f := newFixture(t, 1)
 	var broken atomic.Bool
 	crash := func(x *platformtest.Exchange) bool {
@@ -335,13 +335,13 @@
 	f.endpoint("e2", "pool", crash)
 	f.serve(2, nil)
 	a := f.do(prompt(f.request("POST", "/check/1", "p")))
-	if a.cut || a.status != 200 || a.body != events(6) {
+	if a.broken || a.status != 200 || a.body != events(6) {
 		t.Errorf("answer %+v", a)
 	}
 }
 
-// The same with a stream that may not be resumed: the caller has to see that it is
-// not whole, or it takes half a quotation for the whole.
+// An endpoint crashes in the middle of a stream that is not resumable. The caller must notice that
+// it is incomplete, or it would take half a quotation for the whole.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	f := newFixture(t, 1)
 	var runs atomic.Int64
@@ -356,14 +356,14 @@
 	f.endpoint("e2", "pool", crash)
 	f.serve(2, nil)
 	a := f.do(prompt(f.request("POST", "/draft/1", "p")))
-	if !a.cut || a.body != events(1) || runs.Load() != 1 {
+	if !a.broken || a.body != events(1) || runs.Load() != 1 {
 		t.Errorf("answer %+v after %d runs", a, runs.Load())
 	}
 }
 
-// A caller closes its connection before its answer comes. The endpoint has to be
-// told, or it works on for nobody and others wait.
-func TestEndpointIsToldThatTheCallerLeft(t *testing.T) {
+// A caller closes its connection before its answer arrives. The endpoint has to be notified, or it
+// works on an unwanted answer while other requests wait.
+func TestCallersDisconnectReachesTheEndpoint(t *testing.T) {
 	f := newFixture(t, 1)
 	started, ended := make(chan struct{}), make(chan time.Time, 1)
 	f.endpoint("e1", "pool", func(x *platformtest.Exchange) bool {
@@ -382,16 +382,16 @@
 	select {
 	case at := <-ended:
 		if took := at.Sub(left); took > 500*time.Millisecond {
-			t.Errorf("told after %v", took)
+			t.Errorf("connection closed after %v", took)
 		}
 	case <-time.After(wait):
-		t.Error("never told")
+		t.Error("connection not closed")
 	}
 }
 
-// An endpoint is silent. The caller gets a final answer when its route's time is
-// over, and none that promises that nothing ran.
-func TestSilentEndpointEndsWithTheRoutesTime(t *testing.T) {
+// An endpoint does not answer. The caller must get a final answer at the route's timeout, and not
+// one stating that the request did not run.
+func TestUnansweredRequestEndsAtTheRoutesTimeout(t *testing.T) {
 	f := newFixture(t, 1)
 	release := make(chan struct{})
 	defer close(release)
@@ -406,9 +406,9 @@
 	}
 }
 
-// An endpoint answers before it has read a long body and reads on later. Another
-// request on that connection would be taken for the rest of the body.
-func TestEarlyAnswerLeavesNoBytesBehind(t *testing.T) {
+// An endpoint answers before it has read a long body and reads on later. Another request sent on
+// that connection would be read as the rest of the body.
+func TestConnectionWithAnUnreadBodyIsNotReused(t *testing.T) {
 	f := newFixture(t, 1)
 	raw, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -434,12 +434,12 @@
 		}
 	}
 	if foreign.Load() > 0 {
-		t.Errorf("%d other bytes where the rest of a body was due", foreign.Load())
+		t.Errorf("%d other bytes instead of the rest of a body", foreign.Load())
 	}
 }
 
-// earlyEndpoint answers each request before it reads the body, and counts the bytes
-// in bodies that are not the body's.
+// earlyEndpoint answers each request before it reads the body, and counts the bytes read as a body
+// that do not belong to it.
 func earlyEndpoint(c net.Conn, foreign *atomic.Int64) {
 	br := bufio.NewReader(c)
 	for {
@@ -461,21 +461,21 @@
 	}
 }
 
-// A caller describes a prompt on a route to a plain service, or names no model. The log
-// line of the request must not look for cached parts that there are none of: the process
-// would end, and all its callers' requests with it.
-func TestPromptOnAPlainRouteIsServed(t *testing.T) {
+// A request has prompt headers on a route to a service without models, or names no model. Logging
+// it must not index cached parts that do not exist: the panic would end the process and all its
+// callers' requests.
+func TestPromptHeadersWithoutAModelAreServed(t *testing.T) {
 	f := newFixture(t, 1)
 	f.endpoint("e1", "orders", func(x *platformtest.Exchange) bool { x.Answer(200, "done"); return true })
 	f.endpoint("e2", "pool", stream(2))
 	f.serve(2, nil)
 	if a := f.do(prompt(f.request("POST", "/confirm/1", "x"))); a.status != 200 || a.body != "done" {
-		t.Errorf("a prompt on a plain route: %+v", a)
+		t.Errorf("prompt headers on a route without models: %+v", a)
 	}
 	req := prompt(f.request("POST", "/draft/1", "x"))
 	req.Header.Del("Sardinedock-Model")
 	if a := f.do(req); a.status != 200 {
-		t.Errorf("a prompt without a model: %+v", a)
+		t.Errorf("prompt headers without a model: %+v", a)
 	}
 	if a := f.do(f.request("POST", "/confirm/1", "x")); a.status != 200 {
 		t.Errorf("the next request: %+v", a)
--- a/hosted/shutdown.go
+++ b/hosted/shutdown.go
@@ -12,33 +12,32 @@
 )
 
 const (
-	// outOfRotation is how long the balancer goes on sending connections to an
-	// instance that is not ready any more: two missed questions, a second apart,
-	// and some room.
-	outOfRotation = 3 * time.Second
-	// endRoom is kept of the grace for closing what is left.
-	endRoom = 400 * time.Millisecond
-	// restartTime is how long a process that has ended takes until it serves again.
+	// balancerDelay is how long the load balancer goes on sending connections to an instance that
+	// is no longer ready: two failed health checks, a second apart, and a margin.
+	balancerDelay = 3 * time.Second
+	// shutdownMargin is the part of the grace period that is reserved for closing what is left.
+	shutdownMargin = 400 * time.Millisecond
+	// restartTime is how long an ended process takes until it serves again.
 	restartTime = time.Second
 )
 
-// Shutdown ends the instance: it is not ready at once, serves callers until the
-// balancer sends none, and finishes what is open within the grace.
+// Shutdown ends the instance: it becomes not ready at once, serves callers until the load balancer
+// sends no more, and finishes open requests within the grace period.
 func (i *Instance) Shutdown() {
 	began := time.Now()
 	grace := i.grace()
 	i.leaving.Store(true)
 	log.WithField("grace_ms", grace.Milliseconds()).WithField("open", i.server.Open()).Info("stopping")
-	i.toldToEnd.Store(&began)
-	i.server.Drain(began.Add(grace - endRoom))
-	// Told at once, so that others count themselves among the candidates for the
-	// lease that is given up here.
+	i.shutdownAt.Store(&began)
+	i.server.Drain(began.Add(grace - shutdownMargin))
+	// Broadcast before the release, so that others become candidates for the lease that is released
+	// here.
 	i.node.BroadcastLeaving()
 	i.lease.Stop()
 	i.lease.Release()
-	// The lease's release may have waited for a store that is away.
-	_ = clock.Sleep(context.Background(), time.Until(began.Add(i.listensOn())))
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-endRoom))
+	// The release of the lease may have waited for an unreachable store.
+	_ = clock.Sleep(context.Background(), time.Until(began.Add(i.acceptPeriod())))
+	ctx, cancel := context.WithDeadline(context.Background(), began.Add(grace-shutdownMargin))
 	defer cancel()
 	if err := i.server.Shutdown(ctx); err != nil {
 		log.WithError(err).Warn("requests cut at the end of the grace")
@@ -47,30 +46,30 @@
 	log.WithField("took_ms", time.Since(began).Milliseconds()).Info("stopped")
 }
 
-// grace is how long the platform lets a process go on that it has told to end.
+// grace returns how long the platform lets a process run after it has asked it to end.
 func (i *Instance) grace() time.Duration { return seconds(i.bounds.Load().GetGraceSeconds()) }
 
-// listensOn is how long after it was told to end an instance takes new connections.
-func (i *Instance) listensOn() time.Duration {
-	return min(outOfRotation, i.grace()/2)
+// acceptPeriod returns how long after the start of Shutdown an instance accepts new connections.
+func (i *Instance) acceptPeriod() time.Duration {
+	return min(balancerDelay, i.grace()/2)
 }
 
-// TakesAgainIn implements gateway.Peers. An instance with nothing left to finish ends once
-// it takes no more connections, and serves again soon after.
+// TakesAgainIn implements gateway.Peers. An instance with nothing left to finish exits once it
+// accepts no more connections, and serves again soon after.
 func (i *Instance) TakesAgainIn(now time.Time) time.Duration {
-	// What was told to end longer ago and is not back does not come back soon.
+	// An instance that began to shut down longer ago and is not back is not expected back soon.
 	most := i.grace() + restartTime
 	staying, first := i.node.HasRemainingPeer(now, now.Add(-most))
 	if staying {
 		return 0
 	}
-	if own := i.toldToEnd.Load(); own != nil && (first.IsZero() || own.Before(first)) {
+	if own := i.shutdownAt.Load(); own != nil && (first.IsZero() || own.Before(first)) {
 		first = *own
 	}
-	return max(first.Add(i.listensOn()+restartTime).Sub(now), 0)
+	return max(first.Add(i.acceptPeriod()+restartTime).Sub(now), 0)
 }
 
-// Kill ends the instance as a crash would: nothing is finished and nobody told.
+// Kill ends the instance as a crash would: no request is finished and no peer notified.
 func (i *Instance) Kill() {
 	if i.killed.Swap(true) {
 		return
--- a/hosted/silence_test.go
+++ b/hosted/unresponsive_test.go
@@ -9,16 +9,15 @@
 	"github.com/sardinedock/sardinedock/platform/platformtest"
 )
 
-// An engine loses its power in the middle of two streams. Its connections stay open
-// and bring nothing. A stream that may be resumed goes on at another engine before
-// its caller gives up, and the other one is not run a second time. Nothing new is
-// sent to the dark engine.
-func TestSilentEndpointIsGivenUp(t *testing.T) {
+// An endpoint loses power in the middle of two streams; its connections stay open without any data.
+// A resumable stream must continue at another endpoint before its caller gives up, and the other
+// stream must not run a second time. No new request may be sent to the unreachable endpoint.
+func TestStreamLeavesAnUnresponsiveEndpoint(t *testing.T) {
 	f := newFixture(t, 1)
 	hang := make(chan struct{})
 	t.Cleanup(func() { close(hang) })
 	var began atomic.Int64
-	dark := f.endpoint("e1", "pool", func(x *platformtest.Exchange) bool {
+	unreachable := f.endpoint("e1", "pool", func(x *platformtest.Exchange) bool {
 		x.StreamHead()
 		x.Event(1)
 		began.Add(1)
@@ -43,33 +42,33 @@
 		x.End()
 		return true
 	})
-	dark.GoDark()
+	unreachable.GoDark()
 	from := time.Now()
 	a := <-check
-	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"; a.cut || a.body != want {
-		t.Errorf("resumable stream: cut %v, %q", a.cut, a.body)
+	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"; a.broken || a.body != want {
+		t.Errorf("resumable stream: broken %v, %q", a.broken, a.body)
 	}
 	if took := time.Since(from); took > 1800*time.Millisecond {
-		t.Errorf("it went on after %v, its caller gives up after 2 s", took)
+		t.Errorf("resumed after %v, its caller gives up after 2 s", took)
 	}
-	served := dark.Served()
+	served := unreachable.Served()
 	for n := range 5 {
-		if a := f.do(prompt(f.request("POST", "/check/2", "x"))); a.cut || a.status != 200 {
-			t.Errorf("request %d after it: status %d, cut %v", n, a.status, a.cut)
+		if a := f.do(prompt(f.request("POST", "/check/2", "x"))); a.broken || a.status != 200 {
+			t.Errorf("request %d after it: status %d, broken %v", n, a.status, a.broken)
 		}
 	}
-	if dark.Served() != served || other.Served() == 0 {
-		t.Errorf("%d requests were sent to the dark engine", dark.Served()-served)
+	if unreachable.Served() != served || other.Served() == 0 {
+		t.Errorf("%d requests were sent to the unreachable endpoint", unreachable.Served()-served)
 	}
-	if a := <-draft; !a.cut || drafts.Load() != 0 {
-		t.Errorf("stream that may run once: cut %v, sent again %d times", a.cut, drafts.Load())
+	if a := <-draft; !a.broken || drafts.Load() != 0 {
+		t.Errorf("non-repeatable stream: broken %v, sent again %d times", a.broken, drafts.Load())
 	}
 }
 
-// An engine reads a long prompt and brings nothing for a second, but takes
-// connections. Given up, each long prompt would be read by one engine after the
+// An endpoint processes a long prompt and sends nothing for a second, but accepts connections. If
+// it were considered unresponsive, each long prompt would be processed by one endpoint after the
 // other.
-func TestSlowEndpointIsNotGivenUp(t *testing.T) {
+func TestSlowEndpointIsNotConsideredUnresponsive(t *testing.T) {
 	f := newFixture(t, 1)
 	slow := func(x *platformtest.Exchange) bool {
 		time.Sleep(1200 * time.Millisecond)
@@ -82,12 +81,12 @@
 	f.endpoint("e2", "pool", slow)
 	f.serve(2, nil)
 	a := f.do(prompt(f.request("POST", "/check/1", "x")))
-	if a.status != 200 || a.cut {
-		t.Errorf("status %d, cut %v", a.status, a.cut)
+	if a.status != 200 || a.broken {
+		t.Errorf("status %d, broken %v", a.status, a.broken)
 	}
 	for _, i := range f.instances {
 		if n := i.state.Endpoints("pool", time.Now()); n[0].Suspected || n[1].Suspected {
-			t.Error("an endpoint that works is in doubt")
+			t.Error("a working endpoint is suspected")
 		}
 	}
 }
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -14,17 +14,16 @@
 	"github.com/sardinedock/sardinedock/schema/gossippb"
 )
 
-// takeRecords puts newer records in force. Records that can't be used leave the
-// ones before in force.
-func (i *Instance) takeRecords(changes []directory.Change) {
+// applyRecords applies newer records. Unusable records leave the previous ones in force.
+func (i *Instance) applyRecords(changes []directory.Change) {
 	for _, c := range changes {
 		if c.Name == platform.RecordsName && !c.Deleted {
-			i.putInForce(c.Object)
+			i.setRecords(c.Object)
 		}
 	}
 }
 
-func (i *Instance) putInForce(obj objectapi.Object) {
+func (i *Instance) setRecords(obj objectapi.Object) {
 	t, err := platform.Records(obj)
 	if err != nil {
 		log.WithError(err).WithField("revision", uint64(obj.Version)).Error("records refused; those before stay in force")
@@ -54,15 +53,15 @@
 	return list
 }
 
-// takeWeights passes to the rollout which versions operators want.
-func (i *Instance) takeWeights(changes []directory.Change) {
+// applyWeights passes the versions that operators want to the rollout.
+func (i *Instance) applyWeights(changes []directory.Change) {
 	for _, c := range changes {
 		if c.Deleted {
 			continue
 		}
 		w, err := platform.Weights(c.Object)
 		if err != nil {
-			log.WithError(err).Error("weights not understood")
+			log.WithError(err).Error("weights can't be decoded")
 			continue
 		}
 		i.state.Want(time.Now(), w.Model, w.Version)
@@ -70,7 +69,7 @@
 	}
 }
 
-// pools names the services with models.
+// pools returns the models of each service that has any.
 func (i *Instance) pools() map[string][]string {
 	t := i.table.Load()
 	pools := map[string][]string{}
@@ -100,14 +99,14 @@
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, Model: model, Version: version})
 }
 
-// broadcastEntry sends the others a change that this instance's watch has brought.
+// broadcastEntry sends the others a change that this instance's watch reported.
 func (i *Instance) broadcastEntry(obj objectapi.Object, before uint64, steady bool) {
 	i.node.BroadcastEntry(&gossippb.Entry{
 		Kind: obj.Kind, Name: obj.Name, Revision: uint64(obj.Version), Deleted: obj.Deleted, Value: obj.Value, Before: before, Steady: steady,
 	})
 }
 
-// receiver takes in the messages of other instances.
+// receiver handles the messages of other instances.
 type receiver struct{ *Instance }
 
 // Started implements gossip.Handler.
@@ -154,7 +153,7 @@
 		h.state.MarkDraining(n.GetEndpoint())
 	}
 	if n.GetRate() != nil {
-		h.rates.noticed(from, n)
+		h.rates.applyNotice(from, n)
 	}
 	if len(n.GetCrashed()) == 16 {
 		h.guard.Crashed(now, [16]byte(n.GetCrashed()), n.GetEndpoint())
