--- a/hosted/change_test.go
+++ b/hosted/change_test.go
@@ -168,7 +168,7 @@
 		t.Errorf("status %d for a request during the shutdown", a.status)
 	}
 	close(release)
-	if a := <-done; a.broken || a.body != events(2) {
+	if a := <-done; a.truncated || a.body != events(2) {
 		t.Errorf("stream %+v", a)
 	}
 	select {
--- a/hosted/drain_test.go
+++ b/hosted/drain_test.go
@@ -99,9 +99,9 @@
 	go f.instances[0].Shutdown()
 	time.Sleep(sentAfter)
 	a := f.do(prompt(f.request("POST", "/draft/1", "p")))
-	if a.broken || a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || ran.Load() != 0 {
-		t.Errorf("long answer: broken %v, status %d, Retry-After %q, ran %d times; want a refusal with Retry-After",
-			a.broken, a.status, a.header.Get("Retry-After"), ran.Load())
+	if a.truncated || a.status != http.StatusServiceUnavailable || a.header.Get("Retry-After") == "" || ran.Load() != 0 {
+		t.Errorf("long answer: truncated %v, status %d, Retry-After %q, ran %d times; want a refusal with Retry-After",
+			a.truncated, a.status, a.header.Get("Retry-After"), ran.Load())
 	}
 	if a := f.do(f.request("POST", "/confirm/1", "x")); a.status != http.StatusOK {
 		t.Errorf("short answer: %+v, want it served", a)
@@ -191,8 +191,8 @@
 	f.instances[0].Shutdown()
 	select {
 	case a := <-answers:
-		if a.broken || a.status != http.StatusBadGateway {
-			t.Errorf("broken %v, status %d, want 502", a.broken, a.status)
+		if a.truncated || a.status != http.StatusBadGateway {
+			t.Errorf("truncated %v, status %d, want 502", a.truncated, a.status)
 		}
 	case <-time.After(wait):
 		t.Error("no answer")
--- a/hosted/fixture_test.go
+++ b/hosted/fixture_test.go
@@ -170,15 +170,15 @@
 	status int
 	header http.Header
 	body   string
-	// broken is set if the connection broke before the end of the response.
-	broken bool
+	// truncated is set if the connection broke before the end of the response.
+	truncated bool
 }
 
 func (f *fixture) do(req *http.Request) answer {
 	f.t.Helper()
 	resp, err := f.client.Do(req)
 	if err != nil {
-		return answer{broken: true}
+		return answer{truncated: true}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
--- a/hosted/placing_test.go
+++ b/hosted/placing_test.go
@@ -60,8 +60,8 @@
 	before := placedAlone.Get()
 	f.callers[0] = f.callers[n]
 	for range 5 {
-		if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.broken {
-			t.Fatalf("status %d, broken %v", a.status, a.broken)
+		if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.truncated {
+			t.Fatalf("status %d, truncated %v", a.status, a.truncated)
 		}
 		if a := f.do(f.request("GET", "/stock/1", "")); a.status != 200 {
 			t.Fatalf("status %d", a.status)
@@ -114,8 +114,8 @@
 	f.callers[0] = f.callers[n]
 	f.killSchedulers()
 	from := time.Now()
-	if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.broken {
-		t.Errorf("status %d, broken %v", a.status, a.broken)
+	if a := f.do(prompt(f.request("POST", "/check/1", "x"))); a.status != 200 || a.truncated {
+		t.Errorf("status %d, truncated %v", a.status, a.truncated)
 	}
 	// Allows for a busy machine.
 	if took := time.Since(from); took > maxAsks*askTimeout+time.Second {
--- a/hosted/serve_test.go
+++ b/hosted/serve_test.go
@@ -335,7 +335,7 @@
 	f.endpoint("e2", "pool", crash)
 	f.serve(2, nil)
 	a := f.do(prompt(f.request("POST", "/check/1", "p")))
-	if a.broken || a.status != 200 || a.body != events(6) {
+	if a.truncated || a.status != 200 || a.body != events(6) {
 		t.Errorf("answer %+v", a)
 	}
 }
@@ -356,7 +356,7 @@
 	f.endpoint("e2", "pool", crash)
 	f.serve(2, nil)
 	a := f.do(prompt(f.request("POST", "/draft/1", "p")))
-	if !a.broken || a.body != events(1) || runs.Load() != 1 {
+	if !a.truncated || a.body != events(1) || runs.Load() != 1 {
 		t.Errorf("answer %+v after %d runs", a, runs.Load())
 	}
 }
--- a/hosted/unresponsive_test.go
+++ b/hosted/unresponsive_test.go
@@ -45,23 +45,23 @@
 	unreachable.GoDark()
 	from := time.Now()
 	a := <-check
-	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"; a.broken || a.body != want {
-		t.Errorf("resumable stream: broken %v, %q", a.broken, a.body)
+	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"; a.truncated || a.body != want {
+		t.Errorf("resumable stream: truncated %v, %q", a.truncated, a.body)
 	}
 	if took := time.Since(from); took > 1800*time.Millisecond {
 		t.Errorf("resumed after %v, its caller gives up after 2 s", took)
 	}
 	served := unreachable.Served()
 	for n := range 5 {
-		if a := f.do(prompt(f.request("POST", "/check/2", "x"))); a.broken || a.status != 200 {
-			t.Errorf("request %d after it: status %d, broken %v", n, a.status, a.broken)
+		if a := f.do(prompt(f.request("POST", "/check/2", "x"))); a.truncated || a.status != 200 {
+			t.Errorf("request %d after it: status %d, truncated %v", n, a.status, a.truncated)
 		}
 	}
 	if unreachable.Served() != served || other.Served() == 0 {
 		t.Errorf("%d requests were sent to the unreachable endpoint", unreachable.Served()-served)
 	}
-	if a := <-draft; !a.broken || drafts.Load() != 0 {
-		t.Errorf("non-repeatable stream: broken %v, sent again %d times", a.broken, drafts.Load())
+	if a := <-draft; !a.truncated || drafts.Load() != 0 {
+		t.Errorf("non-repeatable stream: truncated %v, sent again %d times", a.truncated, drafts.Load())
 	}
 }
 
@@ -81,8 +81,8 @@
 	f.endpoint("e2", "pool", slow)
 	f.serve(2, nil)
 	a := f.do(prompt(f.request("POST", "/check/1", "x")))
-	if a.status != 200 || a.broken {
-		t.Errorf("status %d, broken %v", a.status, a.broken)
+	if a.status != 200 || a.truncated {
+		t.Errorf("status %d, truncated %v", a.status, a.truncated)
 	}
 	for _, i := range f.instances {
 		if n := i.state.Endpoints("pool", time.Now()); n[0].Suspected || n[1].Suspected {
