--- a/gateway/unresponsive.go
+++ b/gateway/unresponsive.go
@@ -130,8 +130,8 @@
 	return list
 }
 
-// WatchSilence probes unresponsive endpoints until ctx is done.
-func (s *Server) WatchSilence(ctx context.Context) {
+// ProbeUnresponsive probes unresponsive endpoints until ctx is done.
+func (s *Server) ProbeUnresponsive(ctx context.Context) {
 	for clock.Sleep(ctx, activityCheckInterval) == nil {
 		for _, a := range s.activity.startProbes(time.Now()) {
 			go s.probe(ctx, a)
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -217,7 +217,7 @@
 	go i.sweep(ctx)
 	go i.followQuotas(ctx)
 	go i.removeLost(ctx)
-	go i.server.WatchSilence(ctx)
+	go i.server.ProbeUnresponsive(ctx)
 	go i.feed.Run(ctx)
 	i.lease.Start()
 }
