--- a/gateway/unresponsive.go
+++ b/gateway/unresponsive.go
@@ -161,10 +161,10 @@
 	}
 }
 
-// Ended cancels all attempts at an endpoint's incarnation that has ended, which is known from its
+// CancelEndpoint cancels all attempts at an endpoint's incarnation that has ended, which is known from its
 // successor. Its connections may stay open without any data, and a request that must not run twice
 // would keep its caller waiting until the timeout for an answer that can't come.
-func (s *Server) Ended(endpointID string) {
+func (s *Server) CancelEndpoint(endpointID string) {
 	for _, a := range s.activity.endProbe(endpointID, time.Now()) {
 		a.cancel(errEndpointRestarted)
 	}
--- a/hosted/endpoints.go
+++ b/hosted/endpoints.go
@@ -189,7 +189,7 @@
 func (i *Instance) applyEndpoint(u update) {
 	if u.hadPrev && (!u.hasNow || u.prev.ID != u.now.ID) {
 		if u.hasNow {
-			i.server.Ended(u.prev.ID)
+			i.server.CancelEndpoint(u.prev.ID)
 		}
 		i.state.RemoveEndpoint(u.prev.ID)
 		i.relays.drop(u.prev.Address)
