--- a/gateway/server.go
+++ b/gateway/server.go
@@ -164,8 +164,8 @@
 // to finish before abortAt.
 func (s *Server) Drain(abortAt time.Time) { s.drain.Store(&policy.Drain{AbortAt: abortAt}) }
 
-// Ending reports whether Shutdown has begun.
-func (s *Server) Ending() bool { return s.shuttingDown.Load() }
+// ShuttingDown reports whether Shutdown has begun.
+func (s *Server) ShuttingDown() bool { return s.shuttingDown.Load() }
 
 // Connections returns the number of callers' connections.
 func (s *Server) Connections() int { return int(s.connections.Load()) }
--- a/hosted/drain_test.go
+++ b/hosted/drain_test.go
@@ -48,7 +48,7 @@
 		f.instances[0].Shutdown()
 		close(ended)
 	}()
-	f.eventually("the listener closed", f.instances[0].server.Ending)
+	f.eventually("the listener closed", f.instances[0].server.ShuttingDown)
 	_, _ = fmt.Fprintf(conn, "Sardinedock-Request-Id: id-1\r\nAuthorization: Bearer %s\r\nSardinedock-Model: m\r\n"+
 		"Sardinedock-Token-Usage: 1500,40\r\nSardinedock-Prompt-Prefix: c1:1000,own:500\r\nContent-Length: 1\r\n\r\nx", deskKey)
 	answer, err := http.ReadResponse(bufio.NewReader(conn), nil)
--- a/hosted/logs_test.go
+++ b/hosted/logs_test.go
@@ -90,7 +90,7 @@
 	_, _ = fmt.Fprintf(conn, head, deskHost, deskKey)
 	f.eventually("the connection of the first half counted", func() bool { return f.instances[0].server.Connections() == 1 })
 	go f.instances[0].Shutdown()
-	f.eventually("the listener closed", f.instances[0].server.Ending)
+	f.eventually("the listener closed", f.instances[0].server.ShuttingDown)
 	_, _ = fmt.Fprint(conn, "refused\r\n\r\nx")
 	if status := read(t, reader); status != http.StatusServiceUnavailable {
 		t.Fatalf("status %d, want a refusal", status)
