--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -251,7 +251,7 @@
 	if rates == nil || a.head.Mismatch || !a.head.Signed && !a.head.NotRun {
 		return
 	}
-	rates.Said(ratelimit.Statement{
+	rates.Observe(ratelimit.Statement{
 		Endpoint: a.place.Endpoint.ID, Rate: a.head.Rate, SentAt: a.sentAt, AnsweredAt: time.Now(),
 	}, a.head.RateError)
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -52,9 +52,9 @@
 
 // Rates receives the request rates that endpoints state in their responses. It must not block.
 type Rates interface {
-	// Said is called with the statement of one response. unreadable is the error if the stated rate
+	// Observe is called with the statement of one response. unreadable is the error if the stated rate
 	// could not be parsed; the statement has no rate then.
-	Said(s ratelimit.Statement, unreadable error)
+	Observe(s ratelimit.Statement, unreadable error)
 }
 
 // Config configures a Server.
--- a/hosted/rates.go
+++ b/hosted/rates.go
@@ -48,8 +48,8 @@
 	return &rates{limits: limits, notify: notify, notified: map[string]time.Time{}, unreadable: map[string]string{}}
 }
 
-// Said implements gateway.Rates.
-func (r *rates) Said(s ratelimit.Statement, unreadable error) {
+// Observe implements gateway.Rates.
+func (r *rates) Observe(s ratelimit.Statement, unreadable error) {
 	if unreadable != nil {
 		r.logUnreadable(s.Endpoint, unreadable)
 		return
