--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -72,7 +72,7 @@
 // one draining instance to the next would use up their few retries within milliseconds, although an
 // instance would accept them a second later.
 func (r *request) shutdownRetryAfter(now time.Time) time.Duration {
-	wait := r.srv.cfg.Peers.TakesAgainIn(now)
+	wait := r.srv.cfg.Peers.AvailableIn(now)
 	if r.route != nil {
 		wait = min(wait, r.patience.Sub(now)/retryShare)
 	}
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -45,9 +45,9 @@
 
 // Peers provides the expected availability of the other instances.
 type Peers interface {
-	// TakesAgainIn returns the expected time until some instance accepts requests; 0 if another one
+	// AvailableIn returns the expected time until some instance accepts requests; 0 if another one
 	// does now.
-	TakesAgainIn(now time.Time) time.Duration
+	AvailableIn(now time.Time) time.Duration
 }
 
 // Rates receives the request rates that endpoints state in their responses. It must not block.
--- a/hosted/shutdown.go
+++ b/hosted/shutdown.go
@@ -54,9 +54,9 @@
 	return min(balancerDelay, i.grace()/2)
 }
 
-// TakesAgainIn implements gateway.Peers. An instance with nothing left to finish exits once it
+// AvailableIn implements gateway.Peers. An instance with nothing left to finish exits once it
 // accepts no more connections, and serves again soon after.
-func (i *Instance) TakesAgainIn(now time.Time) time.Duration {
+func (i *Instance) AvailableIn(now time.Time) time.Duration {
 	// An instance that began to shut down longer ago and is not back is not expected back soon.
 	most := i.grace() + restartTime
 	staying, first := i.node.HasRemainingPeer(now, now.Add(-most))
