--- a/gateway/place.go
+++ b/gateway/place.go
@@ -121,9 +121,9 @@
 // warmUpPoll is the polling interval of warmUp.
 const warmUpPoll = 10 * time.Millisecond
 
-// lateRetryDelay returns the wait before a request that would be late at every endpoint is placed
-// again. It is random, so that the instances of a fleet, which see the same endpoint become idle,
-// do not all send at once.
+// lateRetryDelay returns the wait before a request that would miss its target latency at every
+// endpoint is placed again. It is random, so that the instances of a fleet, which see the same
+// endpoint become idle, do not all send at once.
 func lateRetryDelay(v balance.Decision) time.Duration {
 	least := minLateRetry
 	if v.Placement.PlacedBy != "" {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -151,7 +151,7 @@
 // awaitRecords returns the records in force, or nil if there are none within recordsWait.
 //
 // When all instances start together, callers arrive before the first read of the store has
-// finished. Refused at once, they would retry at once, and be refused for the last time.
+// finished. Refused at once, they would retry at once, be refused again and give up.
 func (s *Server) awaitRecords() *route.Table {
 	t := s.cfg.Table()
 	for until := time.Now().Add(recordsWait); t == nil && time.Now().Before(until); t = s.cfg.Table() {
--- a/hosted/drain_test.go
+++ b/hosted/drain_test.go
@@ -110,8 +110,8 @@
 
 // All instances shut down at once, as in a rollout of the fleet that is too fast. A caller that is
 // refused by one and retries at once reaches the next one that is shutting down, and has used up
-// its retries while none accepts requests. It must be told to retry when one is back, or at once if
-// another instance is not shutting down.
+// its retries while none accepts requests. Retry-After must be the time until one is back, or
+// nearly zero if another instance is not shutting down.
 func TestRetryAfterDuringShutdownDependsOnOtherInstances(t *testing.T) {
 	const sentAfter = 1300 * time.Millisecond
 	retryAfter := func(ending int) time.Duration {
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -58,7 +58,7 @@
 	sweepInterval = time.Second
 )
 
-// Instance is one running instance.
+// Instance is one gateway instance, running in this process.
 type Instance struct {
 	// settings are those of the start; bounds are those in force.
 	settings    *settingspb.Hosted
--- a/hosted/placing.go
+++ b/hosted/placing.go
@@ -44,7 +44,7 @@
 	node    *gossip.Node
 	quotas  *quota.Book
 	limits  *ratelimit.Limits
-	// reach returns for how much of the fleet this instance decides.
+	// reach is Instance.reach: this instance's share of the decisions on quotas.
 	reach func() quota.Reach
 
 	mu sync.Mutex
--- a/hosted/quotas.go
+++ b/hosted/quotas.go
@@ -68,7 +68,8 @@
 	}
 }
 
-// reach returns for how much of the fleet this instance decides.
+// reach returns with how many schedulers this instance shares the decisions on quotas, and how much
+// of the fleet it can reach.
 func (i *Instance) reach() quota.Reach {
 	r := quota.Reach{Scheduler: i.node.IsScheduler(), Peers: len(i.node.Schedulers())}
 	if r.Scheduler {
--- a/hosted/rates.go
+++ b/hosted/rates.go
@@ -84,8 +84,8 @@
 	return c
 }
 
-// noticeDue reports whether a limit has to be sent to the others again, and notes that it
-// is.
+// noticeDue reports whether an unchanged limit has to be broadcast again, and if so records that it
+// was.
 func (r *rates) noticeDue(s ratelimit.Statement) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/hosted/serve_test.go
+++ b/hosted/serve_test.go
@@ -111,7 +111,7 @@
 }
 
 // Callers reach an instance that has just started and not read the records yet. Refused at once,
-// they would retry at once, and be refused for the last time.
+// they would retry at once, be refused again and give up.
 func TestFirstRequestsWaitForTheRecords(t *testing.T) {
 	f := newFixture(t, 1)
 	a := f.do(f.request("GET", "/stock/1", ""))
