--- a/entry/recover.go
+++ b/entry/recover.go
@@ -114,7 +114,7 @@
 // false negative would let a request that crashes endpoints move on to the next one. Timeouts
 // are excluded: the request may never have arrived on an unresponsive connection.
 func (a *answer) mayHaveRestarted(cause error) bool {
-	return a.run.incarnation == 0 && !endpoint.Silent(cause)
+	return a.run.incarnation == 0 && !endpoint.IsTimeout(cause)
 }
 
 // probeEngine queries the state of the engine on a new connection and returns engineDied or
--- a/entry/service.go
+++ b/entry/service.go
@@ -58,7 +58,7 @@
 		Fresh:  nonIdempotent,
 		// Used only for idempotent calls: only a call that may run twice may be abandoned
 		// because of a timeout alone.
-		ReusedSilence: s.silenceTimeout(),
+		ReusedReadTimeout: s.silenceTimeout(),
 	}
 	c.claimGuard = s.newClaimGuard(c.tracker, key, claim.Request{
 		Key:     claim.NewKey(organisation, key),
@@ -159,7 +159,7 @@
 func (c *serviceCall) sendTo(address string) (*endpoint.ServiceAnswer, error) {
 	service := c.srv.cfg.DialService(address)
 	a, err := c.sendOnce(service, c.request)
-	if err == nil || !endpoint.Silent(err) || !c.maySendAgain(err) {
+	if err == nil || !endpoint.IsTimeout(err) || !c.maySendAgain(err) {
 		return a, err
 	}
 	fresh := c.request
--- a/gateway/unresponsive.go
+++ b/gateway/unresponsive.go
@@ -143,7 +143,7 @@
 // while, and the attempts there whose requests may be repeated or resumed are cancelled.
 func (s *Server) probe(ctx context.Context, a *attempt) {
 	e := a.place.Endpoint
-	err := s.cfg.Relay(e.Address).Reach(ctx)
+	err := s.cfg.Relay(e.Address).Probe(ctx)
 	now := time.Now()
 	attempts := s.activity.endProbe(e.ID, now)
 	if err == nil || ctx.Err() != nil {
--- a/hosted/unresponsive_test.go
+++ b/hosted/unresponsive_test.go
@@ -42,7 +42,7 @@
 		x.End()
 		return true
 	})
-	unreachable.GoDark()
+	unreachable.RefuseConnections()
 	from := time.Now()
 	a := <-check
 	if want := "id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\n"; a.truncated || a.body != want {
--- a/instance/kept.go
+++ b/instance/kept.go
@@ -8,9 +8,9 @@
 	"github.com/sardinedock/sardinedock/kept"
 )
 
-// newKept returns the duty that has shared prefixes kept in the KV store.
-func (i *Instance) newKept() *kept.Keeper {
-	return kept.NewKeeper(kept.Config{
+// newPrefixKeeper returns the component that has engines save shared prefixes to the KV store.
+func (i *Instance) newPrefixKeeper() *kept.Coordinator {
+	return kept.NewCoordinator(kept.Config{
 		Clock:   clock.System{},
 		Dial:    func(address string) kept.Engine { return i.clients.Engine(address) },
 		Publish: func(_ context.Context, p kept.Prefix, ttl time.Duration) { i.peers.placer.PublishKept(p, ttl) },
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -79,8 +79,8 @@
 }
 
 // keeperOf holds records of organisations as they are in the object API.
-func keeperOf(n int) *record.Keeper {
-	k := record.NewKeeper(clock.System{})
+func keeperOf(n int) *record.Registry {
+	k := record.NewRegistry(clock.System{})
 	var items []record.Item
 	for i := range n {
 		name := fmt.Sprintf("customer-%04d", i)
--- a/soak/pool_test.go
+++ b/soak/pool_test.go
@@ -246,7 +246,7 @@
 	for entry := range strings.SplitSeq(c.parts, ",") {
 		part, tokens, _ := strings.Cut(entry, ":")
 		n, _ := strconv.ParseInt(tokens, 10, 64)
-		x.engine.Cached(scope, part, n)
+		x.engine.AddToCache(scope, part, n)
 	}
 }
 
@@ -302,7 +302,7 @@
 		return true
 	}
 	for range longSteps {
-		if e.CallerGone(eventPause) {
+		if e.CallerClosed(eventPause) {
 			return false
 		}
 	}
@@ -319,7 +319,7 @@
 	x.soak.ledger.made(c, signature, "", 200)
 	e.SignedStreamHead(signature)
 	for n := last + 1; n <= eventsOf(c.kind); n++ {
-		if e.CallerGone(eventPause) {
+		if e.CallerClosed(eventPause) {
 			return false
 		}
 		if m == garbling && n > 2 {
