--- a/demo/driver.go
+++ b/demo/driver.go
@@ -187,6 +187,8 @@
 	return d.resends
 }
 
+// rng returns the random generator for the sends of a request: stream 0 is for the first send and
+// its resends, stream 1 for a second send that is concurrent with the first.
 func (d *driver) rng(r *request, stream uint64) *rand.Rand {
 	return rand.New(rand.NewPCG(uint64(d.workload.load.GetSeed())<<8+stream, uint64(r.number)))
 }
--- a/demo/fleet.go
+++ b/demo/fleet.go
@@ -21,7 +21,7 @@
 // stopTimeout bounds the graceful shutdown of the instances.
 const stopTimeout = 20 * time.Second
 
-// fleet runs the instances of a run and acts as the load balancer in front of them.
+// fleet is the instances of a run and the load balancer in front of them.
 type fleet struct {
 	store       *emulator.Store
 	dataCentres []string
--- a/emulator/engine_test.go
+++ b/emulator/engine_test.go
@@ -132,9 +132,9 @@
 	if got := fmt.Sprint(ids); got != want {
 		t.Fatalf("pieces %s, want %s", got, want)
 	}
-	_, again := post(t, "http://"+e.Addr()+"/v1/streams/req/resume", http.Header{"Last-Event-Id": {"req/1"}}, "")
-	if len(again) != 4 || again[0].id != "req/2" {
-		t.Fatalf("events after resuming: %v", again)
+	_, resumed := post(t, "http://"+e.Addr()+"/v1/streams/req/resume", http.Header{"Last-Event-Id": {"req/1"}}, "")
+	if len(resumed) != 4 || resumed[0].id != "req/2" {
+		t.Fatalf("events after resuming: %v", resumed)
 	}
 }
 
--- a/emulator/enginefaults.go
+++ b/emulator/enginefaults.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// pieceFault returns the fault for the next piece and decrements the counter that it came from.
+// pieceFault returns the fault for the next piece. Faults with a counter come first and decrement
+// it; otherwise the fault is drawn by the shares.
 func (e *Engine) pieceFault() pieceFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/emulator/job.go
+++ b/emulator/job.go
@@ -189,14 +189,14 @@
 	e.count(j, TokenStats{PromptTokens: j.prompt, CachedTokens: j.cached})
 	e.stats.StaleBlocks += stale
 	e.mu.Unlock()
-	again := e.cfg.Shared.Blocks.compute(j.blocks[depth:])
+	recomputed := e.cfg.Shared.Blocks.compute(j.blocks[depth:])
 	seconds := float64(j.prompt-j.cached) / e.cfg.PrefillRate
 	if !e.compute(time.Duration(seconds*float64(time.Second)), j.stop) {
 		return false
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.count(j, TokenStats{RecomputedTokens: int64(again * e.cfg.BlockTokens)})
+	e.count(j, TokenStats{RecomputedTokens: int64(recomputed * e.cfg.BlockTokens)})
 	e.store(p, j.blocks, j.origin)
 	return true
 }
--- a/emulator/ledger.go
+++ b/emulator/ledger.go
@@ -120,13 +120,13 @@
 func (l *BlockLedger) compute(blocks []prefix.Hash) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	again := 0
+	recomputed := 0
 	for _, b := range blocks {
 		if _, ok := l.seen[b]; ok {
-			again++
+			recomputed++
 		} else if len(l.seen) < ledgerLimit {
 			l.seen[b] = struct{}{}
 		}
 	}
-	return again
+	return recomputed
 }
--- a/emulator/storewatch.go
+++ b/emulator/storewatch.go
@@ -74,6 +74,7 @@
 	}
 }
 
+// heartbeat writes an empty line. It reports whether the write succeeded.
 func heartbeat(w *bufio.Writer) bool {
 	_, _ = w.WriteString("\n")
 	return w.Flush() == nil
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -25,7 +25,7 @@
 	}
 	l.Finish()
 	if len(l.Requests) != 5 || l.Truncated != 1 || l.Dropped != 7 {
-		t.Fatalf("%d requests, %d broken lines, %d dropped", len(l.Requests), l.Truncated, l.Dropped)
+		t.Fatalf("%d requests, %d truncated lines, %d dropped", len(l.Requests), l.Truncated, l.Dropped)
 	}
 	if len(l.Unfinished) != 1 || l.Unfinished[0] != "a" {
 		t.Errorf("Unfinished is %v, want [a]", l.Unfinished)
--- a/internal/slopes/exchange.go
+++ b/internal/slopes/exchange.go
@@ -99,7 +99,8 @@
 	return nodes, nil
 }
 
-// syntheticItems returns items for endpoints and records, of the sizes at the target.
+// syntheticItems returns items for endpoints and records, of the sizes that they have in the target
+// fleet.
 func syntheticItems(endpoints, records int) []exchange.Item {
 	var items []exchange.Item
 	for i := range endpoints {
--- a/internal/slopes/instance.go
+++ b/internal/slopes/instance.go
@@ -19,7 +19,7 @@
 	maxWithEngines = 8
 )
 
-// enginesPerInstance is the number of engines that each instance owns at the target.
+// enginesPerInstance is the number of engines that each instance owns in the target fleet.
 const enginesPerInstance = 7
 
 // measureInstance measures complete instances without callers: the cost of a process and its
--- a/internal/slopes/owner.go
+++ b/internal/slopes/owner.go
@@ -24,11 +24,11 @@
 	fmt.Fprintf(out, "an owner of 7 endpoints, 64 blocks a prompt, %d blocks a cache event\n", eventBlocks)
 	fmt.Fprintf(out, "%14s %16s %14s %16s\n", "blocks known", "us a request", "us an event", "us a tick")
 	for _, blocks := range []int{1000, 16000, 150000} {
-		b := registryOf(7, blocks)
+		r := registryOf(7, blocks)
 		now := time.Now()
-		request := microsecondsPerCall(ownerRounds, func(i int) { askFirstTokenEnd(b, now, i) })
-		event := microsecondsPerCall(ownerRounds, func(i int) { cacheEvent(b, i) })
-		tick := microsecondsPerCall(ownerRounds, func(int) { b.Tick(now) })
+		request := microsecondsPerCall(ownerRounds, func(i int) { askFirstTokenEnd(r, now, i) })
+		event := microsecondsPerCall(ownerRounds, func(i int) { cacheEvent(r, i) })
+		tick := microsecondsPerCall(ownerRounds, func(int) { r.Tick(now) })
 		fmt.Fprintf(out, "%14d %16.2f %14.2f %16.2f\n", blocks, request, event, tick)
 	}
 	decode, err := timeDecode()
@@ -68,18 +68,18 @@
 }
 
 // askFirstTokenEnd runs all the owner's operations for one request.
-func askFirstTokenEnd(b *owner.Registry, now time.Time, i int) {
+func askFirstTokenEnd(r *owner.Registry, now time.Time, i int) {
 	name := fmt.Sprintf("engine-%d", i%7)
-	d := b.Ask(now, owner.Ask{
+	d := r.Ask(now, owner.Ask{
 		Caller: "entry", RequestID: fmt.Sprint(i), Organisation: "accra", Blocks: promptBlocks(64, i), PromptTokens: 64 * blockTokens,
 		Deadline: now.Add(time.Minute),
 	}, []string{name})
-	e := b.Endpoint(name)
+	e := r.Endpoint(name)
 	e.FirstToken(now, d.Offer.GrantID, 0, time.Millisecond)
 	e.End(now, owner.End{GrantID: d.Offer.GrantID, Outcome: owner.Done})
 }
 
-func cacheEvent(b *owner.Registry, i int) {
+func cacheEvent(r *owner.Registry, i int) {
 	blocks := make([]prefix.Hash, eventBlocks)
 	for k := range blocks {
 		blocks[k] = promptBlocks(1, i*eventBlocks+k)[0]
@@ -88,5 +88,5 @@
 	if i%2 == 1 {
 		op = owner.CacheEvict
 	}
-	b.Endpoint(fmt.Sprintf("engine-%d", i%7)).CacheEvent(owner.CacheEvent{Seq: uint64(i/7 + 2), Incarnation: 1, Op: op, Blocks: blocks})
+	r.Endpoint(fmt.Sprintf("engine-%d", i%7)).CacheEvent(owner.CacheEvent{Seq: uint64(i/7 + 2), Incarnation: 1, Op: op, Blocks: blocks})
 }
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -1,6 +1,6 @@
 // Package slopes measures how the resource costs of the communication between instances grow with
 // the size of the fleet. All instances run in one process, over real loopback connections.
-// docs/CAPACITY.md extrapolates the target size from these figures.
+// docs/CAPACITY.md sizes the target fleet from these figures.
 package slopes
 
 import (
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -67,20 +67,20 @@
 }
 
 func registryOf(endpoints, blocks int) *owner.Registry {
-	b := owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute})
+	r := owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute})
 	now := time.Now()
 	for e := range endpoints {
 		name := fmt.Sprintf("engine-%d", e)
-		o := b.Add(owner.Config{Name: name, Slots: 64, BlockTokens: blockTokens, CacheBlocks: int64(blocks), PrefillTokensPerSecond: 20000})
+		o := r.Add(owner.Config{Name: name, Slots: 64, BlockTokens: blockTokens, CacheBlocks: int64(blocks), PrefillTokensPerSecond: 20000})
 		o.Status(now, fleetpb.EndpointStatus_ENDPOINT_STATUS_LIVE, 1)
 		o.CacheEvent(owner.CacheEvent{Seq: 1, Incarnation: 1, Op: owner.CacheStore, Blocks: promptBlocks(blocks, e)})
 	}
-	return b
+	return r
 }
 
 // recordsOf returns a registry with n records of organisations, encoded as in the object API.
 func recordsOf(n int) *record.Registry {
-	k := record.NewRegistry(clock.System{})
+	registry := record.NewRegistry(clock.System{})
 	var items []record.Item
 	for i := range n {
 		name := fmt.Sprintf("customer-%04d", i)
@@ -90,9 +90,9 @@
 		value, _ := record.Marshal(r)
 		items = append(items, record.Item{Kind: record.Organisations, Name: name, Version: uint64(i + 1), Value: value})
 	}
-	k.Offer(items...)
-	k.SetComplete()
-	return k
+	registry.Offer(items...)
+	registry.SetComplete()
+	return registry
 }
 
 // placementOf returns the placement of an instance that knows a pool of n endpoints.
--- a/internal/yamlpb/yamlpb.go
+++ b/internal/yamlpb/yamlpb.go
@@ -38,8 +38,8 @@
 	return b.String()
 }
 
-// DecodeOne decodes a YAML file with exactly one document. For any other number of documents it
-// returns a nil message and a fault with the given remedy.
+// DecodeOne decodes a YAML file with exactly one document, as Decode does. For any other number of
+// documents it returns a nil message and adds a fault with the given remedy.
 func DecodeOne[M proto.Message](data []byte, newMessage func() M, remedy string) (M, []Fault) {
 	documents, faults := Decode(data, func() proto.Message { return newMessage() })
 	if len(documents) != 1 {
@@ -49,8 +49,8 @@
 	return documents[0].(M), faults
 }
 
-// Decode decodes the documents of a YAML file, each into a message from newMessage. If there are
-// faults, the messages are incomplete and must not be used.
+// Decode decodes the documents of a YAML file, each into a message from newMessage. Messages are
+// returned even if there are faults, but must not be used then.
 func Decode(data []byte, newMessage func() proto.Message) ([]proto.Message, []Fault) {
 	file, err := parser.ParseBytes(data, 0)
 	if err != nil {
--- a/soak/checker_test.go
+++ b/soak/checker_test.go
@@ -162,9 +162,9 @@
 	c.answers[signature], c.statuses[signature] = body, status
 }
 
-// cachedUnder checks the cache salt of a request: one salt must not be used for two versions, nor
+// checkCacheSalt checks the cache salt of a request: one salt must not be used for two versions, nor
 // by an isolated organisation and others.
-func (ck *checker) cachedUnder(scope string, use scopeUse) {
+func (ck *checker) checkCacheSalt(scope string, use scopeUse) {
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
 	before, ok := ck.scopes[scope]
@@ -218,7 +218,7 @@
 	ck.mu.Lock()
 	defer ck.mu.Unlock()
 	if c.runs > 0 {
-		ck.addViolationLocked("LOST: %s ran and its connection ended without an answer (told to end: %v)", c.id, stopping)
+		ck.addViolationLocked("LOST: %s ran and its connection ended without an answer (terminating: %v)", c.id, stopping)
 	}
 }
 
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -202,7 +202,7 @@
 
 func (s *soak) pickInstance(rng *rand.Rand) *instance { return s.instances[rng.IntN(len(s.instances))] }
 
-// disturbInstance calls do with a random instance and records the time of the disturbance.
+// disturbInstance calls run with a random instance and records the time of the disturbance.
 func (s *soak) disturbInstance(rng *rand.Rand, run func(*instance)) {
 	i := s.pickInstance(rng)
 	end := i.faults.begin()
@@ -210,7 +210,7 @@
 	end()
 }
 
-// disturbStore calls do and records its time as a disturbance of all instances.
+// disturbStore calls run and records its time as a disturbance of all instances.
 func (s *soak) disturbStore(run func()) {
 	var ends []func()
 	for _, i := range s.instances {
@@ -222,7 +222,7 @@
 	}
 }
 
-// disturbEndpoint calls do with a random endpoint and records the time of the fault.
+// disturbEndpoint calls run with a random endpoint and records the time of the fault.
 func (s *soak) disturbEndpoint(rng *rand.Rand, run func(*server)) {
 	end := s.endpointFaults.begin()
 	run(s.pickServer(rng))
@@ -230,8 +230,8 @@
 }
 
 // impairFor impairs a link for the given duration.
-func (s *soak) impairFor(l *link, h impairment, duration time.Duration) {
-	l.set(h)
+func (s *soak) impairFor(l *link, i impairment, duration time.Duration) {
+	l.set(i)
 	time.Sleep(duration)
 	l.set(impairment{})
 }
--- a/soak/fleet_test.go
+++ b/soak/fleet_test.go
@@ -168,8 +168,7 @@
 	go i.watch(cmd, i.exited)
 }
 
-// watch reports a process that exits without having been told to, since its open requests are
-// lost.
+// watch reports a process that exits without SIGTERM or SIGKILL, since its open requests are lost.
 func (i *instance) watch(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	i.mu.Lock()
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -67,10 +67,10 @@
 }
 
 // set replaces the link's impairment.
-func (l *link) set(h impairment) {
+func (l *link) set(i impairment) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.impairment = h
+	l.impairment = i
 }
 
 // blackhole makes all connections that are open now drop all further data.
@@ -82,13 +82,13 @@
 	}
 }
 
-// reset resets every n-th open connection, n being every: all with 1, half of them with 2.
-func (l *link) reset(every int) {
+// reset resets one in oneIn of the open connections: all if oneIn is 1, half of them if it is 2.
+func (l *link) reset(oneIn int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for p := range l.conns {
-		if n++; n%every == 0 {
+		if n++; n%oneIn == 0 {
 			abort(p.caller)
 			abort(p.target)
 		}
@@ -143,8 +143,8 @@
 	l.mu.Unlock()
 }
 
-// forwardBytes copies data in one direction until either end closes or resets, and then closes
-// both. up is the direction to the target.
+// forwardBytes copies data in one direction until either end closes or resets. It then closes both,
+// unless the link drops the connection's data. up is the direction to the target.
 func (l *link) forwardBytes(p *proxiedConn, from, to net.Conn, up bool) {
 	buf := make([]byte, 32<<10)
 	for {
@@ -172,12 +172,12 @@
 // delayOrDrop waits for the link's delay and reports whether the data is to be dropped.
 func (l *link) delayOrDrop(p *proxiedConn, up bool) (dropped bool) {
 	l.mu.Lock()
-	h, blackholed := l.impairment, p.blackholed
+	i, blackholed := l.impairment, p.blackholed
 	l.mu.Unlock()
-	if h.delay > 0 {
-		time.Sleep(h.delay)
+	if i.delay > 0 {
+		time.Sleep(i.delay)
 	}
-	if blackholed || up && h.cutUp || !up && h.cutDown {
+	if blackholed || up && i.cutUp || !up && i.cutDown {
 		// TCP never delivers a stream with bytes missing, so drop everything from now on.
 		l.mu.Lock()
 		p.blackholed = true
--- a/soak/pool_test.go
+++ b/soak/pool_test.go
@@ -50,7 +50,7 @@
 	behaviours
 )
 
-// server is one incarnation of an endpoint, behind a link.
+// server is one endpoint, behind a link. It may restart under the same id.
 type server struct {
 	*platformtest.Endpoint
 	soak      *soak
@@ -153,8 +153,8 @@
 }
 
 // behaveFor changes the endpoint's behaviour for the given duration.
-func (x *server) behaveFor(m behaviour, duration time.Duration) {
-	x.behaviour.Store(int32(m))
+func (x *server) behaveFor(b behaviour, duration time.Duration) {
+	x.behaviour.Store(int32(b))
 	time.Sleep(duration)
 	x.behaviour.Store(int32(normal))
 }
@@ -242,7 +242,7 @@
 	if c.organisation == isolatedOrg {
 		use.isolatedFor = isolatedOrg
 	}
-	x.soak.checker.cachedUnder(scope, use)
+	x.soak.checker.checkCacheSalt(scope, use)
 	for entry := range strings.SplitSeq(c.parts, ",") {
 		part, tokens, _ := strings.Cut(entry, ":")
 		n, _ := strconv.ParseInt(tokens, 10, 64)
@@ -252,7 +252,7 @@
 
 func (x *server) signature() string { return fmt.Sprintf("%s.%d", x.ID, x.nextRun.Add(1)) }
 
-// One in longRequestOneIn requests takes long.
+// longRequestOneIn is the number of requests of which one, on average, takes long.
 const longRequestOneIn = 6
 
 // workTime returns the time to run a plain request: usually short, sometimes long, so that faults
--- a/soak/quotas_test.go
+++ b/soak/quotas_test.go
@@ -23,14 +23,14 @@
 	quotaSlack     = 15_000
 )
 
-// limited reports whether the organisation has a quota in this run.
-func (s *soak) limited(organisation string) bool {
+// hasQuota reports whether the organisation has a quota in this run.
+func (s *soak) hasQuota(organisation string) bool {
 	return s.seed >= firstQuotaSeed && organisation == isolatedOrg
 }
 
 // addQuota adds the quota, if any, to an organisation's record.
 func (s *soak) addQuota(organisation string, record map[string]any) {
-	if s.limited(organisation) {
+	if s.hasQuota(organisation) {
 		record["unit"], record["ratePerS"], record["burst"], record["plainTokens"] = "token_stream", quotaRate, quotaBurst, plainTokens
 	}
 }
@@ -43,7 +43,7 @@
 	}
 	var runs []run
 	for _, c := range calls {
-		if !s.limited(c.organisation) {
+		if !s.hasQuota(c.organisation) {
 			continue
 		}
 		cost := float64(plainTokens)
@@ -55,7 +55,7 @@
 		}
 	}
 	slices.SortFunc(runs, func(a, b run) int { return a.at.Compare(b.at) })
-	const most = (quotaRate*8+quotaBurst)*(1+quotaTolerance) + quotaSlack
+	const allowed = (quotaRate*8+quotaBurst)*(1+quotaTolerance) + quotaSlack
 	sum, first := 0.0, 0
 	for _, r := range runs {
 		sum += r.cost
@@ -63,8 +63,8 @@
 			sum -= runs[first].cost
 			first++
 		}
-		if sum > most {
-			s.checker.addViolation("QUOTA: %.0f tokens of %s ran in 8 s until %s, %.0f are allowed", sum, isolatedOrg, r.at.Format("05.000"), float64(most))
+		if sum > allowed {
+			s.checker.addViolation("QUOTA: %.0f tokens of %s ran in 8 s until %s, %.0f are allowed", sum, isolatedOrg, r.at.Format("05.000"), float64(allowed))
 			return
 		}
 	}
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -138,13 +138,13 @@
 	s := &soak{seed: seed, checker: newChecker(), servers: map[string]*server{}, records: newRecords()}
 	s.publishedVersion.Store(1)
 	s.setUp(t, binary, dir)
-	stop := s.startCallers()
+	waitCallers := s.startCallers()
 	time.Sleep(warmUp)
 	s.injectFaults(t, rng)
 	s.runPlannedWork()
 	stableSince := time.Now().Add(-stableWindow)
 	s.callersStop.Store(true)
-	stop()
+	waitCallers()
 	s.checkEnd(stableSince)
 	s.checkLogLines(stableSince)
 	s.tearDown()
@@ -245,35 +245,35 @@
 // checkEnd checks the guarantees that have to hold at the end of a run.
 func (s *soak) checkEnd(stableSince time.Time) {
 	ck := s.checker
-	served, sent, extra := 0, 0, 0
+	served, sent, repeats := 0, 0, 0
 	calls := s.checker.finalCalls()
 	s.checkQuota(calls)
 	for _, c := range calls {
 		// Requests with a dropped key are expected to be rejected.
-		if c.sentAt.After(stableSince) && c.leftAt.IsZero() && !s.dropped(c.key) && !(s.limited(c.organisation) && c.refused == 429) {
+		if c.sentAt.After(stableSince) && c.leftAt.IsZero() && !s.dropped(c.key) && !(s.hasQuota(c.organisation) && c.refused == 429) {
 			sent++
 			if len(c.answers) > 0 {
 				served++
 			}
 		}
-		extra += max(0, c.arrivals-1)
+		repeats += max(0, c.arrivals-1)
 		if !c.leftAt.IsZero() {
 			s.checkAbandoned(&c)
 		}
 	}
 	if float64(served) < minServedRatio*float64(sent) || sent == 0 {
-		ck.addViolation("RECOVER: %d of %d requests served once all was calm", served, sent)
+		ck.addViolation("RECOVER: %d of %d requests served after recovery", served, sent)
 	}
 	windows := (warmUp+faultPhase+recoveryTime).Seconds()/retryWindow + 1
-	if most := retryRatio*float64(len(ck.calls)) + retrySlack*windows; float64(extra) > most {
-		ck.addViolation("BUDGET: %d repeats, %.0f are allowed", extra, most)
+	if allowed := retryRatio*float64(len(ck.calls)) + retrySlack*windows; float64(repeats) > allowed {
+		ck.addViolation("BUDGET: %d repeats, %.0f are allowed", repeats, allowed)
 	}
 	for _, x := range s.liveServers() {
 		if x.engine == nil {
 			continue
 		}
 		if v, _ := x.engine.Version(); v < s.publishedVersion.Load() {
-			ck.addViolation("VERSION: %s holds version %d at the end, %d is named", x.ID, v, s.publishedVersion.Load())
+			ck.addViolation("VERSION: %s holds version %d at the end, %d is published", x.ID, v, s.publishedVersion.Load())
 		}
 		if n := x.engine.FenceConflicts(); n > 0 {
 			ck.addViolation("ONE: %s got %d orders of a second holder under one fence", x.ID, n)
