--- a/soak/pool_test.go
+++ b/soak/pool_test.go
@@ -259,11 +259,11 @@
 // occur while requests run.
 func (s *soak) workTime(c *call) time.Duration {
 	rng := s.requestRand(c)
-	least, more := 5*time.Millisecond, 25*time.Millisecond
+	shortest, spread := 5*time.Millisecond, 25*time.Millisecond
 	if rng.IntN(longRequestOneIn) == 0 {
-		least, more = 50*time.Millisecond, 250*time.Millisecond
+		shortest, spread = 50*time.Millisecond, 250*time.Millisecond
 	}
-	return least + time.Duration(rng.Int64N(int64(more)))
+	return shortest + time.Duration(rng.Int64N(int64(spread)))
 }
 
 // requestRand returns a generator that depends on the run's seed and the request, but not on the
@@ -273,21 +273,21 @@
 }
 
 // answer sends a complete response with a body.
-func (x *server) answer(c *call, e *platformtest.Exchange, m behaviour) bool {
+func (x *server) answer(c *call, e *platformtest.Exchange, b behaviour) bool {
 	time.Sleep(x.soak.workTime(c))
 	status, signature := 200, x.signature()
-	if m == failing {
+	if b == failing {
 		status = 500
 	}
 	body := fmt.Sprintf("answer to %s by %s", c.id, signature)
 	x.soak.checker.responded(c, signature, body, status)
 	e.Head(status, signature, len(body))
-	if m == garbling {
+	if b == garbling {
 		e.Write("%s", body[:len(body)/2])
 		return false
 	}
 	e.Write("%s", body)
-	if m == doubling {
+	if b == doubling {
 		e.Head(status, signature, len(body))
 		e.Write("%s", body)
 	}
@@ -311,7 +311,7 @@
 }
 
 // stream answers with the events after the last one that the caller has received.
-func (x *server) stream(c *call, e *platformtest.Exchange, m behaviour) bool {
+func (x *server) stream(c *call, e *platformtest.Exchange, b behaviour) bool {
 	if !x.readPrompt(c, e) {
 		return false
 	}
@@ -323,7 +323,7 @@
 		if e.CallerClosed(eventPause) {
 			return false
 		}
-		if m == garbling && n > 2 {
+		if b == garbling && n > 2 {
 			e.Chunk(eventText(c.id, n)[:5])
 			return false
 		}
