--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -116,8 +116,8 @@
 	return list
 }
 
-// related reports whether a line about something else may explain the request's outcome: about
-// its endpoint, or about the records, the store, the lease, the start or the stop of its
+// related reports whether another line may explain the request's outcome: a line about the same
+// request or its endpoint, or about the records, the store, the lease, the start or the stop of its
 // instance.
 func related(e, request logEntry) bool {
 	if e.stringField("event") == "request" {
