--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -232,7 +232,7 @@
 	cfg, id := a.req.srv.cfg, a.place.Endpoint.ID
 	switch {
 	case a.head.Mismatch && a.head.Answerer != "" && a.head.Answerer != a.place.Endpoint.Name:
-		log.WithField("endpoint", id).WithField("address", a.place.Endpoint.Address).Info("endpoint replaced: another one answers at its address")
+		log.WithField("endpoint", id).WithField("address", a.place.Endpoint.Address).Info("endpoint gone: another one answers at its address")
 		cfg.State.MarkDraining(id)
 		cfg.Broadcaster.BroadcastNotice(&gossippb.Notice{Endpoint: id, Leaving: true})
 	case a.head.Mismatch && a.req.service.Engine != nil:
--- a/hosted/endpoints.go
+++ b/hosted/endpoints.go
@@ -177,9 +177,9 @@
 	case added:
 		about(u.now).Info("endpoint listed")
 	case removed:
-		about(u.prev).Info("endpoint no longer listed")
+		about(u.prev).Info("endpoint gone from the list")
 	case draining:
-		about(u.now).Info("endpoint is draining")
+		about(u.now).Info("endpoint drains")
 	case restarted:
 		about(u.now).WithField("before", u.prev.ID).Info("endpoint has started again")
 	}
