--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -77,7 +77,7 @@
 	followers   map[string]*directory.Follower
 	rollout     *rollout.Hosted
 	feed        *cachefeed.Feed
-	lease       *lease.Duty
+	lease       *lease.Manager
 	server      *gateway.Server
 	cancel      context.CancelFunc
 	// entries and peers are decoded from the store's objects; only their followers use them.
@@ -188,7 +188,7 @@
 func (i *Instance) startTasks() {
 	ctx, cancel := context.WithCancel(context.Background())
 	i.cancel = cancel
-	i.lease = lease.NewDuty(lease.Config{
+	i.lease = lease.NewManager(lease.Config{
 		Store: i.store, Name: leaseName, Self: i.settings.GetInstance(),
 		Length:    milliseconds(i.settings.GetBounds().GetLeaseMs()),
 		Candidate: i.isCandidate,
--- a/instance/pools.go
+++ b/instance/pools.go
@@ -24,8 +24,8 @@
 // leased holds the tasks that the holder of one lease runs. rollout is nil for the fleet's
 // lease.
 type leased struct {
-	lease   *lease.Duty
-	rollout *rollout.Duty
+	lease   *lease.Manager
+	rollout *rollout.Manager
 	status  *status.Writer
 	// preserver is set for the fleet's lease only.
 	preserver *record.Preserver
@@ -123,7 +123,7 @@
 	}
 	i := m.instance
 	l := &leased{}
-	l.lease = lease.NewDuty(lease.Config{
+	l.lease = lease.NewManager(lease.Config{
 		Store: i.store, Name: name, Self: i.name(),
 		Length: time.Duration(i.settings.GetPlatform().GetLeaseMs()) * time.Millisecond,
 		Candidate: func() bool {
@@ -134,7 +134,7 @@
 	if pool == "" {
 		l.preserver = record.NewPreserver(i.store, i.registry, l.lease)
 	} else {
-		l.rollout = rollout.NewDuty(rollout.Config{
+		l.rollout = rollout.NewManager(rollout.Config{
 			Pool: pool, Lease: l.lease, Records: i.registry.Snapshot,
 			Dial: func(addr string) rollout.Engine { return i.clients.Engine(addr) },
 		})
--- a/lease/duty.go
+++ b/lease/manager.go
@@ -32,7 +32,7 @@
 	failsTotal = metrics.GetOrCreateCounter("sardinedock_lease_failures_total")
 )
 
-// Config configures a Duty.
+// Config configures a Manager.
 type Config struct {
 	Store objectapi.Store
 	// Name is the name of the lease object.
@@ -48,9 +48,9 @@
 	Candidate func() bool
 }
 
-// Duty acquires a lease and renews it in a goroutine of its own. Held may be called from
+// Manager acquires a lease and renews it in a goroutine of its own. Held may be called from
 // any goroutine.
-type Duty struct {
+type Manager struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -60,37 +60,37 @@
 	held    bool
 }
 
-// NewDuty returns a Duty; call Start to run it.
-func NewDuty(cfg Config) *Duty {
+// NewManager returns a Manager; call Start to run it.
+func NewManager(cfg Config) *Manager {
 	if cfg.Length == 0 {
 		cfg.Length = DefaultLength
 	}
 	if cfg.Candidate == nil {
 		cfg.Candidate = func() bool { return true }
 	}
-	return &Duty{cfg: cfg, machine: NewMachine(cfg.Length, objectapi.NewAttempt)}
+	return &Manager{cfg: cfg, machine: NewMachine(cfg.Length, objectapi.NewAttempt)}
 }
 
 // Start begins to acquire the lease.
-func (d *Duty) Start() {
+func (m *Manager) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	d.cancel = cancel
-	d.done.Go(func() { d.run(ctx) })
+	m.cancel = cancel
+	m.done.Go(func() { m.run(ctx) })
 }
 
 // Stop stops renewing and waits for the goroutine to end. The lease then expires unless
 // Release is called.
-func (d *Duty) Stop() {
-	d.cancel()
-	d.done.Wait()
+func (m *Manager) Stop() {
+	m.cancel()
+	m.done.Wait()
 }
 
 // Held returns the fencing number while this instance can rely on holding the lease; see
 // Machine.Held.
-func (d *Duty) Held() (fence uint64, ok bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	f, ok := d.machine.Held(time.Now())
+func (m *Manager) Held() (fence uint64, ok bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	f, ok := m.machine.Held(time.Now())
 	return uint64(f), ok
 }
 
@@ -102,52 +102,52 @@
 }
 
 // Dump returns the state of the lease on this instance.
-func (d *Duty) Dump() Dump {
-	fence, held := d.Held()
-	return Dump{Lease: d.cfg.Name, Held: held, Fence: fence}
+func (m *Manager) Dump() Dump {
+	fence, held := m.Held()
+	return Dump{Lease: m.cfg.Name, Held: held, Fence: fence}
 }
 
-func (d *Duty) run(ctx context.Context) {
+func (m *Manager) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.recordTransition()
-		if !d.isHolder() && !d.cfg.Candidate() {
-			_ = clock.Sleep(ctx, d.cfg.Length/pollDivisor)
+		m.recordTransition()
+		if !m.isHolder() && !m.cfg.Candidate() {
+			_ = clock.Sleep(ctx, m.cfg.Length/pollDivisor)
 			continue
 		}
-		d.mu.Lock()
-		s := d.machine.Next(time.Now())
-		d.mu.Unlock()
+		m.mu.Lock()
+		s := m.machine.Next(time.Now())
+		m.mu.Unlock()
 		switch s.Kind {
 		case StepWait:
-			_ = clock.Sleep(ctx, time.Until(s.At)+d.jitter())
+			_ = clock.Sleep(ctx, time.Until(s.At)+m.jitter())
 		case StepRead:
-			d.read(ctx)
+			m.read(ctx)
 		case StepWrite:
-			d.write(ctx, s)
+			m.write(ctx, s)
 		}
 	}
 }
 
 // isHolder reports whether this instance holds the lease, or has held it and has not yet
 // read or written since.
-func (d *Duty) isHolder() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.machine.own
+func (m *Manager) isHolder() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.machine.own
 }
 
 // jitter spreads the calls of instances that wait for the same moment.
-func (d *Duty) jitter() time.Duration {
-	return time.Duration(rand.Float64() * float64(d.cfg.Length) / 50)
+func (m *Manager) jitter() time.Duration {
+	return time.Duration(rand.Float64() * float64(m.cfg.Length) / 50)
 }
 
-func (d *Duty) read(ctx context.Context) {
-	obj, err := d.cfg.Store.Get(ctx, Kind, d.cfg.Name)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (m *Manager) read(ctx context.Context) {
+	obj, err := m.cfg.Store.Get(ctx, Kind, m.cfg.Name)
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if err != nil && !fault.Is(err, fault.NotFound) {
 		failsTotal.Inc()
-		d.machine.ReadFailed(time.Now())
+		m.machine.ReadFailed(time.Now())
 		return
 	}
 	var v Value
@@ -155,57 +155,57 @@
 		// The version of the object counts even if its value is missing or unreadable.
 		v = Value{}
 	}
-	d.machine.Observed(time.Now(), obj, v)
+	m.machine.Observed(time.Now(), obj, v)
 }
 
-func (d *Duty) write(ctx context.Context, s Step) {
-	version, err := d.put(ctx, s, Value{Holder: d.cfg.Self})
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (m *Manager) write(ctx context.Context, s Step) {
+	version, err := m.put(ctx, s, Value{Holder: m.cfg.Self})
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if err != nil {
 		failsTotal.Inc()
-		d.machine.WriteFailed(time.Now())
+		m.machine.WriteFailed(time.Now())
 		return
 	}
-	d.machine.Wrote(time.Now(), s.Attempt, version)
+	m.machine.Wrote(time.Now(), s.Attempt, version)
 }
 
-func (d *Duty) put(ctx context.Context, s Step, v Value) (objectapi.Version, error) {
+func (m *Manager) put(ctx context.Context, s Step, v Value) (objectapi.Version, error) {
 	value, err := json.Marshal(v)
 	if err != nil {
 		return 0, err
 	}
-	obj := objectapi.Object{Kind: Kind, Name: d.cfg.Name, Attempt: s.Attempt, Value: value}
-	return d.cfg.Store.Put(ctx, obj, s.Expected)
+	obj := objectapi.Object{Kind: Kind, Name: m.cfg.Name, Attempt: s.Attempt, Value: value}
+	return m.cfg.Store.Put(ctx, obj, s.Expected)
 }
 
 // Release gives up the lease after Stop, if it is held, so that another instance can
 // acquire it soon. It blocks for at most half a second.
-func (d *Duty) Release() {
-	d.mu.Lock()
-	s, ok := d.machine.Release(time.Now())
-	d.mu.Unlock()
+func (m *Manager) Release() {
+	m.mu.Lock()
+	s, ok := m.machine.Release(time.Now())
+	m.mu.Unlock()
 	if !ok {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	if _, err := d.put(ctx, s, Value{Holder: d.cfg.Self, Released: true}); err != nil {
+	if _, err := m.put(ctx, s, Value{Holder: m.cfg.Self, Released: true}); err != nil {
 		failsTotal.Inc()
 	}
 }
 
 // recordTransition logs and counts that the lease was acquired or lost.
-func (d *Duty) recordTransition() {
-	fence, held := d.Held()
-	d.mu.Lock()
-	changed := held != d.held
-	d.held = held
-	d.mu.Unlock()
+func (m *Manager) recordTransition() {
+	fence, held := m.Held()
+	m.mu.Lock()
+	changed := held != m.held
+	m.held = held
+	m.mu.Unlock()
 	if !changed {
 		return
 	}
-	fields := log.WithField("lease", d.cfg.Name)
+	fields := log.WithField("lease", m.cfg.Name)
 	if held {
 		takenTotal.Inc()
 		fields.WithField("fence", fence).Info("lease taken")
--- a/lease/duty_test.go
+++ b/lease/manager_test.go
@@ -9,19 +9,19 @@
 	"github.com/sardinedock/sardinedock/objectapi/objecttest"
 )
 
-func startDuties(s *objecttest.Store, n int) []*Duty {
-	duties := make([]*Duty, n)
-	for i := range duties {
-		duties[i] = NewDuty(Config{Store: s, Name: "rollout", Self: fmt.Sprintf("entry-%d", i)})
-		duties[i].Start()
+func startManagers(s *objecttest.Store, n int) []*Manager {
+	managers := make([]*Manager, n)
+	for i := range managers {
+		managers[i] = NewManager(Config{Store: s, Name: "rollout", Self: fmt.Sprintf("entry-%d", i)})
+		managers[i].Start()
 	}
-	return duties
+	return managers
 }
 
-// holders returns the duties that hold the lease now.
-func holders(duties []*Duty) []*Duty {
-	var list []*Duty
-	for _, d := range duties {
+// holders returns the managers that hold the lease now.
+func holders(managers []*Manager) []*Manager {
+	var list []*Manager
+	for _, d := range managers {
 		if _, ok := d.Held(); ok {
 			list = append(list, d)
 		}
@@ -32,9 +32,9 @@
 func TestOneHolderAndTakeoverAfterRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
-		duties := startDuties(s, 3)
+		managers := startManagers(s, 3)
 		time.Sleep(30 * time.Second)
-		first := holders(duties)
+		first := holders(managers)
 		if len(first) != 1 {
 			t.Fatalf("%d holders, want 1", len(first))
 		}
@@ -42,14 +42,14 @@
 		first[0].Stop()
 		first[0].Release()
 		time.Sleep(DefaultLength)
-		second := holders(duties)
+		second := holders(managers)
 		if len(second) != 1 || second[0] == first[0] {
 			t.Fatalf("%d holders after the release, want another one", len(second))
 		}
 		if after, _ := second[0].Held(); after <= before {
 			t.Fatalf("fence %d after %d", after, before)
 		}
-		for _, d := range duties {
+		for _, d := range managers {
 			if d != first[0] {
 				d.Stop()
 			}
@@ -64,22 +64,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
 		s.LoseReplies(3)
-		duties := startDuties(s, 2)
+		managers := startManagers(s, 2)
 		time.Sleep(40 * time.Second)
-		if n := len(holders(duties)); n != 1 {
+		if n := len(holders(managers)); n != 1 {
 			t.Fatalf("%d holders, want 1", n)
 		}
 		s.SetDown(true)
 		time.Sleep(DefaultLength)
-		if n := len(holders(duties)); n != 0 {
+		if n := len(holders(managers)); n != 0 {
 			t.Fatalf("%d holders during an outage, want none", n)
 		}
 		s.SetDown(false)
 		time.Sleep(2 * DefaultLength)
-		if n := len(holders(duties)); n != 1 {
+		if n := len(holders(managers)); n != 1 {
 			t.Fatalf("%d holders after the outage, want 1", n)
 		}
-		for _, d := range duties {
+		for _, d := range managers {
 			d.Stop()
 		}
 	})
@@ -88,7 +88,7 @@
 func TestNonCandidateMakesNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
-		d := NewDuty(Config{Store: s, Name: "rollout", Self: "entry-0", Candidate: func() bool { return false }})
+		d := NewManager(Config{Store: s, Name: "rollout", Self: "entry-0", Candidate: func() bool { return false }})
 		d.Start()
 		time.Sleep(time.Minute)
 		d.Stop()
--- a/rollout/duty.go
+++ b/rollout/manager.go
@@ -60,7 +60,7 @@
 	Held() (fence uint64, ok bool)
 }
 
-// Config configures a Duty.
+// Config configures a Manager.
 type Config struct {
 	Pool  string
 	Lease Lease
@@ -92,10 +92,10 @@
 	Refused string `json:"refused,omitempty"`
 }
 
-// Duty brings the endpoints of one pool to the state in the records while this
+// Manager brings the endpoints of one pool to the state in the records while this
 // instance holds the pool's lease. It works in one goroutine of its own; Progress
 // is safe for concurrent use.
-type Duty struct {
+type Manager struct {
 	cfg    Config
 	cancel context.CancelFunc
 	done   sync.WaitGroup
@@ -115,88 +115,88 @@
 	at    time.Time
 }
 
-// NewDuty returns a Duty that is idle until Start.
-func NewDuty(cfg Config) *Duty {
-	return &Duty{cfg: cfg, last: map[string]lastState{}, progress: Progress{Pool: cfg.Pool}}
+// NewManager returns a Manager that is idle until Start.
+func NewManager(cfg Config) *Manager {
+	return &Manager{cfg: cfg, last: map[string]lastState{}, progress: Progress{Pool: cfg.Pool}}
 }
 
 // Start starts to reconcile the pool periodically.
-func (d *Duty) Start() {
+func (m *Manager) Start() {
 	ctx, cancel := context.WithCancel(context.Background())
-	d.cancel = cancel
-	d.done.Go(func() {
+	m.cancel = cancel
+	m.done.Go(func() {
 		for ctx.Err() == nil {
-			_ = clock.Sleep(ctx, d.reconcile(ctx))
+			_ = clock.Sleep(ctx, m.reconcile(ctx))
 		}
 	})
 }
 
 // Stop stops the reconciliation and waits for its goroutine.
-func (d *Duty) Stop() {
-	d.cancel()
-	d.done.Wait()
+func (m *Manager) Stop() {
+	m.cancel()
+	m.done.Wait()
 }
 
 // Progress returns the progress as of this instance's last reconciliation. ok is
 // false if the instance does not hold the lease or has not queried the pool yet.
-func (d *Duty) Progress() (p Progress, ok bool) {
-	if _, held := d.cfg.Lease.Held(); !held {
+func (m *Manager) Progress() (p Progress, ok bool) {
+	if _, held := m.cfg.Lease.Held(); !held {
 		return Progress{}, false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.progress, !d.progress.At.IsZero()
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.progress, !m.progress.At.IsZero()
 }
 
 // reconcile queries the pool's endpoints once and sends the orders that are due.
 // It returns the time to wait before the next call.
-func (d *Duty) reconcile(ctx context.Context) time.Duration {
-	records := d.cfg.Records()
-	fence, held := d.cfg.Lease.Held()
+func (m *Manager) reconcile(ctx context.Context) time.Duration {
+	records := m.cfg.Records()
+	fence, held := m.cfg.Lease.Held()
 	if records == nil || !held {
-		d.inFlight = nil
+		m.inFlight = nil
 		return activeInterval
 	}
-	pool, ok := records.Pool(d.cfg.Pool)
+	pool, ok := records.Pool(m.cfg.Pool)
 	if !ok {
 		return idleInterval
 	}
-	wanted := WantedOf(records, d.cfg.Pool)
-	observed := d.observe(ctx, pool.GetEndpoints())
-	d.dropFinished(time.Now(), observed)
+	wanted := WantedOf(records, m.cfg.Pool)
+	observed := m.observe(ctx, pool.GetEndpoints())
+	m.dropFinished(time.Now(), observed)
 	limits := Limits{LoadsAtOnce: int(pool.GetLoadsAtOnce())}
 	if pool.GetChecksFencing() {
 		limits.Fence = fence
 	}
-	orders := Plan(wanted, observed, d.inFlight, limits)
-	d.updateProgress(wanted, observed)
-	d.send(ctx, pool.GetEndpoints(), orders, fence)
+	orders := Plan(wanted, observed, m.inFlight, limits)
+	m.updateProgress(wanted, observed)
+	m.send(ctx, pool.GetEndpoints(), orders, fence)
 	n := time.Duration(len(observed))
-	if len(orders) == 0 && len(d.inFlight) == 0 && d.converged() {
+	if len(orders) == 0 && len(m.inFlight) == 0 && m.converged() {
 		return max(idleInterval, n*idlePerEndpoint)
 	}
 	return max(activeInterval, n*activePerEndpoint)
 }
 
 // observe queries the state of all endpoints, with bounded concurrency.
-func (d *Duty) observe(ctx context.Context, endpoints []*recordspb.Endpoint) []Observed {
+func (m *Manager) observe(ctx context.Context, endpoints []*recordspb.Endpoint) []Observed {
 	list := make([]Observed, len(endpoints))
 	forEach(endpoints, func(i int, e *recordspb.Endpoint) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		s, err := d.cfg.Dial(e.GetAddress()).State(ctx)
+		s, err := m.cfg.Dial(e.GetAddress()).State(ctx)
 		list[i] = Observed{Name: e.GetName(), Role: e.GetRole(), Leaving: e.GetLeaving(), Answered: err == nil, State: s}
 	})
-	d.fillMissing(list, time.Now())
+	m.fillMissing(list, time.Now())
 	return list
 }
 
 // fillMissing uses the last known state for endpoints that did not answer, until
 // unresponsiveTimeout.
-func (d *Duty) fillMissing(list []Observed, now time.Time) {
+func (m *Manager) fillMissing(list []Observed, now time.Time) {
 	remaining := make(map[string]lastState, len(list))
 	for i, o := range list {
-		last, ok := d.last[o.Name]
+		last, ok := m.last[o.Name]
 		switch {
 		case o.Answered:
 			remaining[o.Name] = lastState{o.State, now}
@@ -205,7 +205,7 @@
 			list[i].State = last.state
 		}
 	}
-	d.last = remaining
+	m.last = remaining
 }
 
 // forEach calls fn for all endpoints, at most maxConcurrentCalls at a time, and
@@ -226,13 +226,13 @@
 // dropFinished removes orders from inFlight: those whose effect is visible, those
 // whose endpoint answers but has not shown an effect within effectTimeout, and those
 // whose endpoint has been unresponsive for unresponsiveTimeout.
-func (d *Duty) dropFinished(now time.Time, observed []Observed) {
+func (m *Manager) dropFinished(now time.Time, observed []Observed) {
 	byName := make(map[string]Observed, len(observed))
 	for _, o := range observed {
 		byName[o.Name] = o
 	}
-	remaining := d.inFlight[:0]
-	for _, f := range d.inFlight {
+	remaining := m.inFlight[:0]
+	for _, f := range m.inFlight {
 		o, age := byName[f.Endpoint], now.Sub(f.Since)
 		switch {
 		case o.Answered && (f.visible(o.State) || age >= effectTimeout):
@@ -241,23 +241,23 @@
 			remaining = append(remaining, f)
 		}
 	}
-	d.inFlight = remaining
+	m.inFlight = remaining
 }
 
 // send sends the orders. This instance may have been paused for longer than the
 // lease since the plan was made, so the lease is checked before each order.
-func (d *Duty) send(ctx context.Context, endpoints []*recordspb.Endpoint, orders []Order, fence uint64) {
+func (m *Manager) send(ctx context.Context, endpoints []*recordspb.Endpoint, orders []Order, fence uint64) {
 	addresses := map[string]string{}
 	for _, e := range endpoints {
 		addresses[e.GetName()] = e.GetAddress()
 	}
 	for _, o := range orders {
-		if now, held := d.cfg.Lease.Held(); !held || now != fence {
+		if now, held := m.cfg.Lease.Held(); !held || now != fence {
 			return
 		}
 		o.Order.Fence = fence
-		d.inFlight = append(d.inFlight, InFlight{Order: o, Since: time.Now()})
-		if !d.sendOrder(ctx, addresses[o.Endpoint], o) {
+		m.inFlight = append(m.inFlight, InFlight{Order: o, Since: time.Now()})
+		if !m.sendOrder(ctx, addresses[o.Endpoint], o) {
 			return
 		}
 	}
@@ -265,18 +265,18 @@
 
 // sendOrder sends one order. It returns false if the endpoint has already seen a
 // newer lease holder.
-func (d *Duty) sendOrder(ctx context.Context, address string, o Order) bool {
+func (m *Manager) sendOrder(ctx context.Context, address string, o Order) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ordersTotal.Inc()
-	err := d.cfg.Dial(address).Order(ctx, o.Order)
+	err := m.cfg.Dial(address).Order(ctx, o.Order)
 	if err == nil {
 		return true
 	}
 	orderFailures.Inc()
-	d.mu.Lock()
-	d.progress.Refused = fmt.Sprintf("%s refused %s %s@%s: %v", o.Endpoint, o.Order.Kind, o.Order.Model, o.Order.Version, err)
-	d.mu.Unlock()
+	m.mu.Lock()
+	m.progress.Refused = fmt.Sprintf("%s refused %s %s@%s: %v", o.Endpoint, o.Order.Kind, o.Order.Model, o.Order.Version, err)
+	m.mu.Unlock()
 	if fault.Is(err, fault.StaleFence) {
 		staleOrders.Inc()
 		return false
@@ -284,18 +284,18 @@
 	return true
 }
 
-func (d *Duty) converged() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return len(d.progress.Behind) == 0
+func (m *Manager) converged() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.progress.Behind) == 0
 }
 
 // updateProgress stores the progress and logs when the pool starts or stops
 // differing from the records.
-func (d *Duty) updateProgress(w Wanted, observed []Observed) {
-	p := Progress{Pool: d.cfg.Pool, At: time.Now(), Endpoints: len(observed)}
-	for _, m := range w.Models {
-		p.Wanted = append(p.Wanted, m.Model+"@"+m.Version)
+func (m *Manager) updateProgress(w Wanted, observed []Observed) {
+	p := Progress{Pool: m.cfg.Pool, At: time.Now(), Endpoints: len(observed)}
+	for _, model := range w.Models {
+		p.Wanted = append(p.Wanted, model.Model+"@"+model.Version)
 	}
 	for _, o := range observed {
 		switch {
@@ -309,9 +309,9 @@
 		}
 		p.Behind = append(p.Behind, o.Name)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	before := d.progress
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	before := m.progress
 	p.Since, p.Refused = before.Since, before.Refused
 	if before.At.IsZero() || (len(before.Behind) == 0) != (len(p.Behind) == 0) {
 		p.Since = p.At
@@ -320,5 +320,5 @@
 	if len(p.Behind) == 0 {
 		p.Refused = ""
 	}
-	d.progress = p
+	m.progress = p
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -141,8 +141,8 @@
 	return l.fence, l.fence > 0
 }
 
-func startDuty(p *enginePool, l Lease, records func() *record.Snapshot) *Duty {
-	d := NewDuty(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
+func startManager(p *enginePool, l Lease, records func() *record.Snapshot) *Manager {
+	d := NewManager(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
 	d.Start()
 	return d
 }
@@ -150,7 +150,7 @@
 func TestRolloutReachesAllWithinLoadLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(9, "1", true)
-		d := startDuty(p, &lease{fence: 5}, records(9, "2", "bolts"))
+		d := startManager(p, &lease{fence: 5}, records(9, "2", "bolts"))
 		defer d.Stop()
 		time.Sleep(engineLoadTime * 2)
 		if got := p.versions(); !slices.Equal(got, []string{"counter@1", "counter@2"}) {
@@ -185,7 +185,7 @@
 	for _, checks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPool(3, "1", checks)
-			d := startDuty(p, &lease{fence: 9}, records(3, "2"))
+			d := startManager(p, &lease{fence: 9}, records(3, "2"))
 			defer d.Stop()
 			time.Sleep(time.Minute)
 			late := endpoint.Order{Fence: 5, Kind: endpoint.OrderLoadModel, Model: "counter", Version: "1"}
@@ -215,7 +215,7 @@
 		wanted := records(3, "2")
 		pool, _ := wanted().Pool("engines")
 		pool.ChecksFencing = true
-		d := startDuty(p, l, wanted)
+		d := startManager(p, l, wanted)
 		defer d.Stop()
 		time.Sleep(10 * time.Second)
 		l.mu.Lock()
@@ -240,7 +240,7 @@
 		for _, e := range p.engines {
 			e.state.Fence = 9
 		}
-		d := startDuty(p, &lease{fence: 5}, records(3, "1"))
+		d := startManager(p, &lease{fence: 5}, records(3, "1"))
 		defer d.Stop()
 		time.Sleep(time.Minute)
 		if got := p.versions(); !slices.Equal(got, []string{"counter@2"}) {
@@ -257,7 +257,7 @@
 func TestUnresponsiveEndpointDoesNotBlockRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, "1", true)
-		d := startDuty(p, &lease{fence: 5}, records(4, "2"))
+		d := startManager(p, &lease{fence: 5}, records(4, "2"))
 		defer d.Stop()
 		time.Sleep(time.Second)
 		p.mu.Lock()
@@ -332,7 +332,7 @@
 		for _, e := range p.engines {
 			e.state.Role = "prefill"
 		}
-		d := startDuty(p, &lease{fence: 5}, records(endpoints, "1"))
+		d := startManager(p, &lease{fence: 5}, records(endpoints, "1"))
 		defer d.Stop()
 		time.Sleep(time.Minute)
 		p.mu.Lock()
