--- a/entry/claim_guard.go
+++ b/entry/claim_guard.go
@@ -44,7 +44,7 @@
 
 // Claims is the store of claims on idempotency keys; see package claim.
 type Claims interface {
-	Look(ctx context.Context, r claim.Request) (claim.Found, error)
+	Lookup(ctx context.Context, r claim.Request) (claim.Found, error)
 	Take(ctx context.Context, r claim.Request) (claim.Found, error)
 	Finish(r claim.Request, a claim.Answer)
 	Release(r claim.Request)
@@ -113,7 +113,7 @@
 	}
 	ctx, stop := context.WithDeadline(ctx, g.startDeadline)
 	defer stop()
-	f, err := g.claims.Look(ctx, g.request)
+	f, err := g.claims.Lookup(ctx, g.request)
 	if err != nil {
 		return g.storeDown(err)
 	}
@@ -140,7 +140,7 @@
 		if clock.Sleep(ctx, delay) != nil {
 			return f
 		}
-		again, err := g.claims.Look(ctx, g.request)
+		again, err := g.claims.Lookup(ctx, g.request)
 		if err != nil {
 			return f
 		}
--- a/entry/claim_guard_test.go
+++ b/entry/claim_guard_test.go
@@ -18,7 +18,7 @@
 	refused  int
 }
 
-func (p *pausedClaims) Look(context.Context, claim.Request) (claim.Found, error) {
+func (p *pausedClaims) Lookup(context.Context, claim.Request) (claim.Found, error) {
 	return claim.Found{}, nil
 }
 
@@ -70,7 +70,7 @@
 	lookups, endsAfter int
 }
 
-func (r *runningClaims) Look(context.Context, claim.Request) (claim.Found, error) {
+func (r *runningClaims) Lookup(context.Context, claim.Request) (claim.Found, error) {
 	r.lookups++
 	f := claim.Found{Taken: true, SameBody: true}
 	if r.lookups > r.endsAfter {
--- a/outcome/claim/book.go
+++ b/outcome/claim/book.go
@@ -32,9 +32,9 @@
 	return b
 }
 
-// Look reads the stored state of a key. It blocks until the store answers or ctx is done; the
+// Lookup reads the stored state of a key. It blocks until the store answers or ctx is done; the
 // error is then of kind fault.Unavailable.
-func (b *Book) Look(ctx context.Context, r Request) (Found, error) {
+func (b *Book) Lookup(ctx context.Context, r Request) (Found, error) {
 	return b.do(newOp(ctx, opLookup, r))
 }
 
--- a/outcome/claim/refuse_test.go
+++ b/outcome/claim/refuse_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	f, err := b.Look(ctx, r)
+	f, err := b.Lookup(ctx, r)
 	if err != nil || f.Taken {
 		t.Fatalf("%s: %+v, %v", r.Attempt, f, err)
 	}
@@ -123,7 +123,7 @@
 	r := request("k", attempt)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	f, err := b.Look(ctx, r)
+	f, err := b.Lookup(ctx, r)
 	if err != nil || f.Taken {
 		return result
 	}
