--- a/hosted/caches.go
+++ b/hosted/caches.go
@@ -23,8 +23,8 @@
 	names := i.node.Schedulers()
 	var owned []cachefeed.Holder
 	t.Services(func(s *route.Service) {
-		if s.Kept != nil && i.owns(s.Kept.Address, names) {
-			owned = append(owned, cachefeed.Holder{Address: s.Kept.Address})
+		if s.Store != nil && i.owns(s.Store.Address, names) {
+			owned = append(owned, cachefeed.Holder{Address: s.Store.Address})
 		}
 		if s.Engine == nil || len(s.Engine.Models) == 0 {
 			return
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -39,16 +39,16 @@
 		}
 	})
 	i.state.SetPools(pools)
-	i.state.SetCacheStores(keptStores(t))
+	i.state.SetCacheStores(cacheStores(t))
 	i.setQuotas(t)
 	i.table.Store(t)
 	log.WithField("records", t.Version()).WithField("revision", uint64(obj.Version)).WithField("routes", t.Routes()).Info("records in force")
 }
 
-func keptStores(t *route.Table) []balance.CacheStore {
+func cacheStores(t *route.Table) []balance.CacheStore {
 	var list []balance.CacheStore
-	for _, s := range t.KeptStores() {
-		list = append(list, balance.CacheStore{Address: s.Kept.Address, DataCentre: s.Kept.DataCentre, CacheTokens: s.Kept.CacheTokens})
+	for _, s := range t.CacheStores() {
+		list = append(list, balance.CacheStore{Address: s.Store.Address, DataCentre: s.Store.DataCentre, CacheTokens: s.Store.CacheTokens})
 	}
 	return list
 }
--- a/route/route.go
+++ b/route/route.go
@@ -91,8 +91,8 @@
 	MaxConnections int
 	// Engine is set for pools of language-model endpoints.
 	Engine *Engine
-	// Kept is set for KV cache stores. Routes do not target them.
-	Kept *KeptStore
+	// Store is set for KV cache stores. Routes do not target them.
+	Store *CacheStore
 }
 
 // Engine describes the endpoints of a language-model pool.
@@ -109,8 +109,8 @@
 	Models []string
 }
 
-// KeptStore describes a KV cache store.
-type KeptStore struct {
+// CacheStore describes a KV cache store.
+type CacheStore struct {
 	Address    string
 	DataCentre string
 	// CacheTokens is the store's capacity in tokens.
--- a/route/table.go
+++ b/route/table.go
@@ -25,7 +25,7 @@
 	services      map[string]*Service
 	organisations map[string]*Organisation
 	byKey         map[string]*Organisation
-	kept          []*Service
+	cacheStores   []*Service
 	routes        int
 }
 
@@ -44,8 +44,8 @@
 	for i := range r.Services {
 		s := &r.Services[i]
 		t.services[s.Name] = s
-		if s.Kept != nil {
-			t.kept = append(t.kept, s)
+		if s.Store != nil {
+			t.cacheStores = append(t.cacheStores, s)
 		}
 	}
 	for i := range r.Organisations {
@@ -108,8 +108,8 @@
 	}
 }
 
-// KeptStores returns the services that are KV cache stores.
-func (t *Table) KeptStores() []*Service { return t.kept }
+// CacheStores returns the services that are KV cache stores.
+func (t *Table) CacheStores() []*Service { return t.cacheStores }
 
 // Organisation returns the organisation that the key belongs to, or nil.
 func (t *Table) Organisation(key string) *Organisation { return t.byKey[key] }
