--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -67,7 +67,7 @@
 }
 
 func registryOf(endpoints, blocks int) *owner.Registry {
-	r := owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute})
+	r := owner.NewRegistry(policy.CostModel{Recompute: policy.DefaultRecompute})
 	now := time.Now()
 	for e := range endpoints {
 		name := fmt.Sprintf("engine-%d", e)
--- a/owner/cache_model_test.go
+++ b/owner/cache_model_test.go
@@ -160,7 +160,7 @@
 // An instance that was killed cannot release its grants and queued asks. They must be
 // dropped when its lease expires, or its slots stay lost.
 func TestUnresponsiveCallerLosesItsGrants(t *testing.T) {
-	b := NewRegistry(testPrices)
+	b := NewRegistry(testCosts)
 	b.Add(config())
 	for _, id := range []string{"1", "2", "3", "4", "5"} {
 		b.Ask(epoch, ask(id, "a", false, nil), []string{"engine-1"})
--- a/owner/endpoint_test.go
+++ b/owner/endpoint_test.go
@@ -22,7 +22,7 @@
 
 var epoch = time.Date(2026, 1, 5, 8, 0, 0, 0, time.UTC)
 
-var testPrices = policy.Prices{PrefillTokensPerSecond: 20000, Recompute: policy.DefaultRecompute}
+var testCosts = policy.CostModel{PrefillTokensPerSecond: 20000, Recompute: policy.DefaultRecompute}
 
 func config() Config {
 	return Config{Name: "engine-1", Slots: 4, UrgentSlots: 1, BlockTokens: 64, CacheBlocks: 256, PrefillTokensPerSecond: 20000}
--- a/owner/levels_test.go
+++ b/owner/levels_test.go
@@ -13,7 +13,7 @@
 // for minutes. The owner of its endpoint does. If the owner does not report the prefix
 // length, the prefix is not exported until the engines have computed it many times.
 func TestGrantReportsSharedLevels(t *testing.T) {
-	b := NewRegistry(policy.Prices{})
+	b := NewRegistry(policy.CostModel{})
 	b.Add(config()).Status(epoch, live, 1)
 	catalogue := make([]byte, 40*256)
 	salt := prefix.Salt("accra", "m", "1")
--- a/owner/registry.go
+++ b/owner/registry.go
@@ -18,17 +18,17 @@
 type Registry struct {
 	endpoints map[string]*Endpoint
 	lastSeen  map[string]time.Time
-	prices    policy.Prices
+	costs     policy.CostModel
 	// levels are the shared prefix lengths seen on all endpoints. Requests with the same
 	// prefix go to few endpoints, so their owners detect where shared prefixes end long
 	// before any of the many instances that place such requests.
 	levels *prefix.Levels
 }
 
-// NewRegistry returns a Registry without endpoints. The prices decide between endpoints if
+// NewRegistry returns a Registry without endpoints. The costs decide between endpoints if
 // an ask names several.
-func NewRegistry(prices policy.Prices) *Registry {
-	return &Registry{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, prices: prices, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
+func NewRegistry(costs policy.CostModel) *Registry {
+	return &Registry{endpoints: map[string]*Endpoint{}, lastSeen: map[string]time.Time{}, costs: costs, levels: prefix.NewLevels(prefix.DefaultLevelSets)}
 }
 
 // Add adds an endpoint. If the endpoint exists, it keeps its state and gets the new
@@ -82,9 +82,9 @@
 	}
 	best := r.findExisting(a, names)
 	if best == nil {
-		prices := r.prices
-		prices.Urgent = a.Urgent
-		choice := policy.Choose(a.PromptTokens, 0, offers, prices)
+		costs := r.costs
+		costs.Urgent = a.Urgent
+		choice := policy.Choose(a.PromptTokens, 0, offers, costs)
 		best = r.endpoints[offers[choice.Index].Endpoint]
 	}
 	d := best.Ask(now, a)
--- a/place/ask.go
+++ b/place/ask.go
@@ -124,9 +124,9 @@
 			index, list = append(index, i), append(list, offer)
 		}
 	}
-	prices := t.pool.prices()
-	prices.Urgent = t.request.Class.GetUrgent()
-	choice := policy.Choose(t.request.PromptTokens, t.keptTokens(), list, prices)
+	costs := t.pool.costs()
+	costs.Urgent = t.request.Class.GetUrgent()
+	choice := policy.Choose(t.request.PromptTokens, t.keptTokens(), list, costs)
 	if choice.Index < 0 {
 		return -1, shortest
 	}
--- a/place/kept.go
+++ b/place/kept.go
@@ -37,9 +37,9 @@
 	if t.kept.Blocks == 0 || g.ID == 0 || ctx.Err() != nil {
 		return
 	}
-	prices := t.pool.prices()
-	prices.Recompute = 1
-	if prices.Import(t.request.PromptTokens, t.keptTokens(), g.CachedTokens) == 0 {
+	costs := t.pool.costs()
+	costs.Recompute = 1
+	if costs.Import(t.request.PromptTokens, t.keptTokens(), g.CachedTokens) == 0 {
 		return
 	}
 	f.cfg.Kept.Import(ctx, g.Address, t.salt(), t.kept)
--- a/place/owner_server.go
+++ b/place/owner_server.go
@@ -92,7 +92,7 @@
 	return &OwnerServer{
 		cfg:            cfg,
 		events:         ring.New[ownerEvent]("owner_events", eventQueueSize),
-		endpoints:      owner.NewRegistry(policy.Prices{Recompute: policy.DefaultRecompute}),
+		endpoints:      owner.NewRegistry(policy.CostModel{Recompute: policy.DefaultRecompute}),
 		pendingReplies: map[askKey]chan owner.Decision{},
 		unclaimed:      map[askKey]unclaimedGrant{},
 		earlyStates:    map[string]earlyState{},
--- a/place/routes.go
+++ b/place/routes.go
@@ -130,9 +130,9 @@
 	return !ok || region == g.self
 }
 
-// prices returns the costs that the choice between a pool's endpoints weighs.
-func (p *poolRoutes) prices() policy.Prices {
-	return policy.Prices{
+// costs returns the costs that the choice between a pool's endpoints weighs.
+func (p *poolRoutes) costs() policy.CostModel {
+	return policy.CostModel{
 		PrefillTokensPerSecond: p.record.GetPrefillTokensPerSecond(),
 		Recompute:              policy.DefaultRecompute,
 		ImportTokensPerSecond:  p.record.GetKvImportTokensPerSecond(),
--- a/policy/choose.go
+++ b/policy/choose.go
@@ -23,8 +23,8 @@
 	PrefillRate float64
 }
 
-// Prices are the parameters of the cost model that Choose uses.
-type Prices struct {
+// CostModel holds the parameters of the cost model that Choose uses.
+type CostModel struct {
 	// PrefillTokensPerSecond is the prefill rate assumed for endpoints whose offer has none.
 	PrefillTokensPerSecond float64
 	// Recompute multiplies the time to prefill uncached tokens. Recomputation delays other
@@ -39,7 +39,7 @@
 	Urgent bool
 }
 
-// DefaultRecompute is the default for Prices.Recompute. docs/notes/placement.md has the
+// DefaultRecompute is the default for CostModel.Recompute. docs/notes/placement.md has the
 // measurements behind it.
 const DefaultRecompute = 2
 
@@ -73,7 +73,7 @@
 // as many endpoints as it needs and contracts again, without a list of hot prefixes. Otherwise
 // callers of a hot prefix would queue behind each other while other endpoints are idle. Ties go to
 // the earlier candidate; the order of candidates is the same on all instances.
-func Choose(promptTokens, storedTokens int64, offers []Offer, p Prices) Choice {
+func Choose(promptTokens, storedTokens int64, offers []Offer, p CostModel) Choice {
 	p = p.withScarcity(offers)
 	best := Choice{Index: -1}
 	for i, o := range offers {
@@ -95,7 +95,7 @@
 // other request. Under saturation it does: each request that moves takes the recomputed work from
 // the pool's capacity, waits grow, and more requests move. Without the adjustment the hit rate
 // fell as load rose; with it the hit rate is stable.
-func (p Prices) withScarcity(offers []Offer) Prices {
+func (p CostModel) withScarcity(offers []Offer) CostModel {
 	if len(offers) == 0 {
 		return p
 	}
@@ -112,7 +112,7 @@
 
 // prefill returns the weighted cost of the uncached tokens and the number of tokens to import from
 // the KV store, which is above 0 only where importing is cheaper than computing.
-func (p Prices) prefill(prompt, stored, cached int64) (time.Duration, int64) {
+func (p CostModel) prefill(prompt, stored, cached int64) (time.Duration, int64) {
 	missing := max(prompt-cached, 0)
 	compute := p.Compute(missing)
 	gain := min(stored, prompt) - cached
@@ -128,13 +128,13 @@
 
 // Import returns how many tokens of stored KV cache are worth importing before a prompt is sent to
 // an endpoint that has the given number of cached tokens, 0 for none.
-func (p Prices) Import(prompt, stored, cached int64) int64 {
+func (p CostModel) Import(prompt, stored, cached int64) int64 {
 	_, imported := p.prefill(prompt, stored, cached)
 	return imported
 }
 
 // Compute returns the weighted cost of prefilling the given number of tokens.
-func (p Prices) Compute(tokens int64) time.Duration {
+func (p CostModel) Compute(tokens int64) time.Duration {
 	if p.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
--- a/policy/policybench/sim.go
+++ b/policy/policybench/sim.go
@@ -58,14 +58,14 @@
 	requests    []*request
 	next        []int
 	asks        int
-	prices      policy.Prices
+	costs       policy.CostModel
 }
 
 func endpointName(i int) string { return fmt.Sprintf("engine-%d", i) }
 
 func newSim(s scenario, policyName string, requests []*request) *sim {
 	m := &sim{s: s, policy: policyName, requests: requests, next: make([]int, s.instances)}
-	m.prices = policy.Prices{PrefillTokensPerSecond: s.prefillRate, Recompute: params.recompute}
+	m.costs = policy.CostModel{PrefillTokensPerSecond: s.prefillRate, Recompute: params.recompute}
 	var names, members []string
 	for i := range s.instances {
 		members = append(members, fmt.Sprintf("instance-%d", i))
@@ -88,7 +88,7 @@
 func (m *sim) restart() {
 	m.registries, m.levels = nil, nil
 	for i := range m.s.instances {
-		b := owner.NewRegistry(m.prices)
+		b := owner.NewRegistry(m.costs)
 		for e := range m.s.endpoints {
 			if m.policy != owners || m.ownerOf[e] == i {
 				b.Add(m.config(e))
@@ -199,9 +199,9 @@
 		offers = append(offers, m.askOne(r, a, e).Offers...)
 	}
 	a.Mode = owner.Take
-	prices := m.prices
-	prices.Urgent = r.urgent
-	choice := policy.Choose(r.tokens, 0, offers, prices)
+	costs := m.costs
+	costs.Urgent = r.urgent
+	choice := policy.Choose(r.tokens, 0, offers, costs)
 	a.Candidate = choice.Index
 	m.apply([]owner.Decision{m.askOne(r, a, m.index(offers[choice.Index].Endpoint))})
 }
--- a/policy/policybench/sim_test.go
+++ b/policy/policybench/sim_test.go
@@ -231,7 +231,7 @@
 	m := run(s, owners, 0.7, func(m *sim) {
 		m.after(s.warm+2*time.Second, func() {
 			lost := m.ownerOf[0]
-			m.registries[lost] = owner.NewRegistry(m.prices)
+			m.registries[lost] = owner.NewRegistry(m.costs)
 			for e, o := range m.ownerOf {
 				if o == lost {
 					m.registries[lost].Add(m.config(e))
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -86,7 +86,7 @@
 	levels := prefix.NewLevels(prefix.DefaultLevelSets)
 	salt := prefix.Salt("a", "m", "1")
 	chain := prefix.Blocks(nil, salt, make([]byte, 200*256), 64)
-	prices := Prices{PrefillTokensPerSecond: 20000, Recompute: DefaultRecompute}
+	costs := CostModel{PrefillTokensPerSecond: 20000, Recompute: DefaultRecompute}
 	var found [4]int
 	offers := make([]Offer, 4)
 	b.ReportAllocs()
@@ -96,6 +96,6 @@
 		for i, e := range r.Top(found[:0], key, 4, func(int) bool { return true }) {
 			offers[i] = Offer{Endpoint: r.Name(e), CachedTokens: int64(i) * 1000, Wait: 1000}
 		}
-		Choose(12800, 0, offers, prices)
+		Choose(12800, 0, offers, costs)
 	}
 }
--- a/policy/state_test.go
+++ b/policy/state_test.go
@@ -42,7 +42,7 @@
 // A prompt prefix gets more requests than the endpoint that has it cached can serve. Requests move
 // to another endpoint when waiting costs more than recomputing the prompt, and not before.
 func TestChoiceWeighsWaitAgainstRecomputation(t *testing.T) {
-	p := Prices{PrefillTokensPerSecond: 10000, Recompute: 2}
+	p := CostModel{PrefillTokensPerSecond: 10000, Recompute: 2}
 	offers := func(wait time.Duration) []Offer {
 		return []Offer{{Endpoint: "cached", CachedTokens: 9000, Wait: wait}, {Endpoint: "uncached"}}
 	}
