--- a/hosted/change_test.go
+++ b/hosted/change_test.go
@@ -44,7 +44,7 @@
 	f := newFixture(t, 2)
 	f.endpoint("e1", "orders", ok)
 	f.serve(1, nil)
-	f.store.SilenceOpen()
+	f.store.StallOpen()
 	time.Sleep(platform.MaxIdleTime)
 	began := time.Now()
 	f.serve(1, nil)
@@ -197,7 +197,7 @@
 	})
 	for round := range 3 {
 		state := []string{"draining", "ready"}[round%2]
-		f.store.SilenceOpen()
+		f.store.StallOpen()
 		f.store.Put("servers", "e1", leaving.Entry("orders", state, nil))
 		from := time.Now()
 		f.eventually("the endpoint's state known to all", func() bool {
--- a/soak/faults_test.go
+++ b/soak/faults_test.go
@@ -86,7 +86,7 @@
 		s.disturbInstance(rng, func(i *instance) { s.impairFor(i.store, impairment{delay: 150 * time.Millisecond}, duration) })
 	}},
 	{"connections to the store blackholed", func(s *soak, _ *rand.Rand, _ time.Duration) {
-		s.disturbStore(func() { s.store.SilenceOpen() })
+		s.disturbStore(func() { s.store.StallOpen() })
 	}},
 	{"connections to the store reset", func(s *soak, rng *rand.Rand, _ time.Duration) {
 		s.disturbInstance(rng, func(i *instance) { i.store.reset(1) })
