--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -357,7 +357,7 @@
 // ClientDump is the client's part of an instance's state dump.
 type ClientDump struct {
 	Reachable       bool    `json:"reachable"`
-	WaitingWatches  int     `json:"waiting_watches"`
+	OpenWatches     int     `json:"waiting_watches"`
 	LiveInstances   int     `json:"live_instances"`
 	ReadsPerSecond  float64 `json:"reads_per_second"`
 	WritesPerSecond float64 `json:"writes_per_second"`
@@ -369,7 +369,7 @@
 	defer c.mu.Unlock()
 	return ClientDump{
 		Reachable:       !c.breaker.Open(),
-		WaitingWatches:  c.watches,
+		OpenWatches:     c.watches,
 		LiveInstances:   c.budget.instances,
 		ReadsPerSecond:  c.budget.reads.rate,
 		WritesPerSecond: c.budget.writes.rate,
--- a/objectapi/client_test.go
+++ b/objectapi/client_test.go
@@ -200,7 +200,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := c.Dump().WaitingWatches; got != 1 {
+	if got := c.Dump().OpenWatches; got != 1 {
 		t.Fatalf("%d open watches counted, want 1", got)
 	}
 	cancel()
@@ -208,7 +208,7 @@
 		t.Fatal("the watch did not end")
 	}
 	w.Close()
-	if got := c.Dump().WaitingWatches; got != 0 {
+	if got := c.Dump().OpenWatches; got != 0 {
 		t.Fatalf("%d open watches counted, want 0", got)
 	}
 	_ = s
