--- a/balance/choose_test.go
+++ b/balance/choose_test.go
@@ -65,7 +65,7 @@
 // get responses of a replaced version.
 func TestReturningEndpointWithOldWeightsIsNotChosen(t *testing.T) {
 	s := newPool(2, 2)
-	s.Want(start, model, 2)
+	s.SetWanted(start, model, 2)
 	late := start.Add(12 * time.Second)
 	s.SetEndpoints(append(endpoints(2, 2), Endpoint{ID: "back", Service: "pool", Slots: 8, Versions: map[string]int64{model: 1}}))
 	for i := range 20 {
@@ -73,7 +73,7 @@
 			t.Fatal("a request went to the endpoint with old weights")
 		}
 	}
-	s.Holds("back", model, 2)
+	s.SetLoaded("back", model, 2)
 	if _, p := send(t, s, late, prompt(50, 50)); p.Endpoint.ID != "back" {
 		t.Errorf("the idle endpoint on the new weights was skipped in favour of %s", p.Endpoint.ID)
 	}
@@ -85,9 +85,9 @@
 // first.
 func TestEachVersionHasItsOwnBound(t *testing.T) {
 	s := newPool(2, 1)
-	s.Want(start, model, 2)
-	s.Want(start.Add(4*time.Second), model, 3)
-	s.Holds("e1", model, 2)
+	s.SetWanted(start, model, 2)
+	s.SetWanted(start.Add(4*time.Second), model, 3)
+	s.SetLoaded("e1", model, 2)
 	for i := range 10 {
 		if _, p := send(t, s, start.Add(8*time.Second), prompt(i, i)); p.Endpoint.ID == "e0" {
 			t.Fatal("a request went to the endpoint that is two versions behind")
@@ -196,7 +196,7 @@
 // went on expecting the old weights, the endpoint would reject every request.
 func TestEndpointWithUnexpectedWeightsIsUsedAgain(t *testing.T) {
 	s := newPool(1, 1)
-	s.Want(start, model, 2)
+	s.SetWanted(start, model, 2)
 	if got := s.Mismatch("e0", model, 1, 0); got != 2 {
 		t.Fatalf("version %d assumed, want the newest named", got)
 	}
@@ -254,7 +254,7 @@
 func TestGuessedWeightsDoNotEndTheRollout(t *testing.T) {
 	s := newPool(1, 1)
 	for v := int64(1); v <= 4; v++ {
-		s.Want(start, model, v)
+		s.SetWanted(start, model, v)
 	}
 	if got := s.Mismatch("e0", model, 1, 0); got != 4 {
 		t.Fatalf("assumed %d after a mismatch, want the newest", got)
@@ -272,7 +272,7 @@
 	if _, p := send(t, s, start, prompt(2, 2)); p.Version != 3 {
 		t.Errorf("a list with the same weights has changed the guess to %d", p.Version)
 	}
-	s.Holds("e0", model, 3)
+	s.SetLoaded("e0", model, 3)
 	if v := s.Endpoints("pool", start)[0].Versions[model]; v != 3 {
 		t.Errorf("version %d, want the endpoint's own report of 3", v)
 	}
--- a/balance/weights.go
+++ b/balance/weights.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Want records a version of a model's weights that operators have named, first seen now.
-func (s *State) Want(now time.Time, model string, version int64) {
+// SetWanted records a version of a model's weights that operators have named, first seen now.
+func (s *State) SetWanted(now time.Time, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.desired[model]
@@ -32,9 +32,9 @@
 	return 0
 }
 
-// Holds records the version of a model's weights that an endpoint has reported. Parts that
+// SetLoaded records the version of a model's weights that an endpoint has reported. Parts that
 // it had cached under an older version are no longer usable.
-func (s *State) Holds(id, model string, version int64) {
+func (s *State) SetLoaded(id, model string, version int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e, ok := s.endpoints[id]
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -239,7 +239,7 @@
 		v := cfg.State.Mismatch(id, a.req.call.Model, a.place.Version, a.head.Version)
 		log.WithField("endpoint", id).WithField("expected", a.place.Version).WithField("assumed", v).Info("endpoint holds other weights")
 	case a.head.Version > a.place.Version && a.req.service.Engine != nil:
-		cfg.State.Holds(id, a.req.call.Model, a.head.Version)
+		cfg.State.SetLoaded(id, a.req.call.Model, a.head.Version)
 		cfg.Broadcaster.BroadcastNotice(&gossippb.Notice{Endpoint: id, Model: a.req.call.Model, Version: a.head.Version})
 	}
 }
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -195,7 +195,7 @@
 	})
 	i.rollout = rollout.NewHosted(rollout.HostedConfig{
 		Self: i.settings.GetInstance(), Lease: i.lease, Control: platform.NewControl(i.relays.to), State: i.state,
-		Pools: i.pools, LoadExpected: i.broadcastSoon, Loading: i.broadcastLoading, Holds: i.broadcastHolds,
+		Pools: i.pools, LoadExpected: i.broadcastSoon, Loading: i.broadcastLoading, SetLoaded: i.broadcastLoaded,
 	})
 	i.feed = cachefeed.New(cachefeed.Config{
 		Source: platform.NewControl(i.relays.to), Owned: i.ownedHolders,
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -64,8 +64,8 @@
 			log.WithError(err).Error("weights can't be decoded")
 			continue
 		}
-		i.state.Want(time.Now(), w.Model, w.Version)
-		i.rollout.Want(w)
+		i.state.SetWanted(time.Now(), w.Model, w.Version)
+		i.rollout.SetWanted(w)
 	}
 }
 
@@ -94,8 +94,8 @@
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, LoadingMs: d.Milliseconds()})
 }
 
-func (i *Instance) broadcastHolds(endpointID, model string, version int64) {
-	i.state.Holds(endpointID, model, version)
+func (i *Instance) broadcastLoaded(endpointID, model string, version int64) {
+	i.state.SetLoaded(endpointID, model, version)
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, Model: model, Version: version})
 }
 
@@ -147,7 +147,7 @@
 		h.state.LoadingSoon(n.GetEndpoint(), now.Add(time.Duration(n.GetSoonMs())*time.Millisecond))
 	}
 	if n.GetModel() != "" {
-		h.state.Holds(n.GetEndpoint(), n.GetModel(), n.GetVersion())
+		h.state.SetLoaded(n.GetEndpoint(), n.GetModel(), n.GetVersion())
 	}
 	if n.GetLeaving() {
 		h.state.MarkDraining(n.GetEndpoint())
--- a/rollout/hosted.go
+++ b/rollout/hosted.go
@@ -58,14 +58,14 @@
 	// about d. It must not block.
 	LoadExpected func(endpointID string, d time.Duration)
 	// Loading is called with an endpoint that is loading and the expected
-	// remaining time. Holds is called with the version that an endpoint has
+	// remaining time. SetLoaded is called with the version that an endpoint has
 	// loaded. Neither may block.
-	Loading func(endpointID string, d time.Duration)
-	Holds   func(endpointID, model string, version int64)
+	Loading   func(endpointID string, d time.Duration)
+	SetLoaded func(endpointID, model string, version int64)
 }
 
 // Hosted brings the endpoints of hosted pools to the versions that operators
-// request, while this instance holds the lease. Want and Wanted are safe for
+// request, while this instance holds the lease. SetWanted and Wanted are safe for
 // concurrent use.
 type Hosted struct {
 	cfg HostedConfig
@@ -97,9 +97,9 @@
 	return &Hosted{cfg: cfg, wanted: map[string]int64{}, targets: map[string]*target{}, loadTime: initialLoadTime, wake: make(chan struct{}, 1)}
 }
 
-// Want sets the version of a model that operators request. A version older than
+// SetWanted sets the version of a model that operators request. A version older than
 // the current one is ignored.
-func (h *Hosted) Want(w Weights) {
+func (h *Hosted) SetWanted(w Weights) {
 	h.mu.Lock()
 	newer := w.Version > h.wanted[w.Model]
 	if newer {
@@ -268,7 +268,7 @@
 	}
 	h.setOrders(t, r.Orders, true)
 	if v := r.Versions[w.Model]; v >= w.Version && !r.Loading {
-		h.cfg.Holds(t.ID, w.Model, v)
+		h.cfg.SetLoaded(t.ID, w.Model, v)
 		return 0, false
 	}
 	return r.Orders, !r.Loading
@@ -299,7 +299,7 @@
 		h.awaitLoad(ctx, t, w, sentAt)
 		return
 	case AlreadyLoaded:
-		h.cfg.Holds(t.ID, w.Model, w.Version)
+		h.cfg.SetLoaded(t.ID, w.Model, w.Version)
 		h.endOrder(t, 0)
 		return
 	case StaleFence:
@@ -330,7 +330,7 @@
 		}
 		if err == nil && r.Versions[w.Model] >= w.Version {
 			h.recordLoadTime(time.Since(sentAt))
-			h.cfg.Holds(t.ID, w.Model, r.Versions[w.Model])
+			h.cfg.SetLoaded(t.ID, w.Model, r.Versions[w.Model])
 			h.endOrder(t, 0)
 			return
 		}
--- a/rollout/weights_test.go
+++ b/rollout/weights_test.go
@@ -116,12 +116,12 @@
 			Self: "a", Lease: heldLease{}, Control: e, State: state,
 			Pools:        func() map[string][]string { return map[string][]string{"pool": {"m"}} },
 			LoadExpected: func(string, time.Duration) {},
-			Loading:      func(string, time.Duration) {}, Holds: state.Holds,
+			Loading:      func(string, time.Duration) {}, SetLoaded: state.SetLoaded,
 		})
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
 		done.Go(func() { h.Run(ctx) })
-		h.Want(Weights{Model: "m", Version: 2})
+		h.SetWanted(Weights{Model: "m", Version: 2})
 		time.Sleep(200 * time.Millisecond)
 		e.mu.Lock()
 		for id, n := range e.orders {
