--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -14,7 +14,7 @@
 	"github.com/sardinedock/sardinedock/fleet/exchange"
 	"github.com/sardinedock/sardinedock/fleet/member"
 	"github.com/sardinedock/sardinedock/fleet/transport"
-	"github.com/sardinedock/sardinedock/kept"
+	"github.com/sardinedock/sardinedock/kvoffload"
 	"github.com/sardinedock/sardinedock/place"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
@@ -47,7 +47,7 @@
 	placer      *place.Fleet
 	ownerServer *place.OwnerServer
 	handOvers   *place.HandOvers
-	kept        *kept.Coordinator
+	kvoffload   *kvoffload.Coordinator
 	client      *transport.Client
 	traffic     *transport.Traffic
 	listener    net.Listener
@@ -119,7 +119,7 @@
 		return err
 	}
 	i.admin.Register("fleet", i.withDumpTimeout(func(ctx context.Context) any { return p.node.Dump(ctx) }))
-	i.admin.Register("kept", func() any { return p.kept.Dump() })
+	i.admin.Register("kept", func() any { return p.kvoffload.Dump() })
 	i.admin.Register("place", i.withDumpTimeout(func(ctx context.Context) any { return p.placer.Dump(ctx) }))
 	return nil
 }
@@ -146,10 +146,10 @@
 			p.placer.Lost(endpoint, incarnation, lost)
 		},
 	})
-	p.kept = i.newKeptCoordinator()
+	p.kvoffload = i.newKVOffloadCoordinator()
 	p.placer = place.NewFleet(place.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: i.settings.GetFleet(), Instance: self.Name, Incarnation: self.Incarnation},
-		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.ownerServer, Kept: p.kept,
+		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.ownerServer, KVOffload: p.kvoffload,
 		AskLeaving: func(ctx context.Context, address string) (bool, error) {
 			s, err := i.clients.Engine(address).State(ctx)
 			return s.Leaving, err
--- a/instance/fleet_run.go
+++ b/instance/fleet_run.go
@@ -21,7 +21,7 @@
 	p.wg.Go(func() { p.node.Run(run) })
 	p.wg.Go(func() { p.ownerServer.Run(run) })
 	p.wg.Go(func() { p.placer.Run(run) })
-	p.wg.Go(func() { p.kept.Run(run) })
+	p.wg.Go(func() { p.kvoffload.Run(run) })
 	p.wg.Go(func() { p.handOvers.Run(run, p.placer) })
 	p.wg.Go(func() { i.runRecordPublisher(run) })
 	p.wg.Go(func() { i.runInstanceList(run) })
--- a/kept/catalog.go
+++ b/kvoffload/catalog.go
@@ -1,7 +1,7 @@
-// Package kept tracks which prompt prefixes have their KV cache stored in the
+// Package kvoffload tracks which prompt prefixes have their KV cache stored in the
 // platform's KV store. It has engines export prefixes that are worth storing, and
 // import them where that is cheaper than recomputing them.
-package kept
+package kvoffload
 
 import (
 	"sync"
--- a/kept/coordinator_test.go
+++ b/kvoffload/coordinator_test.go
@@ -1,4 +1,4 @@
-package kept
+package kvoffload
 
 import (
 	"context"
--- a/kept/engine_test.go
+++ b/kvoffload/engine_test.go
@@ -1,4 +1,4 @@
-package kept_test
+package kvoffload_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"github.com/sardinedock/sardinedock/clock"
 	"github.com/sardinedock/sardinedock/emulator"
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/kept"
+	"github.com/sardinedock/sardinedock/kvoffload"
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
@@ -19,13 +19,13 @@
 // pair is two engines that share a KV store, and a Coordinator.
 type pair struct {
 	clients     [2]*endpoint.Client
-	coordinator *kept.Coordinator
-	published   chan kept.Prefix
+	coordinator *kvoffload.Coordinator
+	published   chan kvoffload.Prefix
 }
 
 func newPair(t *testing.T) *pair {
 	t.Helper()
-	p := &pair{published: make(chan kept.Prefix, 1)}
+	p := &pair{published: make(chan kvoffload.Prefix, 1)}
 	shared := emulator.NewShared(1)
 	for i, name := range []string{"engine-1", "engine-2"} {
 		e, err := emulator.StartEngine("127.0.0.1:0", emulator.EngineConfig{
@@ -37,11 +37,11 @@
 		t.Cleanup(func() { _ = e.Close() })
 		p.clients[i] = endpoint.NewClient(e.Addr(), time.Second, 5*time.Second)
 	}
-	byAddress := map[string]kept.Engine{"engine-1": p.clients[0], "engine-2": p.clients[1]}
-	p.coordinator = kept.NewCoordinator(kept.Config{
+	byAddress := map[string]kvoffload.Engine{"engine-1": p.clients[0], "engine-2": p.clients[1]}
+	p.coordinator = kvoffload.NewCoordinator(kvoffload.Config{
 		Clock:   clock.System{},
-		Dial:    func(address string) kept.Engine { return byAddress[address] },
-		Publish: func(_ context.Context, x kept.Prefix, _ time.Duration) { p.published <- x },
+		Dial:    func(address string) kvoffload.Engine { return byAddress[address] },
+		Publish: func(_ context.Context, x kvoffload.Prefix, _ time.Duration) { p.published <- x },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -93,7 +93,7 @@
 	own, other := prefix.Salt("accra", "m", "1"), prefix.Salt("kumasi", "m", "1")
 	chain := prefix.Blocks(nil, own, []byte(prompt), blockTokens)
 	p.cachedTokens(t, 0, own, prompt)
-	p.coordinator.AddUse(kept.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
+	p.coordinator.AddUse(kvoffload.Use{Address: "engine-1", Salt: own, Chain: chain, Levels: []int{len(chain)}})
 	x := <-p.published
 
 	p.coordinator.Import(context.Background(), "engine-2", other, x)
--- a/place/ask.go
+++ b/place/ask.go
@@ -126,7 +126,7 @@
 	}
 	costs := t.pool.costs()
 	costs.Urgent = t.request.Class.GetUrgent()
-	choice := policy.Choose(t.request.PromptTokens, t.keptTokens(), list, costs)
+	choice := policy.Choose(t.request.PromptTokens, t.storedTokens(), list, costs)
 	if choice.Index < 0 {
 		return -1, shortest
 	}
--- a/place/fleet.go
+++ b/place/fleet.go
@@ -13,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/fault"
 	"github.com/sardinedock/sardinedock/fleet/exchange"
 	"github.com/sardinedock/sardinedock/fleet/member"
-	"github.com/sardinedock/sardinedock/kept"
+	"github.com/sardinedock/sardinedock/kvoffload"
 	"github.com/sardinedock/sardinedock/owner"
 	"github.com/sardinedock/sardinedock/policy"
 	"github.com/sardinedock/sardinedock/prefix"
@@ -72,9 +72,9 @@
 	// AskLeaving asks the endpoint at an address whether it is leaving. If nil, endpoints
 	// are not asked.
 	AskLeaving func(ctx context.Context, address string) (leaving bool, err error)
-	// Kept exports and imports the KV cache of prefixes. If nil, nothing is exported or
+	// KVOffload exports and imports the KV cache of prefixes. If nil, nothing is exported or
 	// imported.
-	Kept *kept.Coordinator
+	KVOffload *kvoffload.Coordinator
 	// Publish publishes a value to all instances, one version above the current one. It is
 	// called by one goroutine and may block.
 	Publish func(ctx context.Context, key exchange.Key, value []byte, ttl time.Duration) error
@@ -112,8 +112,8 @@
 	tries  int
 	// withdrawn is the number of asks that were withdrawn.
 	withdrawn int
-	// kept is the longest prefix that can be imported; empty if there is none.
-	kept kept.Prefix
+	// kvoffload is the longest prefix whose KV cache can be imported; empty if there is none.
+	kvoffload kvoffload.Prefix
 	// levels are the prefix lengths, in blocks, at which a shared level ends.
 	levels []int
 }
@@ -189,7 +189,7 @@
 		return Grant{}, err
 	}
 	placed.Inc()
-	f.importKept(ctx, t, g)
+	f.importStored(ctx, t, g)
 	return g, nil
 }
 
@@ -218,7 +218,7 @@
 		if err != nil {
 			return Grant{}, err
 		}
-		f.findKept(t)
+		f.findStored(t)
 		if t.tries >= maxTries {
 			return f.placeLocally(ctx, t, list)
 		}
--- a/place/share.go
+++ b/place/share.go
@@ -112,7 +112,7 @@
 	case fleetpb.ItemKind_ITEM_KIND_USAGE:
 		f.limits.merge(it.Key.Name, it.Value)
 	case fleetpb.ItemKind_ITEM_KIND_KEPT:
-		f.mergeKept(it)
+		f.mergeStored(it)
 	}
 }
 
