--- a/entry/answer.go
+++ b/frontend/answer.go
@@ -1,4 +1,4 @@
-package entry
+package frontend
 
 import (
 	"bytes"
--- a/entry/api_test.go
+++ b/frontend/api_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"github.com/openai/openai-go/v3/option"
 
 	"github.com/sardinedock/sardinedock/emulator"
-	"github.com/sardinedock/sardinedock/entry"
+	"github.com/sardinedock/sardinedock/frontend"
 )
 
 func bodyOf(prompt string, tokens int) io.Reader {
@@ -212,7 +212,7 @@
 // and a correct not-run was counted as false.
 func TestEachRefusalHasItsOwnRequestID(t *testing.T) {
 	r := newFixture(t, fixtureConfig{engines: 1})
-	without := entry.NewServer(r.config)
+	without := frontend.NewServer(r.config)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/entry/at_most_once_test.go
+++ b/frontend/at_most_once_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 
 	"github.com/sardinedock/sardinedock/clock"
 	"github.com/sardinedock/sardinedock/emulator"
-	"github.com/sardinedock/sardinedock/entry"
 	"github.com/sardinedock/sardinedock/fault"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/objectapi/objecttest"
 	"github.com/sardinedock/sardinedock/outcome/claim"
 	"github.com/sardinedock/sardinedock/place"
@@ -36,7 +36,7 @@
 		p.claims[n] = b
 	}
 	configure := cfg.configure
-	cfg.configure = func(c *entry.Config) {
+	cfg.configure = func(c *frontend.Config) {
 		c.Claims = p.claims[0]
 		if configure != nil {
 			configure(c)
--- a/entry/faults_test.go
+++ b/frontend/faults_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/sardinedock/sardinedock/emulator"
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/entry"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/place"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
@@ -180,9 +180,9 @@
 	t.Cleanup(func() { _ = other.Close() })
 	var dials int
 	rd := func() *reader {
-		r2 := newFixture(t, fixtureConfig{engines: 1, configure: func(c *entry.Config) {
+		r2 := newFixture(t, fixtureConfig{engines: 1, configure: func(c *frontend.Config) {
 			clients := endpoint.NewClients(time.Second, testSilence)
-			c.Dial = func(string) entry.Engine {
+			c.Dial = func(string) frontend.Engine {
 				dials++
 				if dials == 1 {
 					return clients.Engine(r.Engines[0].Addr())
@@ -345,7 +345,7 @@
 func TestTimeoutInTheQueueIsNotRun(t *testing.T) {
 	t.Parallel()
 	class := &recordspb.RequestClass{MaxWaitMs: 50, TimeoutMs: 100}
-	r := newFixture(t, fixtureConfig{engines: 1, class: class, configure: func(c *entry.Config) { c.Placer = blockedPlacer{} }})
+	r := newFixture(t, fixtureConfig{engines: 1, class: class, configure: func(c *frontend.Config) { c.Placer = blockedPlacer{} }})
 	resp := r.do(t, "POST", "/v1/completions", nil, `{"model":"counter","prompt":"x","max_tokens":1}`)
 	if resp.StatusCode != 503 || resp.Header.Get("X-Sardinedock-Outcome") != "not-run" || resp.Header.Get("Retry-After") == "" {
 		t.Fatalf("status %d, headers %v", resp.StatusCode, resp.Header)
--- a/entry/kill_test.go
+++ b/frontend/kill_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/entry"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/place"
 )
 
@@ -33,7 +33,7 @@
 // late start and as an attempt that ran concurrently with the caller's next one.
 func TestKilledServerSendsNothing(t *testing.T) {
 	p := &gatedPlacer{called: make(chan struct{}), gate: make(chan struct{})}
-	r := newFixture(t, fixtureConfig{engines: 1, configure: func(c *entry.Config) { c.Placer = p }})
+	r := newFixture(t, fixtureConfig{engines: 1, configure: func(c *frontend.Config) { c.Placer = p }})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/entry/server.go
+++ b/frontend/server.go
@@ -1,8 +1,8 @@
-// Package entry serves the HTTP interface of the router. It parses the requests of callers,
+// Package frontend serves the HTTP interface of the router. It parses the requests of callers,
 // has them placed on endpoints, sends them, and streams the answers back. It resumes or reruns
 // requests whose endpoint or connection fails, and it guards requests that must run at most
 // once by claims on their idempotency keys.
-package entry
+package frontend
 
 import (
 	"context"
--- a/entry/server_test.go
+++ b/frontend/server_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"bufio"
@@ -16,7 +16,7 @@
 
 	"github.com/sardinedock/sardinedock/emulator"
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/entry"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/place"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
@@ -72,8 +72,8 @@
 // fixture is a server in front of emulated engines and services.
 type fixture struct {
 	*emulator.Emulator
-	server   *entry.Server
-	config   entry.Config
+	server   *frontend.Server
+	config   frontend.Config
 	snapshot *record.Snapshot
 	placer   *placer
 	url      string
@@ -87,7 +87,7 @@
 	service           emulator.ServiceConfig
 	limits            *settingspb.Limits
 	class             *recordspb.RequestClass
-	configure         func(*entry.Config)
+	configure         func(*frontend.Config)
 }
 
 func newFixture(t testing.TB, cfg fixtureConfig) *fixture {
@@ -103,11 +103,11 @@
 	t.Cleanup(e.Close)
 	r := &fixture{Emulator: e, placer: &placer{}}
 	clients := endpoint.NewClients(time.Second, testSilence)
-	config := entry.Config{
+	config := frontend.Config{
 		Limits:      testLimits(cfg.limits),
 		Placer:      r.placer,
-		Dial:        func(a string) entry.Engine { return clients.Engine(a) },
-		DialService: func(a string) entry.Service { return clients.Service(a) },
+		Dial:        func(a string) frontend.Engine { return clients.Engine(a) },
+		DialService: func(a string) frontend.Service { return clients.Service(a) },
 		NewID:       r.newID,
 	}
 	if cfg.configure != nil {
@@ -119,9 +119,9 @@
 }
 
 // serve starts a server and returns its URL.
-func (r *fixture) serve(t testing.TB, config entry.Config) string {
+func (r *fixture) serve(t testing.TB, config frontend.Config) string {
 	t.Helper()
-	r.server = entry.NewServer(config)
+	r.server = frontend.NewServer(config)
 	server := r.server
 	server.SetRecords(r.snapshot)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
--- a/entry/service_test.go
+++ b/frontend/service_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"io"
--- a/instance/entry.go
+++ b/instance/frontend.go
@@ -9,8 +9,8 @@
 
 	"github.com/sardinedock/sardinedock/clock"
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/entry"
 	"github.com/sardinedock/sardinedock/fault"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/internal/sockstate"
 	"github.com/sardinedock/sardinedock/outcome/claim"
 )
@@ -23,23 +23,23 @@
 // connection is closed.
 const callerKeepAliveProbes = 3
 
-func (i *Instance) provisionEntry() {
+func (i *Instance) provisionFrontend() {
 	limits := i.settings.GetLimits()
 	readTimeout := time.Duration(limits.GetSilenceMs()) * time.Millisecond
 	i.clients = endpoint.NewClients(dialTimeout, readTimeout)
 	i.claims = claim.Open(i.store, clock.System{})
 	i.admin.Register("claims", i.claims.Dump)
 	i.onKill = append(i.onKill, i.claims.Kill)
-	i.entry = entry.NewServer(entry.Config{
+	i.frontend = frontend.NewServer(frontend.Config{
 		Limits:      limits,
 		Placer:      i.placer(),
-		Dial:        func(addr string) entry.Engine { return i.clients.Engine(addr) },
-		DialService: func(addr string) entry.Service { return i.clients.Service(addr) },
+		Dial:        func(addr string) frontend.Engine { return i.clients.Engine(addr) },
+		DialService: func(addr string) frontend.Service { return i.clients.Service(addr) },
 		Claims:      i.claims,
 		NewID:       newID,
 	})
-	i.admin.Register("callers", i.entry.Dump)
-	i.onKill = append(i.onKill, i.entry.Kill, i.clients.Close)
+	i.admin.Register("callers", i.frontend.Dump)
+	i.onKill = append(i.onKill, i.frontend.Kill, i.clients.Close)
 }
 
 // startCallers starts serving callers. TCP keep-alive and TCP_USER_TIMEOUT detect callers that
@@ -55,7 +55,7 @@
 		return fault.Wrap(err, fault.Invalid, "choose a free address for listen.callers", "listen for callers")
 	}
 	i.callers = newTrackingListener(ln)
-	go func() { _ = i.entry.Serve(i.callers) }()
+	go func() { _ = i.frontend.Serve(i.callers) }()
 	return nil
 }
 
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,4 +1,4 @@
-// Package instance assembles the components of one entry instance and runs them from start to
+// Package instance assembles the components of one instance and runs them from start to
 // graceful shutdown.
 package instance
 
@@ -11,15 +11,15 @@
 
 	"github.com/sardinedock/sardinedock/admin"
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/entry"
 	"github.com/sardinedock/sardinedock/fault"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/objectapi"
 	"github.com/sardinedock/sardinedock/outcome/claim"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
 
-// Instance is one entry instance.
+// Instance is one instance of the router.
 type Instance struct {
 	settings *settingspb.Settings
 	store    *objectapi.Client
@@ -27,7 +27,7 @@
 	provider *record.Provider
 	// publishNow triggers runStatePublisher before its interval is over.
 	publishNow chan struct{}
-	entry      *entry.Server
+	frontend   *frontend.Server
 	claims     *claim.Book
 	callers    *trackingListener
 	admin      *admin.Handler
@@ -50,7 +50,7 @@
 	if err := i.provisionFleet(); err != nil {
 		return nil, err
 	}
-	i.provisionEntry()
+	i.provisionFrontend()
 	i.startFleet(ctx)
 	i.startRecords(ctx)
 	i.startPlacing(ctx)
@@ -93,7 +93,7 @@
 // ends both waits.
 func (i *Instance) Shutdown(ctx context.Context) error {
 	i.admin.SetReady(false)
-	i.entry.Drain()
+	i.frontend.Drain()
 	notice := time.NewTimer(time.Duration(i.settings.GetShutdown().GetNoticeMs()) * time.Millisecond)
 	defer notice.Stop()
 	select {
@@ -115,7 +115,7 @@
 	i.leaveFleet(ctx)
 	// The outcomes of the last requests have to be recorded before the process exits.
 	defer i.claims.Close(ctx)
-	return i.entry.Shutdown(ctx)
+	return i.frontend.Shutdown(ctx)
 }
 
 // stopComponents stops the components other than the listener for callers. The leases are
--- a/instance/records.go
+++ b/instance/records.go
@@ -56,7 +56,7 @@
 	first := make(chan struct{})
 	known := false
 	i.registry.Subscribe(func(s *record.Snapshot) {
-		i.entry.SetRecords(s)
+		i.frontend.SetRecords(s)
 		if !known {
 			known = true
 			close(first)
