--- a/frontend/answer.go
+++ b/frontend/answer.go
@@ -12,7 +12,7 @@
 	"github.com/sardinedock/sardinedock/fault"
 	"github.com/sardinedock/sardinedock/outcome"
 	"github.com/sardinedock/sardinedock/outcome/claim"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 )
 
 const (
@@ -56,7 +56,7 @@
 // run is one send of the request to one endpoint.
 type run struct {
 	id     string
-	grant  place.Grant
+	grant  placement.Grant
 	engine Engine
 	send   *outcome.Send
 	stream endpoint.Stream
@@ -77,10 +77,10 @@
 func (s *Server) newAnswer(c *call, req *modelRequest) *answer {
 	a := &answer{srv: s, call: c, req: req, tracker: outcome.New(req.nonIdempotent)}
 	a.claimGuard = s.newClaimGuard(a.tracker, req.key, claim.Request{
-		Key:     claim.NewKey(req.place.Organisation, req.key),
-		Body:    claim.Hash(req.place.Fingerprint),
+		Key:     claim.NewKey(req.placement.Organisation, req.key),
+		Body:    claim.Hash(req.placement.Fingerprint),
 		Attempt: req.id,
-	}, req.place.Class)
+	}, req.placement.Class)
 	a.resetStartDeadline(time.Now())
 	return a
 }
@@ -174,13 +174,13 @@
 		if a.started >= maxStarts {
 			return fault.New(fault.Broken, "send the request again later", "the request broke off %d times", a.started)
 		}
-		grant, err := a.place()
+		grant, err := a.placement()
 		if err != nil {
 			return a.placementError(err)
 		}
 		a.tracker.Admit()
 		if err := a.claimGuard.acquire(a.call.ctx); err != nil {
-			a.srv.cfg.Placer.Done(grant, place.Result{End: place.EndUnused})
+			a.srv.cfg.Placer.Done(grant, placement.Result{End: placement.EndUnused})
 			return err
 		}
 		a.sends++
@@ -193,12 +193,12 @@
 	}
 }
 
-// place requests a grant. It excludes endpoints that were already tried. If no other endpoint
+// placement requests a grant. It excludes endpoints that were already tried. If no other endpoint
 // is left, such as in a small pool whose engines crashed together, it tries all of them again
 // until the class's maximum wait has passed: an engine restarts within a second or two.
-func (a *answer) place() (place.Grant, error) {
+func (a *answer) placement() (placement.Grant, error) {
 	for {
-		req := a.req.place
+		req := a.req.placement
 		req.Exclude = a.exclude
 		grant, err := a.srv.cfg.Placer.Place(a.call.ctx, req)
 		tried := len(a.exclude) > 0 || a.started > 0
@@ -249,13 +249,13 @@
 // resetStartDeadline sets the time by which the request must start and resets the retry delay.
 func (a *answer) resetStartDeadline(now time.Time) {
 	a.retryDelay = 0
-	a.startDeadline = now.Add(time.Duration(a.req.place.Class.GetMaxWaitMs()) * time.Millisecond)
+	a.startDeadline = now.Add(time.Duration(a.req.placement.Class.GetMaxWaitMs()) * time.Millisecond)
 }
 
 func (a *answer) excludeEndpoint() { a.exclude = append(a.exclude, a.run.grant.Endpoint) }
 
 // endRun ends the current run and returns its grant to the placer.
-func (a *answer) endRun(end place.End) {
+func (a *answer) endRun(end placement.End) {
 	r := a.run
 	if r == nil {
 		return
@@ -264,10 +264,10 @@
 	if r.stream != nil {
 		r.stream.Close()
 	}
-	if end == place.EndUnused || end == place.EndCrashed {
+	if end == placement.EndUnused || end == placement.EndCrashed {
 		a.exclude = append(a.exclude, r.grant.Endpoint)
 	}
-	a.srv.cfg.Placer.Done(r.grant, place.Result{
+	a.srv.cfg.Placer.Done(r.grant, placement.Result{
 		End:          end,
 		Incarnation:  r.incarnation,
 		CachedTokens: r.cached,
@@ -291,7 +291,7 @@
 
 func (a *answer) complete() {
 	a.run.send.Done()
-	a.endRun(place.EndDone)
+	a.endRun(placement.EndDone)
 	_ = a.close(nil)
 }
 
@@ -301,7 +301,7 @@
 		if !errors.Is(a.call.cause(), errKilled) {
 			a.cancel()
 		}
-		a.endRun(place.EndFailed)
+		a.endRun(placement.EndFailed)
 	}
 	return a.close(err)
 }
--- a/frontend/at_most_once_test.go
+++ b/frontend/at_most_once_test.go
@@ -15,7 +15,7 @@
 	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/objectapi/objecttest"
 	"github.com/sardinedock/sardinedock/outcome/claim"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
@@ -306,9 +306,9 @@
 	wait func()
 }
 
-func (p refusingPlacer) Place(context.Context, place.Request) (place.Grant, error) {
+func (p refusingPlacer) Place(context.Context, placement.Request) (placement.Grant, error) {
 	p.wait()
-	return place.Grant{}, fault.New(fault.Overloaded, "come back", "no slot")
+	return placement.Grant{}, fault.New(fault.Overloaded, "come back", "no slot")
 }
 
 // A client sends the same non-idempotent request twice at once. One attempt waits for a slot
--- a/frontend/faults_test.go
+++ b/frontend/faults_test.go
@@ -11,7 +11,7 @@
 	"github.com/sardinedock/sardinedock/emulator"
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/frontend"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
@@ -40,7 +40,7 @@
 			if got := r.Engines[0].Stats().Runs + r.Engines[1].Stats().Runs; got != 1 {
 				t.Fatalf("%d runs", got)
 			}
-			if ends := r.placer.ends(); len(ends) != 1 || ends[0] != place.EndDone {
+			if ends := r.placer.ends(); len(ends) != 1 || ends[0] != placement.EndDone {
 				t.Fatalf("ends %v", ends)
 			}
 		})
@@ -67,7 +67,7 @@
 	rd.piece()
 	r.engineOf(rd.resp).Crash(time.Millisecond)
 	rd.rest().wantComplete(prompt, 60)
-	if ends := r.placer.ends(); len(ends) != 2 || ends[0] != place.EndCrashed || ends[1] != place.EndDone {
+	if ends := r.placer.ends(); len(ends) != 2 || ends[0] != placement.EndCrashed || ends[1] != placement.EndDone {
 		t.Fatalf("ends %v", ends)
 	}
 }
@@ -90,7 +90,7 @@
 	rd.piece()
 	r.engineOf(rd.resp).StallOpen()
 	rd.rest().wantComplete(prompt, 60)
-	if ends := r.placer.ends(); len(ends) != 1 || ends[0] != place.EndDone {
+	if ends := r.placer.ends(); len(ends) != 1 || ends[0] != placement.EndDone {
 		t.Fatalf("ends %v", ends)
 	}
 }
@@ -105,7 +105,7 @@
 	e.StallOpen()
 	e.Crash(time.Millisecond)
 	rd.rest().wantComplete(prompt, 60)
-	if ends := r.placer.ends(); len(ends) != 2 || ends[0] != place.EndCrashed {
+	if ends := r.placer.ends(); len(ends) != 2 || ends[0] != placement.EndCrashed {
 		t.Fatalf("ends %v", ends)
 	}
 }
@@ -297,7 +297,7 @@
 	if resp.StatusCode != http.StatusBadRequest || resp.Header.Get("X-Sardinedock-Outcome") != "unknown" {
 		t.Fatalf("status %d, outcome %s", resp.StatusCode, resp.Header.Get("X-Sardinedock-Outcome"))
 	}
-	if ends := r.placer.ends(); len(ends) != 1 || ends[0] != place.EndCrashed {
+	if ends := r.placer.ends(); len(ends) != 1 || ends[0] != placement.EndCrashed {
 		t.Fatalf("ends %v", ends)
 	}
 }
@@ -335,9 +335,9 @@
 // blockedPlacer never places a request.
 type blockedPlacer struct{ staticPlacer }
 
-func (blockedPlacer) Place(ctx context.Context, _ place.Request) (place.Grant, error) {
+func (blockedPlacer) Place(ctx context.Context, _ placement.Request) (placement.Grant, error) {
 	<-ctx.Done()
-	return place.Grant{}, ctx.Err()
+	return placement.Grant{}, ctx.Err()
 }
 
 // No slot becomes free before the timeout of the class. Nothing was sent, so the caller must
--- a/frontend/generate.go
+++ b/frontend/generate.go
@@ -65,8 +65,8 @@
 		return
 	}
 	s.reruns.credit()
-	c := &call{id: id, organisation: organisation, class: req.place.ClassName, conn: ctx.Conn(), keepRunning: req.nonIdempotent}
-	s.calls.begin(c, timeout(req.place.Class))
+	c := &call{id: id, organisation: organisation, class: req.placement.ClassName, conn: ctx.Conn(), keepRunning: req.nonIdempotent}
+	s.calls.begin(c, timeout(req.placement.Class))
 	a := s.newAnswer(c, req)
 	first, err := a.first()
 	if err != nil {
--- a/frontend/kill_test.go
+++ b/frontend/kill_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/frontend"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 )
 
 // gatedPlacer blocks Place until gate is closed.
@@ -17,13 +17,13 @@
 	called, gate chan struct{}
 }
 
-func (p *gatedPlacer) Place(ctx context.Context, r place.Request) (place.Grant, error) {
+func (p *gatedPlacer) Place(ctx context.Context, r placement.Request) (placement.Grant, error) {
 	close(p.called)
 	select {
 	case <-p.gate:
 		return p.staticPlacer.Place(ctx, r)
 	case <-ctx.Done():
-		return place.Grant{}, ctx.Err()
+		return placement.Grant{}, ctx.Err()
 	}
 }
 
--- a/frontend/placer_test.go
+++ b/frontend/placer_test.go
@@ -6,26 +6,26 @@
 	"time"
 
 	"github.com/sardinedock/sardinedock/fault"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
 // staticPlacer places requests by rendezvous hashing alone.
 type staticPlacer struct{}
 
-func (staticPlacer) Place(_ context.Context, r place.Request) (place.Grant, error) {
+func (staticPlacer) Place(_ context.Context, r placement.Request) (placement.Grant, error) {
 	key := prefix.Salt(r.Organisation, r.Model, r.Version)
 	if len(r.Blocks) > 0 {
 		key = r.Blocks[0]
 	}
-	for _, e := range place.Order(key, r.Pool.GetEndpoints()) {
+	for _, e := range placement.Order(key, r.Pool.GetEndpoints()) {
 		if !e.GetLeaving() && !slices.Contains(r.Exclude, e.GetName()) {
-			return place.Grant{Endpoint: e.GetName(), Address: e.GetAddress()}, nil
+			return placement.Grant{Endpoint: e.GetName(), Address: e.GetAddress()}, nil
 		}
 	}
-	return place.Grant{}, fault.New(fault.Unavailable, "add endpoints to the pool", "no endpoint of pool %q can take the request", r.PoolName)
+	return placement.Grant{}, fault.New(fault.Unavailable, "add endpoints to the pool", "no endpoint of pool %q can take the request", r.PoolName)
 }
 
-func (staticPlacer) FirstToken(place.Grant, int64, time.Duration) {}
+func (staticPlacer) FirstToken(placement.Grant, int64, time.Duration) {}
 
-func (staticPlacer) Done(place.Grant, place.Result) {}
+func (staticPlacer) Done(placement.Grant, placement.Result) {}
--- a/frontend/recover.go
+++ b/frontend/recover.go
@@ -7,7 +7,7 @@
 
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/fault"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 )
 
 // maxResumes limits how often a stream is resumed without a valid piece in between.
@@ -43,7 +43,7 @@
 		return callErr
 	}
 	a.excludeEndpoint()
-	a.endRun(place.EndFailed)
+	a.endRun(placement.EndFailed)
 	return a.retryElsewhere(cause)
 }
 
@@ -53,7 +53,7 @@
 func (a *answer) afterCrash(cause error) error {
 	a.srv.metrics.crashed.Inc()
 	alone := a.run.grant.Alone
-	a.endRun(place.EndCrashed)
+	a.endRun(placement.EndCrashed)
 	if alone {
 		return fault.Wrap(cause, fault.Suspect, "change the request; its content crashed endpoints", "the endpoint died while it ran this request alone")
 	}
--- a/frontend/request.go
+++ b/frontend/request.go
@@ -10,7 +10,7 @@
 	"github.com/zeebo/xxh3"
 
 	"github.com/sardinedock/sardinedock/fault"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/prefix"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
@@ -33,7 +33,7 @@
 	nonIdempotent bool
 	key           string
 	fields        fields
-	place         place.Request
+	placement     placement.Request
 	// singleChoice is set if the answer has exactly one choice, so that its text can be
 	// continued elsewhere.
 	singleChoice bool
@@ -65,7 +65,7 @@
 	if err := r.readClass(ctx, records); err != nil {
 		return nil, err
 	}
-	r.place.Fingerprint = fingerprint(organisation, r.place.Model, ctx.PostBody())
+	r.placement.Fingerprint = fingerprint(organisation, r.placement.Model, ctx.PostBody())
 	return r, nil
 }
 
@@ -94,7 +94,7 @@
 	}
 	salt := prefix.Salt(organisation, name, model.GetVersion())
 	prompt := r.fields.text(r.chat)
-	r.place = place.Request{
+	r.placement = placement.Request{
 		ID:           r.id,
 		Organisation: organisation,
 		PoolName:     model.GetPool(),
@@ -103,7 +103,7 @@
 		Version:      model.GetVersion(),
 		Blocks:       prefix.Blocks(nil, salt, prompt, int(pool.GetBlockTokens())),
 		PromptTokens: prefix.Tokens(prompt),
-		MaxTokens:    r.place.MaxTokens,
+		MaxTokens:    r.placement.MaxTokens,
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 // answer could occupy its slot for as long as the engine generates.
 func (r *modelRequest) boundTokens(limit int64) error {
 	bounded := false
-	r.place.MaxTokens = limit
+	r.placement.MaxTokens = limit
 	for _, name := range [...]string{fieldMaxTokens, fieldMaxCompletionTokens} {
 		var n int64
 		if err := r.fields.value(name, &n); err != nil {
@@ -148,26 +148,26 @@
 			return fault.New(fault.BadRequest, "ask for at least one token", "%s is %d", name, n)
 		}
 		bounded = true
-		r.place.MaxTokens = min(n, r.place.MaxTokens)
+		r.placement.MaxTokens = min(n, r.placement.MaxTokens)
 		r.fields.setInt(name, min(n, limit))
 	}
 	if bounded {
 		return nil
 	}
 	if !r.chat {
-		r.place.MaxTokens = min(limit, defaultCompletionTokens)
+		r.placement.MaxTokens = min(limit, defaultCompletionTokens)
 	}
-	r.fields.setInt(fieldMaxTokens, r.place.MaxTokens)
+	r.fields.setInt(fieldMaxTokens, r.placement.MaxTokens)
 	return nil
 }
 
 func (r *modelRequest) readClass(ctx *fasthttp.RequestCtx, records *record.Snapshot) error {
-	model, _ := lookupModel(records, r.place.Model)
+	model, _ := lookupModel(records, r.placement.Model)
 	name, class, err := classOf(ctx, records, model.GetDefaultClass())
 	if err != nil {
 		return err
 	}
-	r.place.ClassName, r.place.Class = name, class
+	r.placement.ClassName, r.placement.Class = name, class
 	r.fields.setInt(fieldPriority, int64(class.GetPriority()))
 	r.nonIdempotent, r.key, err = idempotencyOf(ctx, class)
 	return err
--- a/frontend/send.go
+++ b/frontend/send.go
@@ -6,18 +6,18 @@
 
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/fault"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/prefix"
 )
 
 // send sends the request to the granted endpoint. If it returns nil with a.run nil, another
 // endpoint must be tried; an error is final.
-func (a *answer) send(g place.Grant) error {
+func (a *answer) send(g placement.Grant) error {
 	r := &run{grant: g, id: a.runID(), engine: a.srv.cfg.Dial(g.Address), incarnation: g.Incarnation}
-	r.version = a.srv.versions.get(g.Endpoint, a.req.place.Model, a.req.place.Version)
+	r.version = a.srv.versions.get(g.Endpoint, a.req.placement.Model, a.req.placement.Version)
 	body, err := a.body(r.version, g.Long)
 	if err != nil {
-		a.srv.cfg.Placer.Done(g, place.Result{End: place.EndUnused})
+		a.srv.cfg.Placer.Done(g, placement.Result{End: placement.EndUnused})
 		return err
 	}
 	a.endpoint = g.Endpoint
@@ -56,10 +56,10 @@
 	if long {
 		// Short prompts of the class take precedence in the queue of the engine. Otherwise
 		// each would wait about a second for a long uncached prompt.
-		f.setInt(fieldPriority, int64(a.req.place.Class.GetPriority())+1)
+		f.setInt(fieldPriority, int64(a.req.placement.Class.GetPriority())+1)
 	}
 	f.setBool(fieldStream, true)
-	f.setString(fieldSalt, prefix.Salt(a.req.place.Organisation, a.req.place.Model, version).String())
+	f.setString(fieldSalt, prefix.Salt(a.req.placement.Organisation, a.req.placement.Model, version).String())
 	return f.encode(), nil
 }
 
@@ -74,13 +74,13 @@
 	case fault.Unavailable, fault.Overloaded:
 		a.started--
 		a.srv.metrics.notStarted.Inc()
-		a.endRun(place.EndUnused)
+		a.endRun(placement.EndUnused)
 		return nil
 	case fault.BadRequest, fault.Conflict:
 		// An engine that rejects the content of a request has answered it completely.
 		a.run.send.Answering()
 		a.run.send.Done()
-		a.endRun(place.EndFailed)
+		a.endRun(placement.EndFailed)
 		return err
 	}
 	return a.recover(err)
@@ -93,7 +93,7 @@
 	r := a.run
 	r.incarnation, r.answered = r.stream.Incarnation(), true
 	version := r.stream.ModelVersion()
-	a.srv.versions.record(r.grant.Endpoint, a.req.place.Model, version)
+	a.srv.versions.record(r.grant.Endpoint, a.req.placement.Model, version)
 	if a.progress.pieces > 0 && version != a.progress.version {
 		return a.abandon(fault.New(fault.Broken, "send the request again", "the answer was begun by version %q and the endpoint runs %q", a.progress.version, version))
 	}
@@ -114,7 +114,7 @@
 		a.lastErr = cause
 		a.excludeEndpoint()
 	}
-	a.endRun(place.EndFailed)
+	a.endRun(placement.EndFailed)
 	if cause != nil && a.started >= maxStarts {
 		return cause
 	}
--- a/frontend/server.go
+++ b/frontend/server.go
@@ -17,7 +17,7 @@
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/fault"
 	"github.com/sardinedock/sardinedock/outcome"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
@@ -38,7 +38,7 @@
 // Config holds the settings and dependencies of a Server.
 type Config struct {
 	Limits *settingspb.Limits
-	Placer place.Placer
+	Placer placement.Placer
 	// Dial returns the client of the engine at address, DialService that of the service
 	// endpoint.
 	Dial        func(address string) Engine
--- a/frontend/server_test.go
+++ b/frontend/server_test.go
@@ -17,7 +17,7 @@
 	"github.com/sardinedock/sardinedock/emulator"
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/frontend"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 	"github.com/sardinedock/sardinedock/schema/settingspb"
@@ -35,11 +35,11 @@
 	staticPlacer
 	mu      sync.Mutex
 	alone   bool
-	results []place.Result
+	results []placement.Result
 	firsts  int
 }
 
-func (p *placer) Place(ctx context.Context, r place.Request) (place.Grant, error) {
+func (p *placer) Place(ctx context.Context, r placement.Request) (placement.Grant, error) {
 	g, err := p.staticPlacer.Place(ctx, r)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,22 +47,22 @@
 	return g, err
 }
 
-func (p *placer) FirstToken(place.Grant, int64, time.Duration) {
+func (p *placer) FirstToken(placement.Grant, int64, time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.firsts++
 }
 
-func (p *placer) Done(_ place.Grant, res place.Result) {
+func (p *placer) Done(_ placement.Grant, res placement.Result) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.results = append(p.results, res)
 }
 
-func (p *placer) ends() []place.End {
+func (p *placer) ends() []placement.End {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var ends []place.End
+	var ends []placement.End
 	for _, r := range p.results {
 		ends = append(ends, r.End)
 	}
--- a/frontend/service.go
+++ b/frontend/service.go
@@ -11,7 +11,7 @@
 	"github.com/sardinedock/sardinedock/fault"
 	"github.com/sardinedock/sardinedock/outcome"
 	"github.com/sardinedock/sardinedock/outcome/claim"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/prefix"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
@@ -132,7 +132,7 @@
 	}
 	err = fault.New(fault.Unavailable, "add endpoints to the service's record", "no endpoint can take the call")
 	key := prefix.Salt(c.call.id, "", "")
-	for _, e := range place.Order(key, c.service.GetEndpoints()) {
+	for _, e := range placement.Order(key, c.service.GetEndpoints()) {
 		if e.GetLeaving() {
 			continue
 		}
--- a/instance/fleet.go
+++ b/instance/fleet.go
@@ -15,7 +15,7 @@
 	"github.com/sardinedock/sardinedock/fleet/member"
 	"github.com/sardinedock/sardinedock/fleet/transport"
 	"github.com/sardinedock/sardinedock/kvoffload"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
@@ -44,9 +44,9 @@
 // peers holds the components that connect an instance to the fleet.
 type peers struct {
 	node        *fleet.Node
-	placer      *place.Fleet
-	ownerServer *place.OwnerServer
-	handOvers   *place.HandOvers
+	placer      *placement.Fleet
+	ownerServer *placement.OwnerServer
+	handOvers   *placement.HandOvers
 	kvoffload   *kvoffload.Coordinator
 	client      *transport.Client
 	traffic     *transport.Traffic
@@ -62,7 +62,7 @@
 // fleetServer serves the calls of peers.
 type fleetServer struct {
 	node   *fleet.Node
-	placer *place.Fleet
+	placer *placement.Fleet
 }
 
 func (s *fleetServer) Exchange(ctx context.Context, in *fleetpb.ExchangeRequest) (*fleetpb.ExchangeReply, error) {
@@ -86,7 +86,7 @@
 }
 
 // placer returns the component that places requests on endpoints.
-func (i *Instance) placer() place.Placer { return i.peers.placer }
+func (i *Instance) placer() placement.Placer { return i.peers.placer }
 
 // Fleet returns the address at which peers are served.
 func (i *Instance) Fleet() string { return i.peers.listener.Addr().String() }
@@ -105,7 +105,7 @@
 		return fault.Wrap(err, fault.Invalid, "choose a free address for listen.fleet", "listen for peers")
 	}
 	p := &peers{
-		listener: ln, traffic: &transport.Traffic{}, handOvers: place.NewHandOvers(),
+		listener: ln, traffic: &transport.Traffic{}, handOvers: placement.NewHandOvers(),
 		views: make(chan *member.View, 1), records: make(chan *record.Snapshot, 1),
 	}
 	p.client = transport.NewClient(transport.DialTCP, keys, p.traffic)
@@ -140,14 +140,14 @@
 
 func (i *Instance) provisionPlacer(self member.Member) {
 	p := i.peers
-	p.ownerServer = place.NewOwnerServer(place.OwnerServerConfig{
+	p.ownerServer = placement.NewOwnerServer(placement.OwnerServerConfig{
 		Self: self.Name, Clock: clock.System{}, FirstGrantID: self.Incarnation, HandOver: p.handOvers.Enqueue,
-		Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
+		Lost: func(endpoint string, incarnation uint64, lost []placement.Fingerprint) {
 			p.placer.Lost(endpoint, incarnation, lost)
 		},
 	})
 	p.kvoffload = i.newKVOffloadCoordinator()
-	p.placer = place.NewFleet(place.FleetConfig{
+	p.placer = placement.NewFleet(placement.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: i.settings.GetFleet(), Instance: self.Name, Incarnation: self.Incarnation},
 		Clock:  clock.System{}, Peers: p.client, OwnerServer: p.ownerServer, KVOffload: p.kvoffload,
 		AskLeaving: func(ctx context.Context, address string) (bool, error) {
--- a/internal/slopes/ask.go
+++ b/internal/slopes/ask.go
@@ -16,7 +16,7 @@
 	"github.com/sardinedock/sardinedock/fleet/member"
 	"github.com/sardinedock/sardinedock/fleet/transport"
 	"github.com/sardinedock/sardinedock/owner"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/prefix"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
@@ -33,7 +33,7 @@
 // placementNode is the request placement of one instance, with its server and client for peers.
 type placementNode struct {
 	fleetpb.DRPCFleetUnimplementedServer
-	fleet   *place.Fleet
+	fleet   *placement.Fleet
 	traffic *transport.Traffic
 	address string
 }
@@ -54,11 +54,11 @@
 		return nil, err
 	}
 	p := &placementNode{traffic: &transport.Traffic{}, address: ln.Addr().String()}
-	ownerServer := place.NewOwnerServer(place.OwnerServerConfig{
+	ownerServer := placement.NewOwnerServer(placement.OwnerServerConfig{
 		Self: name, Clock: clock.System{}, FirstGrantID: 1, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
-	p.fleet = place.NewFleet(place.FleetConfig{
+	p.fleet = placement.NewFleet(placement.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: name, Incarnation: uint64(time.Now().UnixNano())},
 		Clock:  clock.System{}, Peers: transport.NewClient(transport.DialTCP, nil, p.traffic), OwnerServer: ownerServer,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
@@ -119,8 +119,8 @@
 	return list
 }
 
-func requestOf(i, blocks int) place.Request {
-	return place.Request{
+func requestOf(i, blocks int) placement.Request {
+	return placement.Request{
 		ID: fmt.Sprintf("req-%d", i), Organisation: "accra", PoolName: "engines", Model: "counter", Version: "1",
 		Class:  &recordspb.RequestClass{MaxWaitMs: 20000, TimeoutMs: 60000},
 		Blocks: promptBlocks(blocks, i), PromptTokens: int64(blocks * blockTokens), MaxTokens: 100,
@@ -174,7 +174,7 @@
 			owned++
 		}
 		entry.fleet.FirstToken(g, 0, time.Millisecond)
-		entry.fleet.Done(g, place.Result{End: place.EndDone, OutputTokens: 100})
+		entry.fleet.Done(g, placement.Result{End: placement.EndDone, OutputTokens: 100})
 	}
 	time.Sleep(100 * time.Millisecond) // until the last reports are sent
 	spent := cpuTime() - startCPU
--- a/internal/slopes/decision.go
+++ b/internal/slopes/decision.go
@@ -9,7 +9,7 @@
 	"github.com/sardinedock/sardinedock/clock"
 	"github.com/sardinedock/sardinedock/fleet/exchange"
 	"github.com/sardinedock/sardinedock/owner"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 )
 
@@ -56,12 +56,12 @@
 	for i := range instances {
 		names, addresses = append(names, fmt.Sprintf("entry-%03d", i)), append(addresses, "peer")
 	}
-	ownerServer := place.NewOwnerServer(place.OwnerServerConfig{
+	ownerServer := placement.NewOwnerServer(placement.OwnerServerConfig{
 		Self: "entry", Clock: clock.System{}, HandOver: func(string, string, []byte, func()) {},
 		Lost: func(string, uint64, []owner.Fingerprint) {},
 	})
 	go ownerServer.Run(ctx)
-	f := place.NewFleet(place.FleetConfig{
+	f := placement.NewFleet(placement.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &grantingPeers{}, OwnerServer: ownerServer,
 		Publish: func(context.Context, exchange.Key, []byte, time.Duration) error { return nil },
 	})
@@ -75,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		f.Done(g, place.Result{End: place.EndDone})
+		f.Done(g, placement.Result{End: placement.EndDone})
 	}
 	each := float64((cpuTime() - startCPU).Microseconds()) / decisions
 	fmt.Fprintf(out, "%10d %10d %16.1f %16.2f\n", endpoints, instances, each, float64(change.Microseconds())/1000)
--- a/internal/slopes/state.go
+++ b/internal/slopes/state.go
@@ -12,7 +12,7 @@
 	"github.com/sardinedock/sardinedock/fleet/exchange"
 	"github.com/sardinedock/sardinedock/fleet/member"
 	"github.com/sardinedock/sardinedock/owner"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/policy"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
@@ -96,9 +96,9 @@
 }
 
 // placementOf returns the placement of an instance that knows a pool of n endpoints.
-func placementOf(n int) *place.Fleet {
-	ownerServer := place.NewOwnerServer(place.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
-	f := place.NewFleet(place.FleetConfig{
+func placementOf(n int) *placement.Fleet {
+	ownerServer := placement.NewOwnerServer(placement.OwnerServerConfig{Self: "entry", Clock: clock.System{}})
+	f := placement.NewFleet(placement.FleetConfig{
 		Caller: &fleetpb.Caller{Fleet: fleetName, Instance: "entry"}, Clock: clock.System{}, Peers: &grantingPeers{}, OwnerServer: ownerServer,
 	})
 	if n > 0 {
--- a/place/fleet_test.go
+++ b/placement/fleet_test.go
@@ -1,4 +1,4 @@
-package place_test
+package placement_test
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"github.com/sardinedock/sardinedock/fault"
 	"github.com/sardinedock/sardinedock/fleet/exchange"
 	"github.com/sardinedock/sardinedock/fleet/member"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/fleetpb"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
@@ -23,9 +23,9 @@
 type fleet struct {
 	ctx       context.Context
 	cancel    context.CancelFunc
-	placers   []*place.Fleet
-	servers   []*place.OwnerServer
-	handOvers []*place.HandOvers
+	placers   []*placement.Fleet
+	servers   []*placement.OwnerServer
+	handOvers []*placement.HandOvers
 
 	mu           sync.Mutex
 	unresponsive map[string]bool // instances that do not answer
@@ -40,14 +40,14 @@
 	f := &fleet{unresponsive: map[string]bool{}, versions: map[exchange.Key]uint64{}}
 	f.ctx, f.cancel = context.WithCancel(context.Background())
 	for i := range n {
-		h := place.NewHandOvers()
-		s := place.NewOwnerServer(place.OwnerServerConfig{
+		h := placement.NewHandOvers()
+		s := placement.NewOwnerServer(placement.OwnerServerConfig{
 			Self: instanceName(i), Clock: clock.System{}, FirstGrantID: uint64(i+1) << 32, HandOver: h.Enqueue,
-			Lost: func(endpoint string, incarnation uint64, lost []place.Fingerprint) {
+			Lost: func(endpoint string, incarnation uint64, lost []placement.Fingerprint) {
 				f.placers[i].Lost(endpoint, incarnation, lost)
 			},
 		})
-		p := place.NewFleet(place.FleetConfig{
+		p := placement.NewFleet(placement.FleetConfig{
 			Caller: &fleetpb.Caller{Fleet: "test", Instance: instanceName(i)},
 			Clock:  clock.System{}, Peers: f, OwnerServer: s, Publish: f.publish,
 		})
@@ -101,7 +101,7 @@
 
 // reach returns the placer at an address. For an unresponsive instance it blocks until the
 // timeout and fails.
-func (f *fleet) reach(ctx context.Context, address string, bound time.Duration) (*place.Fleet, error) {
+func (f *fleet) reach(ctx context.Context, address string, bound time.Duration) (*placement.Fleet, error) {
 	f.mu.Lock()
 	unresponsive := f.unresponsive[address]
 	f.mu.Unlock()
@@ -183,8 +183,8 @@
 	})
 }
 
-func request(id string) place.Request {
-	return place.Request{
+func request(id string) placement.Request {
+	return placement.Request{
 		ID: id, Organisation: "accra", PoolName: "engines", Model: "counter", Version: "1", PromptTokens: 100, MaxTokens: 10,
 		Class:       &recordspb.RequestClass{MaxWaitMs: 20000, TimeoutMs: 60000},
 		Fingerprint: [16]byte{1},
@@ -212,7 +212,7 @@
 	})
 }
 
-func (f *fleet) mustPlace(t *testing.T, i int, r place.Request) place.Grant {
+func (f *fleet) mustPlace(t *testing.T, i int, r placement.Request) placement.Grant {
 	t.Helper()
 	g, err := f.placers[i].Place(f.ctx, r)
 	if err != nil {
@@ -241,7 +241,7 @@
 		begin := time.Now()
 		go func() {
 			time.Sleep(700 * time.Millisecond)
-			f.placers[0].Done(held, place.Result{End: place.EndDone})
+			f.placers[0].Done(held, placement.Result{End: placement.EndDone})
 		}()
 		f.mustPlace(t, 1, request("b"))
 		if took := time.Since(begin); took < 700*time.Millisecond || took > 750*time.Millisecond {
@@ -269,7 +269,7 @@
 			} else if took > 0 {
 				slow++
 			}
-			f.placers[caller].Done(g, place.Result{End: place.EndDone})
+			f.placers[caller].Done(g, placement.Result{End: placement.EndDone})
 		}
 		if slow != 1 {
 			t.Fatalf("%d of 20 requests waited for the unresponsive owner, want 1", slow)
@@ -288,7 +288,7 @@
 		if g.ID != 0 {
 			t.Fatal("got a grant whose reply was lost")
 		}
-		f.placers[caller].Done(g, place.Result{End: place.EndDone})
+		f.placers[caller].Done(g, placement.Result{End: placement.EndDone})
 		time.Sleep(time.Second)
 		begin := time.Now()
 		if g := f.mustPlace(t, caller, request("b")); g.ID == 0 {
@@ -314,7 +314,7 @@
 		if _, err := f.placers[caller].Place(ctx, request("b")); err == nil {
 			t.Fatal("placed a request whose caller disconnected")
 		}
-		f.placers[caller].Done(held, place.Result{End: place.EndDone})
+		f.placers[caller].Done(held, placement.Result{End: placement.EndDone})
 		time.Sleep(3 * time.Second)
 		begin := time.Now()
 		f.mustPlace(t, caller, request("c"))
@@ -352,7 +352,7 @@
 			if want := i == 1; g.Alone != want {
 				t.Fatalf("request %d placed with alone %v", i, g.Alone)
 			}
-			f.placers[i].Done(g, place.Result{End: place.EndCrashed, Incarnation: uint64(7 + i)})
+			f.placers[i].Done(g, placement.Result{End: placement.EndCrashed, Incarnation: uint64(7 + i)})
 			time.Sleep(100 * time.Millisecond)
 		}
 		for i := range 3 {
@@ -396,7 +396,7 @@
 				only = append(only, name)
 			}
 		}
-		on := func(id string) place.Request {
+		on := func(id string) placement.Request {
 			r := request(id)
 			r.Exclude = only
 			r.Class = &recordspb.RequestClass{MaxWaitMs: 100, TimeoutMs: 60000}
@@ -412,7 +412,7 @@
 		if _, err := f.placers[0].Place(f.ctx, on("c")); !fault.Is(err, fault.Overloaded) {
 			t.Fatalf("the next owner granted a slot that is in use: %v", err)
 		}
-		f.placers[0].Done(first, place.Result{End: place.EndDone})
+		f.placers[0].Done(first, placement.Result{End: placement.EndDone})
 		time.Sleep(100 * time.Millisecond)
 		if g := f.mustPlace(t, 0, on("d")); g.Owner == instanceName(2) || g.ID == 0 {
 			t.Fatalf("placed by %q", g.Owner)
@@ -433,7 +433,7 @@
 				f.placers[i].SetView(f.ctx, f.viewWithout(i, old))
 			}
 			time.Sleep(time.Second)
-			f.placers[caller].Done(held, place.Result{End: place.EndDone})
+			f.placers[caller].Done(held, placement.Result{End: placement.EndDone})
 		}()
 		begin := time.Now()
 		g := f.mustPlace(t, caller, request("b"))
--- a/place/place.go
+++ b/placement/placement.go
@@ -1,6 +1,6 @@
-// Package place chooses the endpoint that a request runs on. Fleet asks the instances that
+// Package placement chooses the endpoint that a request runs on. Fleet asks the instances that
 // own the endpoints and decides from its own view if an owner does not answer.
-package place
+package placement
 
 import (
 	"context"
--- a/place/routes.go
+++ b/placement/routes.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"time"
@@ -130,7 +130,7 @@
 	return !ok || region == g.self
 }
 
-// costs returns the costs that the choice between a pool's endpoints weighs.
+// costs returns the cost model for the choice between a pool's endpoints.
 func (p *poolRoutes) costs() policy.CostModel {
 	return policy.CostModel{
 		PrefillTokensPerSecond: p.record.GetPrefillTokensPerSecond(),
--- a/place/states.go
+++ b/placement/states.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"maps"
