--- a/frontend/server.go
+++ b/frontend/server.go
@@ -1,7 +1,7 @@
-// Package frontend serves the HTTP interface of the router. It parses the requests of callers,
-// has them placed on endpoints, sends them, and streams the answers back. It resumes or reruns
-// requests whose endpoint or connection fails, and it guards requests that must run at most
-// once by claims on their idempotency keys.
+// Package frontend serves the router's own HTTP interface; on the users' platform package gateway
+// serves callers instead. It parses the requests of callers, has them placed on endpoints, sends
+// them, and streams the answers back. It resumes or reruns requests whose endpoint or connection
+// fails, and it guards requests that must run at most once by claims on their idempotency keys.
 package frontend
 
 import (
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,5 +1,6 @@
-// Package instance assembles the components of one instance and runs them from start to
-// graceful shutdown.
+// Package instance assembles the components of one instance that serves the router's own HTTP
+// interface and runs them from start to graceful shutdown. Package hosted does the same for an
+// instance on the users' platform.
 package instance
 
 import (
--- a/lease/manager_test.go
+++ b/lease/manager_test.go
@@ -21,9 +21,9 @@
 // holders returns the managers that hold the lease now.
 func holders(managers []*Manager) []*Manager {
 	var list []*Manager
-	for _, d := range managers {
-		if _, ok := d.Held(); ok {
-			list = append(list, d)
+	for _, m := range managers {
+		if _, ok := m.Held(); ok {
+			list = append(list, m)
 		}
 	}
 	return list
@@ -49,9 +49,9 @@
 		if after, _ := second[0].Held(); after <= before {
 			t.Fatalf("fence %d after %d", after, before)
 		}
-		for _, d := range managers {
-			if d != first[0] {
-				d.Stop()
+		for _, m := range managers {
+			if m != first[0] {
+				m.Stop()
 			}
 		}
 	})
@@ -79,8 +79,8 @@
 		if n := len(holders(managers)); n != 1 {
 			t.Fatalf("%d holders after the outage, want 1", n)
 		}
-		for _, d := range managers {
-			d.Stop()
+		for _, m := range managers {
+			m.Stop()
 		}
 	})
 }
@@ -88,10 +88,10 @@
 func TestNonCandidateMakesNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &objecttest.Store{}
-		d := NewManager(Config{Store: s, Name: "rollout", Self: "entry-0", Candidate: func() bool { return false }})
-		d.Start()
+		m := NewManager(Config{Store: s, Name: "rollout", Self: "entry-0", Candidate: func() bool { return false }})
+		m.Start()
 		time.Sleep(time.Minute)
-		d.Stop()
+		m.Stop()
 		if c := s.Counts(); c != (objecttest.Counts{}) {
 			t.Fatalf("calls: %+v", c)
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,5 +1,6 @@
 // Package placement chooses the endpoint that a request runs on. Fleet asks the instances that
-// own the endpoints and decides from its own view if an owner does not answer.
+// own the endpoints and decides from its own view if an owner does not answer. On the users'
+// platform package balance chooses instead.
 package placement
 
 import (
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -142,16 +142,16 @@
 }
 
 func startManager(p *enginePool, l Lease, records func() *record.Snapshot) *Manager {
-	d := NewManager(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
-	d.Start()
-	return d
+	m := NewManager(Config{Pool: "engines", Lease: l, Records: records, Dial: p.dial})
+	m.Start()
+	return m
 }
 
 func TestRolloutReachesAllWithinLoadLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(9, "1", true)
-		d := startManager(p, &lease{fence: 5}, records(9, "2", "bolts"))
-		defer d.Stop()
+		m := startManager(p, &lease{fence: 5}, records(9, "2", "bolts"))
+		defer m.Stop()
 		time.Sleep(engineLoadTime * 2)
 		if got := p.versions(); !slices.Equal(got, []string{"counter@1", "counter@2"}) {
 			t.Fatalf("versions %v in the middle of the rollout", got)
@@ -160,7 +160,7 @@
 		if got := p.versions(); !slices.Equal(got, []string{"counter@2"}) {
 			t.Fatalf("versions %v, want the new one", got)
 		}
-		got, ok := d.Progress()
+		got, ok := m.Progress()
 		if !ok || got.Converged != 9 || len(got.Behind) != 0 {
 			t.Fatalf("progress %+v", got)
 		}
@@ -185,8 +185,8 @@
 	for _, checks := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newPool(3, "1", checks)
-			d := startManager(p, &lease{fence: 9}, records(3, "2"))
-			defer d.Stop()
+			m := startManager(p, &lease{fence: 9}, records(3, "2"))
+			defer m.Stop()
 			time.Sleep(time.Minute)
 			late := endpoint.Order{Fence: 5, Kind: endpoint.OrderLoadModel, Model: "counter", Version: "1"}
 			err := p.engines["127.0.0.1:2"].Order(context.Background(), late)
@@ -215,8 +215,8 @@
 		wanted := records(3, "2")
 		pool, _ := wanted().Pool("engines")
 		pool.ChecksFencing = true
-		d := startManager(p, l, wanted)
-		defer d.Stop()
+		m := startManager(p, l, wanted)
+		defer m.Stop()
 		time.Sleep(10 * time.Second)
 		l.mu.Lock()
 		l.fence = 9
@@ -240,13 +240,13 @@
 		for _, e := range p.engines {
 			e.state.Fence = 9
 		}
-		d := startManager(p, &lease{fence: 5}, records(3, "1"))
-		defer d.Stop()
+		m := startManager(p, &lease{fence: 5}, records(3, "1"))
+		defer m.Stop()
 		time.Sleep(time.Minute)
 		if got := p.versions(); !slices.Equal(got, []string{"counter@2"}) {
 			t.Fatalf("versions %v", got)
 		}
-		if got, _ := d.Progress(); got.Refused == "" {
+		if got, _ := m.Progress(); got.Refused == "" {
 			t.Fatal("the progress does not report the refusal")
 		}
 	})
@@ -257,8 +257,8 @@
 func TestUnresponsiveEndpointDoesNotBlockRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPool(4, "1", true)
-		d := startManager(p, &lease{fence: 5}, records(4, "2"))
-		defer d.Stop()
+		m := startManager(p, &lease{fence: 5}, records(4, "2"))
+		defer m.Stop()
 		time.Sleep(time.Second)
 		p.mu.Lock()
 		for _, e := range p.engines {
@@ -266,7 +266,7 @@
 		}
 		p.mu.Unlock()
 		time.Sleep(unresponsiveTimeout + 4*engineLoadTime)
-		if got, _ := d.Progress(); got.Converged != 2 || got.Unanswered != 2 {
+		if got, _ := m.Progress(); got.Converged != 2 || got.Unanswered != 2 {
 			t.Fatalf("progress %+v, want the two others rolled out", got)
 		}
 	})
@@ -332,8 +332,8 @@
 		for _, e := range p.engines {
 			e.state.Role = "prefill"
 		}
-		d := startManager(p, &lease{fence: 5}, records(endpoints, "1"))
-		defer d.Stop()
+		m := startManager(p, &lease{fence: 5}, records(endpoints, "1"))
+		defer m.Stop()
 		time.Sleep(time.Minute)
 		p.mu.Lock()
 		before := p.queries
