--- a/entry/at_most_once_test.go
+++ b/frontend/at_most_once_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 
 	"github.com/sardinedock/sardinedock/clock"
 	"github.com/sardinedock/sardinedock/emulator"
-	"github.com/sardinedock/sardinedock/entry"
 	"github.com/sardinedock/sardinedock/fault"
+	"github.com/sardinedock/sardinedock/frontend"
 	"github.com/sardinedock/sardinedock/objectapi/objecttest"
 	"github.com/sardinedock/sardinedock/outcome/claim"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/schema/recordspb"
 )
 
@@ -36,7 +36,7 @@
 		p.claims[n] = b
 	}
 	configure := cfg.configure
-	cfg.configure = func(c *entry.Config) {
+	cfg.configure = func(c *frontend.Config) {
 		c.Claims = p.claims[0]
 		if configure != nil {
 			configure(c)
@@ -306,9 +306,9 @@
 	wait func()
 }
 
-func (p refusingPlacer) Place(context.Context, place.Request) (place.Grant, error) {
+func (p refusingPlacer) Place(context.Context, placement.Request) (placement.Grant, error) {
 	p.wait()
-	return place.Grant{}, fault.New(fault.Overloaded, "come back", "no slot")
+	return placement.Grant{}, fault.New(fault.Overloaded, "come back", "no slot")
 }
 
 // A client sends the same non-idempotent request twice at once. One attempt waits for a slot
--- a/entry/kill_test.go
+++ b/frontend/kill_test.go
@@ -1,4 +1,4 @@
-package entry_test
+package frontend_test
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/sardinedock/sardinedock/endpoint"
-	"github.com/sardinedock/sardinedock/entry"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/frontend"
+	"github.com/sardinedock/sardinedock/placement"
 )
 
 // gatedPlacer blocks Place until gate is closed.
@@ -17,13 +17,13 @@
 	called, gate chan struct{}
 }
 
-func (p *gatedPlacer) Place(ctx context.Context, r place.Request) (place.Grant, error) {
+func (p *gatedPlacer) Place(ctx context.Context, r placement.Request) (placement.Grant, error) {
 	close(p.called)
 	select {
 	case <-p.gate:
 		return p.staticPlacer.Place(ctx, r)
 	case <-ctx.Done():
-		return place.Grant{}, ctx.Err()
+		return placement.Grant{}, ctx.Err()
 	}
 }
 
@@ -33,7 +33,7 @@
 // late start and as an attempt that ran concurrently with the caller's next one.
 func TestKilledServerSendsNothing(t *testing.T) {
 	p := &gatedPlacer{called: make(chan struct{}), gate: make(chan struct{})}
-	r := newFixture(t, fixtureConfig{engines: 1, configure: func(c *entry.Config) { c.Placer = p }})
+	r := newFixture(t, fixtureConfig{engines: 1, configure: func(c *frontend.Config) { c.Placer = p }})
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
--- a/entry/server.go
+++ b/frontend/server.go
@@ -1,8 +1,8 @@
-// Package entry serves the HTTP interface of the router. It parses the requests of callers,
-// has them placed on endpoints, sends them, and streams the answers back. It resumes or reruns
-// requests whose endpoint or connection fails, and it guards requests that must run at most
-// once by claims on their idempotency keys.
-package entry
+// Package frontend serves the router's own HTTP interface; on the users' platform package gateway
+// serves callers instead. It parses the requests of callers, has them placed on endpoints, sends
+// them, and streams the answers back. It resumes or reruns requests whose endpoint or connection
+// fails, and it guards requests that must run at most once by claims on their idempotency keys.
+package frontend
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"github.com/sardinedock/sardinedock/endpoint"
 	"github.com/sardinedock/sardinedock/fault"
 	"github.com/sardinedock/sardinedock/outcome"
-	"github.com/sardinedock/sardinedock/place"
+	"github.com/sardinedock/sardinedock/placement"
 	"github.com/sardinedock/sardinedock/record"
 	"github.com/sardinedock/sardinedock/schema/settingspb"
 )
@@ -38,7 +38,7 @@
 // Config holds the settings and dependencies of a Server.
 type Config struct {
 	Limits *settingspb.Limits
-	Placer place.Placer
+	Placer placement.Placer
 	// Dial returns the client of the engine at address, DialService that of the service
 	// endpoint.
 	Dial        func(address string) Engine
--- a/place/place.go
+++ b/placement/placement.go
@@ -1,6 +1,7 @@
-// Package place chooses the endpoint that a request runs on. Fleet asks the instances that
-// own the endpoints and decides from its own view if an owner does not answer.
-package place
+// Package placement chooses the endpoint that a request runs on. Fleet asks the instances that
+// own the endpoints and decides from its own view if an owner does not answer. On the users'
+// platform package balance chooses instead.
+package placement
 
 import (
 	"context"
