--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -245,7 +245,7 @@
 }
 
 // updateRate passes the rate limit in the response head to Config.Rates. A head that the endpoint
-// did not write itself says nothing about its limit.
+// did not write itself is ignored: it has no information about the endpoint's limit.
 func (a *attempt) updateRate() {
 	rates := a.req.srv.cfg.Rates
 	if rates == nil || a.head.Mismatch || !a.head.Signed && !a.head.NotRun {
--- a/gateway/conn_test.go
+++ b/gateway/conn_test.go
@@ -14,8 +14,8 @@
 // caller.
 func TestUndeliveredAnswerIsLogged(t *testing.T) {
 	lines := logtest.Record(t)
-	caller, router := net.Pipe()
-	c := &callerConn{Conn: router, request: "id-1"}
+	caller, server := net.Pipe()
+	c := &callerConn{Conn: server, request: "id-1"}
 	_ = caller.Close()
 	for range 2 {
 		if _, err := c.Write([]byte("HTTP/1.1 200 OK\r\n")); err == nil {
@@ -47,8 +47,8 @@
 // request that was answered correctly.
 func TestUndeliveredRefusalIsNotLoggedForThePreviousRequest(t *testing.T) {
 	lines := logtest.Record(t)
-	caller, router := net.Pipe()
-	c := &callerConn{Conn: router, request: "before"}
+	caller, server := net.Pipe()
+	c := &callerConn{Conn: server, request: "before"}
 	var ctx fasthttp.RequestCtx
 	ctx.Init2(c, countingLogger{}, false)
 	handleUnreadable(&ctx, fasthttp.ErrBodyTooLarge)
--- a/gateway/dialect.go
+++ b/gateway/dialect.go
@@ -50,7 +50,9 @@
 	FetchFrom, SaveTo string
 	// Priority at the endpoint; 0 is the most urgent.
 	Priority int
-	// ResumeAfter is the ID of the last event that the caller has received.
+
+	// ResumeAfter is the ID of the last event that the caller has received, if a stream of any
+	// service is resumed; empty otherwise.
 	ResumeAfter string
 }
 
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -37,15 +37,15 @@
 }
 
 // recordResponseTime records the time from the first send to the end of the answer. Answers to
-// disconnected callers and failures of endpoints are left out, since they say nothing about response
-// times; requests that timed out are included.
+// disconnected callers and failures of endpoints are left out, since they do not show how long an
+// answer takes; requests that timed out are included.
 func (r *request) recordResponseTime() {
 	if r.sentAt.IsZero() {
 		return
 	}
 	status := r.ctx.Response.StatusCode()
-	whole := status < fasthttp.StatusInternalServerError && status != statusCallerDisconnected
-	if whole || errors.Is(context.Cause(r.reqCtx), errTimeout) {
+	answered := status < fasthttp.StatusInternalServerError && status != statusCallerDisconnected
+	if answered || errors.Is(context.Cause(r.reqCtx), errTimeout) {
 		r.srv.times.of(r.route.Name).Record(time.Since(r.sentAt))
 	}
 }
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -68,10 +68,10 @@
 			err := fault.New(fault.Overloaded, "send the request again later", "the endpoints of %s are %v behind", r.service.Name, behind)
 			return balance.Placement{}, fault.WithRetryAfter(err, behind)
 		case v.Found:
-			looked := time.Now()
+			waitBegan := time.Now()
 			err := r.waitForChange(nil, lateRetryDelay(v))
 			if v.Placement.Full {
-				r.waitedMemory += time.Since(looked)
+				r.waitedMemory += time.Since(waitBegan)
 			}
 			if err != nil {
 				return balance.Placement{}, err
@@ -132,7 +132,8 @@
 	return least + rand.N(least)
 }
 
-// minLateRetry is a fifth of the backlog at which late requests are sent.
+// minLateRetry is the minimum of lateRetryDelay: a fifth of the backlog at which requests that will
+// be late are sent.
 const minLateRetry = 12 * time.Millisecond
 
 // minLateRetryRemote replaces minLateRetry if another instance places the request: in a burst,
--- a/gateway/priority_test.go
+++ b/gateway/priority_test.go
@@ -7,8 +7,8 @@
 )
 
 // A pool at its limit gets short urgent prompts among long ones, all of one organisation. With one
-// rank at the endpoint, the short ones would wait for prompts ten times as long, and their callers
-// would see them late.
+// rank at the endpoint, the short ones would wait for prompts ten times as long, and their answers
+// would be late.
 func TestRouteRanksWithinAnOrganisation(t *testing.T) {
 	rank := func(organisation, own int) int {
 		r := request{route: &route.Route{Priority: own}, organisation: &route.Organisation{Priority: &organisation}}
--- a/gateway/request.go
+++ b/gateway/request.go
@@ -49,7 +49,8 @@
 	// sentAt is the time of the first send.
 	sentAt time.Time
 	waited time.Duration
-	// waitedMemory is the part of waited in which no endpoint had enough free memory for it.
+	// waitedMemory is the part of waited in which no endpoint had enough free memory for the
+	// request.
 	waitedMemory time.Duration
 	// firstEvent is the time until a stream's first event.
 	firstEvent time.Duration
@@ -282,9 +283,9 @@
 	writeRefusal(r.ctx, refusal{status: fasthttp.StatusServiceUnavailable, cause: err, retryAfter: after})
 }
 
-// retryDelay returns when a refused caller should retry: soon enough to be served before its
-// patience ends, and later the more time it has left. A spread by request ID keeps callers that were
-// refused together from returning together.
+// retryDelay returns after how long a refused caller should retry: soon enough to be served before
+// its patience ends, and later the more time it has left. A spread by request ID keeps callers that
+// were refused together from returning together.
 //
 // behind is how far the endpoints are behind; 0 if unknown.
 func (r *request) retryDelay(behind time.Duration) time.Duration {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -52,8 +52,8 @@
 
 // Rates receives the request rates that endpoints state in their responses. It must not block.
 type Rates interface {
-	// Observe is called with the statement of one response. unreadable is the error if the stated rate
-	// could not be parsed; the statement has no rate then.
+	// Observe is called with the statement of one response. unreadable is the error if the stated
+	// rate could not be parsed; the statement has no rate then.
 	Observe(s ratelimit.Statement, unreadable error)
 }
 
@@ -121,7 +121,8 @@
 		ReadBufferSize:        cfg.HeaderBytes,
 		MaxRequestBodySize:    cfg.BodyBytes,
 		ReduceMemoryUsage:     true,
-		// Header names are passed on as the caller wrote them.
+		// Header names are normalized and passed on in that form, not as the caller capitalized
+		// them.
 		DisableHeaderNamesNormalizing: false,
 		Logger:                        countingLogger{},
 	}
--- a/gateway/unresponsive.go
+++ b/gateway/unresponsive.go
@@ -161,9 +161,9 @@
 	}
 }
 
-// CancelEndpoint cancels all attempts at an endpoint's incarnation that has ended, which is known from its
-// successor. Its connections may stay open without any data, and a request that must not run twice
-// would keep its caller waiting until the timeout for an answer that can't come.
+// CancelEndpoint cancels all attempts at an endpoint's incarnation that has ended, which is known
+// from its successor. Its connections may stay open without any data, and a request that must not
+// run twice would keep its caller waiting until the timeout for an answer that can't come.
 func (s *Server) CancelEndpoint(endpointID string) {
 	for _, a := range s.activity.endProbe(endpointID, time.Now()) {
 		a.cancel(errEndpointRestarted)
--- a/hosted/endpoints.go
+++ b/hosted/endpoints.go
@@ -26,8 +26,8 @@
 
 // update is the effect of one changed entry.
 type update struct {
-	// prev and now are the listed incarnations before and after the change; hadPrev and
-	// hasNow report whether there is one.
+	// prev and now are the listed incarnations before and after the change; hadPrev and hasNow
+	// report whether there is one.
 	prev, now       balance.Endpoint
 	hadPrev, hasNow bool
 	// cause is the change of the entry.
--- a/hosted/hosted.go
+++ b/hosted/hosted.go
@@ -121,17 +121,17 @@
 	i.state.SetLimiter(limits)
 	i.rates = newRates(limits, i.node.BroadcastNotice)
 	i.placer = newPlacer(i)
-	callers, readyAt, metricsAt := i.listeners[0], i.listeners[1], i.listeners[2]
+	callersLn, readyLn, metricsLn := i.listeners[0], i.listeners[1], i.listeners[2]
 	i.server = gateway.NewServer(gateway.Config{
 		DataCentre: s.GetDataCentre(), Table: i.table.Load, State: i.state, Budget: i.budget, Guard: i.guard,
 		Broadcaster: i.node, Placer: i.placer, Rates: i.rates, Peers: i, Dialect: platform.Dialect{}, Relay: i.relays.to,
 		Started: time.Now(), HeaderBytes: headerBytes, BodyBytes: bodyBytes,
 	})
 	i.startTasks()
-	go func() { i.logServeError("callers", i.server.Serve(callers)) }()
+	go func() { i.logServeError("callers", i.server.Serve(callersLn)) }()
 	ready := &fasthttp.Server{Handler: i.answerReady, NoDefaultServerHeader: true, NoDefaultDate: true}
-	go func() { i.logServeError("ready", ready.Serve(readyAt)) }()
-	go func() { i.logServeError("metrics", fasthttp.Serve(metricsAt, i.answerMetrics)) }()
+	go func() { i.logServeError("ready", ready.Serve(readyLn)) }()
+	go func() { i.logServeError("metrics", fasthttp.Serve(metricsLn, i.answerMetrics)) }()
 	log.WithField("data_centre", s.GetDataCentre()).WithField("callers", s.GetListen().GetCallers()).Info("started")
 	return i, nil
 }
@@ -195,7 +195,7 @@
 	})
 	i.rollout = rollout.NewHosted(rollout.HostedConfig{
 		Self: i.settings.GetInstance(), Lease: i.lease, Control: platform.NewControl(i.relays.to), State: i.state,
-		Pools: i.pools, LoadExpected: i.broadcastSoon, Loading: i.broadcastLoading, Holds: i.broadcastHolds,
+		Pools: i.pools, LoadExpected: i.broadcastLoadExpected, Loading: i.broadcastLoading, Holds: i.broadcastHolds,
 	})
 	i.feed = cachefeed.New(cachefeed.Config{
 		Source: platform.NewControl(i.relays.to), Owned: i.ownedHolders,
--- a/hosted/rates_test.go
+++ b/hosted/rates_test.go
@@ -127,9 +127,10 @@
 // instances, while others could serve them.
 func TestLimitedEndpointGetsNoMoreThanItsRate(t *testing.T) {
 	const (
-		window  = 4 * time.Second
-		known   = 500 * time.Millisecond
-		allowed = 1.5*1.3*4 + 5
+		window = 4 * time.Second
+		// knownAfter is when all instances know the limit.
+		knownAfter = 500 * time.Millisecond
+		allowed    = 1.5*1.3*4 + 5
 	)
 	for _, instances := range []int{3, gossip.SmallFleet + 4} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -144,13 +145,13 @@
 			f.serve(2, nil)
 			began := time.Now()
 			served := 0
-			for n := 0; time.Since(began) < window+3*known; n++ {
+			for n := 0; time.Since(began) < window+3*knownAfter; n++ {
 				if a := f.sendFrom(n % len(f.instances)); a.status == 200 {
 					served++
 				}
 				time.Sleep(15 * time.Millisecond)
 			}
-			if n := got.most(began.Add(known), window); float64(n) > allowed {
+			if n := got.most(began.Add(knownAfter), window); float64(n) > allowed {
 				t.Errorf("%d requests in 4 s of %d served, at most %.1f are allowed", n, served, allowed)
 			}
 		})
--- a/hosted/reload.go
+++ b/hosted/reload.go
@@ -26,8 +26,8 @@
 			WithField("retry_window_seconds", b.GetRetryWindowSeconds()).WithField("weights_ms", b.GetWeightsMs()).WithField("heartbeat_ms", b.GetHeartbeatMs()).
 			Info("settings in force")
 	}
-	if waits := fieldsNeedingRestart(i.settings, s); len(waits) > 0 {
-		log.WithField("fields", waits).Warn("settings wait for the next start")
+	if fields := fieldsNeedingRestart(i.settings, s); len(fields) > 0 {
+		log.WithField("fields", fields).Warn("settings wait for the next start")
 	}
 }
 
@@ -39,27 +39,28 @@
 	i.followers[platform.KindEndpoints].SetMinExpiryOutage(minExpiryOutage(b))
 }
 
-// minExpiryOutage is the shortest outage of the store in which endpoints' entries can expire: they
-// do so three heartbeats after the last one, and that may be nearly one heartbeat old when the
+// minExpiryOutage returns the shortest outage of the store in which endpoints' entries can expire:
+// they do so three heartbeats after the last one, and that may be nearly one heartbeat old when the
 // outage begins.
 func minExpiryOutage(b *settingspb.HostedBounds) time.Duration {
 	return 2 * milliseconds(b.GetHeartbeatMs())
 }
 
-// fieldsNeedingRestart returns the changed fields that take effect only at the next start.
-func fieldsNeedingRestart(at, now *settingspb.Hosted) []string {
+// fieldsNeedingRestart returns the fields in which now differs from the settings of the start and
+// that take effect only at the next one.
+func fieldsNeedingRestart(atStart, now *settingspb.Hosted) []string {
 	var names []string
 	add := func(name string, differs bool) {
 		if differs {
 			names = append(names, name)
 		}
 	}
-	add("instance", at.GetInstance() != now.GetInstance())
-	add("data_centre", at.GetDataCentre() != now.GetDataCentre())
-	add("listen", !proto.Equal(at.GetListen(), now.GetListen()))
-	add("store", at.GetStore() != now.GetStore())
-	add("link_mbps", at.GetLinkMbps() != now.GetLinkMbps())
-	add("bounds.lease_ms", at.GetBounds().GetLeaseMs() != now.GetBounds().GetLeaseMs())
+	add("instance", atStart.GetInstance() != now.GetInstance())
+	add("data_centre", atStart.GetDataCentre() != now.GetDataCentre())
+	add("listen", !proto.Equal(atStart.GetListen(), now.GetListen()))
+	add("store", atStart.GetStore() != now.GetStore())
+	add("link_mbps", atStart.GetLinkMbps() != now.GetLinkMbps())
+	add("bounds.lease_ms", atStart.GetBounds().GetLeaseMs() != now.GetBounds().GetLeaseMs())
 	return names
 }
 
--- a/hosted/serve_test.go
+++ b/hosted/serve_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// All endpoints are full. The caller must be told at once that its confirmation has not run and
-// when to retry, and the endpoints must not be flooded with retries meanwhile.
+// All endpoints are full. The caller must be refused at once, as not run and with a Retry-After, and
+// the endpoints must not be flooded with retries meanwhile.
 func TestRefusedRequestIsNotSentLaterAndHasRetryAfter(t *testing.T) {
 	f := newFixture(t, 1)
 	handler := func(x *platformtest.Exchange) bool { x.Reject(503); return true }
@@ -163,8 +163,8 @@
 	if sends > maxSends {
 		t.Errorf("%d sends of one request", sends)
 	}
-	// Both have room again. The request must not be sent any more: its caller was told that it will
-	// not run, and has sent a new order.
+	// Both have room again. The request must not be sent any more: its refusal stated that it will
+	// not run, and its caller has sent a new order.
 	room := func(x *platformtest.Exchange) bool { x.Answer(200, "ok"); return true }
 	e1.Handle(room)
 	e2.Handle(room)
--- a/hosted/shutdown.go
+++ b/hosted/shutdown.go
@@ -57,9 +57,10 @@
 // AvailableIn implements gateway.Peers. An instance with nothing left to finish exits once it
 // accepts no more connections, and serves again soon after.
 func (i *Instance) AvailableIn(now time.Time) time.Duration {
-	// An instance that began to shut down longer ago and is not back is not expected back soon.
-	most := i.grace() + restartTime
-	staying, first := i.node.HasRemainingPeer(now, now.Add(-most))
+	// An instance that began to shut down longer ago than maxAge and is not back is not expected
+	// back soon.
+	maxAge := i.grace() + restartTime
+	staying, first := i.node.HasRemainingPeer(now, now.Add(-maxAge))
 	if staying {
 		return 0
 	}
--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -39,13 +39,13 @@
 		}
 	})
 	i.state.SetPools(pools)
-	i.state.SetCacheStores(keptStores(t))
+	i.state.SetCacheStores(cacheStores(t))
 	i.setQuotas(t)
 	i.table.Store(t)
 	log.WithField("records", t.Version()).WithField("revision", uint64(obj.Version)).WithField("routes", t.Routes()).Info("records in force")
 }
 
-func keptStores(t *route.Table) []balance.CacheStore {
+func cacheStores(t *route.Table) []balance.CacheStore {
 	var list []balance.CacheStore
 	for _, s := range t.KeptStores() {
 		list = append(list, balance.CacheStore{Address: s.Kept.Address, DataCentre: s.Kept.DataCentre, CacheTokens: s.Kept.CacheTokens})
@@ -84,7 +84,9 @@
 	return pools
 }
 
-func (i *Instance) broadcastSoon(endpointID string, d time.Duration) {
+// broadcastLoadExpected records and broadcasts, for the time d, that an endpoint is one of the next
+// to load new weights.
+func (i *Instance) broadcastLoadExpected(endpointID string, d time.Duration) {
 	i.state.LoadingSoon(endpointID, time.Now().Add(d))
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, SoonMs: d.Milliseconds()})
 }
