--- a/hosted/rates.go
+++ b/hosted/rates.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// logUnreadable logs each new unreadable limit of an endpoint once. The limit in force stays.
+// logUnreadable logs an unreadable limit unless the endpoint's last one was the same. The limit in
+// force stays.
 func (r *rates) logUnreadable(endpointID string, err error) {
 	rateUnreadable.Inc()
 	r.mu.Lock()
--- a/hosted/serve_test.go
+++ b/hosted/serve_test.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// All endpoints are full. The caller must be refused at once, as not run and with a Retry-After, and
-// the endpoints must not be flooded with retries meanwhile.
+// All endpoints are full. The caller must be refused at once, as not run and with a Retry-After,
+// and the endpoints must not be flooded with retries meanwhile.
 func TestRefusedRequestIsNotSentLaterAndHasRetryAfter(t *testing.T) {
 	f := newFixture(t, 1)
 	handler := func(x *platformtest.Exchange) bool { x.Reject(503); return true }
