--- a/hosted/updates.go
+++ b/hosted/updates.go
@@ -84,7 +84,9 @@
 	return pools
 }
 
-func (i *Instance) broadcastSoon(endpointID string, d time.Duration) {
+// broadcastLoadExpected records and broadcasts, for the time d, that an endpoint is one of the next
+// to load new weights.
+func (i *Instance) broadcastLoadExpected(endpointID string, d time.Duration) {
 	i.state.LoadingSoon(endpointID, time.Now().Add(d))
 	i.node.BroadcastNotice(&gossippb.Notice{Endpoint: endpointID, SoonMs: d.Milliseconds()})
 }
